--- a/src/main/java/org/standlink/benchmark/DecisionBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/DecisionBenchmark.java
@@ -33,12 +33,12 @@
 import org.standlink.TeamId;
 import org.standlink.VmId;
 import org.standlink.policy.PlacementDecision;
-import org.standlink.policy.Plan;
-import org.standlink.policy.QuotaLedger;
+import org.standlink.policy.PlanningResult;
+import org.standlink.policy.QuotaUsage;
 import org.standlink.policy.ReliefAction;
 import org.standlink.policy.RunningTask;
 import org.standlink.policy.ServiceLoad;
-import org.standlink.policy.ServiceMeasure;
+import org.standlink.policy.ServiceMeasurement;
 import org.standlink.policy.TaskDemand;
 import org.standlink.policy.TaskPlanner;
 import org.standlink.policy.WorkerView;
@@ -117,7 +117,7 @@
     }
 
     /** A measurement on its way. */
-    private record Late(int step, ServiceMeasure measure, List<String> classes, int worker) {}
+    private record Late(int step, ServiceMeasurement measure, List<String> classes, int worker) {}
 
     /** The scenario. */
     private final Scenario scenario;
@@ -234,19 +234,19 @@
         }
         List<RunningTask> held = new ArrayList<>();
         for (Running task : running) {
-            views.get(task.worker).add(task.demand.batchClass(), task.granted);
+            views.get(task.worker).addTask(task.demand.batchClass(), task.granted);
             held.add(asRunning(task));
         }
         for (WorkerView view : views) {
             violations += Resources.NONE.fitsIn(view.getFree()) ? 0 : STEP_SECONDS;
         }
-        Plan plan =
+        PlanningResult plan =
                 new TaskPlanner(strategy.placement(), strategy.sizes(), 0)
                         .plan(
                                 new ArrayList<>(waiting.keySet()),
                                 views,
                                 held,
-                                new QuotaLedger(Map.of()));
+                                new QuotaUsage(Map.of()));
         Map<TaskId, TaskDemand> byId = new HashMap<>();
         waiting.keySet().forEach(demand -> byId.put(demand.task(), demand));
         plan.placements().forEach((task, decision) -> start(byId.get(task), decision));
@@ -301,8 +301,8 @@
                 }
             }
             latencies.add(latency);
-            ServiceMeasure measure =
-                    new ServiceMeasure(
+            ServiceMeasurement measure =
+                    new ServiceMeasurement(
                             VmId.parse("vm-" + worker), new ServiceLoad(SERVICE, level), latency);
             late.add(new Late(step + LAG, measure, beside, worker));
         }
--- a/src/main/java/org/standlink/benchmark/PlacementCost.java
+++ b/src/main/java/org/standlink/benchmark/PlacementCost.java
@@ -88,7 +88,7 @@
                             List.of(load),
                             true);
             for (int n = 0; n < BESIDE; n++) {
-                worker.add("class-" + n % 8, Resources.ofCores(0.5, 1000, 0));
+                worker.addTask("class-" + n % 8, Resources.ofCores(0.5, 1000, 0));
             }
             workers.add(worker);
         }
--- a/src/main/java/org/standlink/benchmark/RoutingBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/RoutingBenchmark.java
@@ -134,12 +134,12 @@
         VmId chosen = candidates.get(policy.choose(candidates)).vm();
         int upstream = Integer.parseInt(chosen.toString().substring(3));
         if (outliers != null) {
-            outliers.sent(chosen, now / 1000);
+            outliers.recordSend(chosen, now / 1000);
         }
         if (upstream == FAILING) {
             failures++;
             if (outliers != null) {
-                outliers.failed(chosen, now / 1000);
+                outliers.recordFailure(chosen, now / 1000);
             }
             return;
         }
@@ -159,7 +159,7 @@
             long latency = end.atMicros() - end.sentMicros();
             latencies.add(latency);
             if (outliers != null) {
-                outliers.answered(
+                outliers.recordAnswer(
                         VmId.parse("vm-" + end.upstream()), latency, end.atMicros() / 1000);
             }
         }
--- a/src/main/java/org/standlink/benchmark/Slopes.java
+++ b/src/main/java/org/standlink/benchmark/Slopes.java
@@ -30,11 +30,11 @@
 import org.standlink.TaskId;
 import org.standlink.VmId;
 import org.standlink.bundle.BundleReader;
+import org.standlink.log.BundleTaskRecord;
 import org.standlink.log.CellState;
 import org.standlink.log.ClaimRecord;
 import org.standlink.log.RecordCodec;
 import org.standlink.log.TaskEvent;
-import org.standlink.log.TaskRecord;
 import org.standlink.wire.Assignment;
 import org.standlink.wire.Frame;
 import org.standlink.wire.FrameCodec;
@@ -152,12 +152,12 @@
                         one.length, many.length, (many.length - one.length) / 63, micros));
     }
 
-    private static TaskRecord record(int events) {
+    private static BundleTaskRecord record(int events) {
         List<TaskEvent> all = new ArrayList<>();
         for (int i = 0; i < events; i++) {
             all.add(TaskEvent.ofAssign(task(i), Attempt.of(1), VmId.parse("vm-0001"), SIZE));
         }
-        return new TaskRecord(RecordCodec.newId(), CELL, Epoch.of(1), 1, all);
+        return new BundleTaskRecord(RecordCodec.newId(), CELL, Epoch.of(1), 1, all);
     }
 
     private static void memory(List<String> lines) {
@@ -170,7 +170,7 @@
             events.add(
                     TaskEvent.ofAssign(task(i), Attempt.of(1), VmId.parse("vm-" + i % 32), SIZE));
         }
-        state.apply(new TaskRecord("id", CELL, Epoch.of(1), 1, events));
+        state.apply(new BundleTaskRecord("id", CELL, Epoch.of(1), 1, events));
         events = null;
         long after = usedBytes();
         byte[] snapshot = RecordCodec.encode(state.snapshot(1, null));
--- a/src/main/java/org/standlink/cell/AgentBoard.java
+++ b/src/main/java/org/standlink/cell/AgentRegistry.java
@@ -31,21 +31,21 @@
  * one is void at the agent and refused by the worker. Without it, an order that waits for its
  * worker or for a lease begins with the next lease, beside the run that has taken its place.
  *
- * <p>{@code AgentBoard} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code AgentRegistry} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class AgentBoard {
+final class AgentRegistry {
 
     /** How long an agent may be silent before it is forgotten, in milliseconds; several leases. */
     private static final long FORGET_MILLIS = 60_000;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(AgentBoard.class);
+    private static final EventLog LOG = EventLog.of(AgentRegistry.class);
 
     /** The epoch. */
     private final Epoch epoch;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** The agents. */
     private final Map<Incarnation, Entry> agents = new HashMap<>();
@@ -82,7 +82,7 @@
      * @param epoch the epoch
      * @param workers the workers
      */
-    AgentBoard(Epoch epoch, WorkerBoard workers) {
+    AgentRegistry(Epoch epoch, WorkerRegistry workers) {
         this.epoch = epoch;
         this.workers = workers;
     }
@@ -144,14 +144,14 @@
      * @param now the time on the leader's clock, in milliseconds
      * @return true if another agent looks after the worker
      */
-    boolean isElsewhere(Incarnation agent, WorkerReport part, long now) {
-        WorkerEntry worker = workers.find(part.worker().life());
+    boolean isReachedByAnotherAgent(Incarnation agent, WorkerReport part, long now) {
+        WorkerEntry worker = workers.find(part.worker().incarnation());
         return worker != null
                 && !part.reachable()
                 && worker.isReachable()
                 && worker.getAgent() != null
                 && !worker.getAgent().equals(agent)
-                && now - worker.getHeardAt() < WorkerBoard.SILENT_MILLIS;
+                && now - worker.getLastReportMillis() < WorkerRegistry.REPORT_TIMEOUT_MILLIS;
     }
 
     /**
@@ -180,7 +180,7 @@
         entry.generation = last;
         workers.getWorkers().stream()
                 .filter(worker -> agent.equals(worker.getAgent()))
-                .forEach(worker -> worker.setToldGeneration(LeaseGeneration.NONE));
+                .forEach(worker -> worker.setSyncedGeneration(LeaseGeneration.NONE));
         LOG.info("lease-generation")
                 .with("agent", agent)
                 .with("epoch", epoch)
@@ -194,7 +194,7 @@
      *
      * @param now the time on the leader's clock, in milliseconds
      */
-    void forgetSilent(long now) {
+    void removeUnresponsive(long now) {
         agents.values().removeIf(agent -> now - agent.heardAt > FORGET_MILLIS);
     }
 }
--- a/src/main/java/org/standlink/cell/ReportDesk.java
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -24,7 +24,7 @@
 import org.standlink.job.RunEndKind;
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.EventLog;
 import org.standlink.wire.AgentReport;
@@ -35,9 +35,9 @@
 /**
  * Handles what agents report of their workers.
  *
- * <p>{@code ReportDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code AgentReportHandler} is not thread-safe; the leader's loop owns it.
  */
-final class ReportDesk {
+final class AgentReportHandler {
 
     /** For how long a worker that says it is unwell gets nothing new, in milliseconds. */
     private static final long UNWELL_MILLIS = 1500;
@@ -49,40 +49,40 @@
     private static final long STALL_MILLIS = 1500;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(ReportDesk.class);
+    private static final EventLog LOG = EventLog.of(AgentReportHandler.class);
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** The agents. */
-    private final AgentBoard agents;
+    private final AgentRegistry agents;
 
     /** Tells agents what to do. */
-    private final OrderDesk orders;
+    private final OrderDispatcher orders;
 
     /** The clock. */
     private final MonotonicClock clock;
 
     /** Learns what moves cost. */
-    private final MoveCost moveCost;
+    private final MoveCostEstimator moveCost;
 
     /** Learns from figures. */
-    private final FigureDesk figures;
+    private final InterferenceLearner figures;
 
     /** Finds tasks that crash their workers. */
-    private final CrashDesk crashes;
+    private final CrashDetector crashes;
 
     /** Takes runs off their workers. */
-    private final ReleaseDesk releases;
+    private final RunReleaser releases;
 
     /** Decides what becomes of the runs of workers that have started again. */
-    private final SuccessionDesk succession;
+    private final WorkerRestartHandler succession;
 
     /** Compares what runs with what should. */
-    private final RunComparison comparison;
+    private final RunReconciler comparison;
 
     /**
      * Constructor.
@@ -96,15 +96,15 @@
      * @param figures learns from figures
      * @param moveCost learns what moves cost
      */
-    ReportDesk(
-            JobBoard board,
-            WorkerBoard workers,
-            AgentBoard agents,
-            OrderDesk orders,
+    AgentReportHandler(
+            JobRegistry board,
+            WorkerRegistry workers,
+            AgentRegistry agents,
+            OrderDispatcher orders,
             ToIntFunction<JobEntry> mostAttempts,
             MonotonicClock clock,
-            FigureDesk figures,
-            MoveCost moveCost) {
+            InterferenceLearner figures,
+            MoveCostEstimator moveCost) {
         this.board = board;
         this.workers = workers;
         this.agents = agents;
@@ -112,10 +112,10 @@
         this.clock = clock;
         this.figures = figures;
         this.moveCost = moveCost;
-        this.crashes = new CrashDesk(clock);
-        this.releases = new ReleaseDesk(board, workers, mostAttempts);
-        this.succession = new SuccessionDesk(workers, agents, crashes, releases, clock);
-        this.comparison = new RunComparison(board, agents, orders);
+        this.crashes = new CrashDetector(clock);
+        this.releases = new RunReleaser(board, workers, mostAttempts);
+        this.succession = new WorkerRestartHandler(workers, agents, crashes, releases, clock);
+        this.comparison = new RunReconciler(board, agents, orders);
     }
 
     /**
@@ -127,49 +127,49 @@
      * @return false if it does not count, so that nothing was done
      */
     boolean handle(MessageChannel connection, AgentReport report, long leaseUntil) {
-        if (!agents.isCurrent(report) || succession.begin(report)) {
+        if (!agents.isCurrent(report) || succession.detectRestarts(report)) {
             return false;
         }
         for (WorkerReport part : report.workers()) {
-            WorkerEntry worker = workers.get(part.worker().life(), leaseUntil);
-            if (worker.isOver()) {
+            WorkerEntry worker = workers.getOrAdd(part.worker().incarnation(), leaseUntil);
+            if (worker.isEnded()) {
                 continue;
             }
-            worker.prolong(leaseUntil);
-            if (agents.isElsewhere(report.incarnation(), part, clock.nowMillis())) {
+            worker.extendLease(leaseUntil);
+            if (agents.isReachedByAnotherAgent(report.incarnation(), part, clock.nowMillis())) {
                 continue;
             }
             boolean first = worker.getDescription() == null;
-            worker.heard(part.worker(), connection, part.reachable(), clock.nowMillis());
+            worker.receiveReport(part.worker(), connection, part.reachable(), clock.nowMillis());
             worker.setAgent(report.incarnation());
             if (first) {
-                workers.keepAddress(worker);
-                workers.replacedBy(worker).forEach(this::replaced);
+                workers.persistAddress(worker);
+                workers.findReplacedBy(worker).forEach(this::replaced);
             }
             if (part.reachable()) {
-                crashes.answers(worker).forEach(releases::touch);
+                crashes.recordContact(worker).forEach(releases::markTaskChanged);
             }
-            if (!succession.isOpen(worker, part)) {
+            if (!succession.isResolutionPending(worker, part)) {
                 handleWorker(worker, part, report);
             }
         }
-        for (WorkerLife dead : report.dead()) {
+        for (WorkerIncarnation dead : report.dead()) {
             WorkerEntry worker = workers.find(dead);
-            if (worker != null && worker.isOver()) {
+            if (worker != null && worker.isEnded()) {
                 // Its runs stay placed until the life that follows has listed its own.
                 continue;
             }
             if (worker != null) {
                 replaced(worker);
             } else {
-                crashes.over(dead).forEach(releases::touch);
+                crashes.recordEnd(dead).forEach(releases::markTaskChanged);
             }
         }
         return true;
     }
 
     private void replaced(WorkerEntry worker) {
-        crashes.crashed(worker).forEach(releases::touch);
+        crashes.recordCrash(worker).forEach(releases::markTaskChanged);
         releases.releaseAll(worker, "worker-replaced");
         workers.remove(worker);
     }
@@ -179,8 +179,8 @@
      *
      * @return the jobs
      */
-    Set<JobEntry> takeTouched() {
-        return releases.takeTouched();
+    Set<JobEntry> takeChangedJobs() {
+        return releases.takeChangedJobs();
     }
 
     /**
@@ -189,10 +189,10 @@
      * @param worker the worker
      * @param reason why, for the log
      */
-    void giveUp(WorkerEntry worker, String reason) {
+    void abandonRuns(WorkerEntry worker, String reason) {
         if (!worker.listTasks().isEmpty()) {
-            if (!worker.isOver()) {
-                crashes.silent(worker);
+            if (!worker.isEnded()) {
+                crashes.recordLeaseExpiry(worker);
             }
             agents.raiseGeneration(worker.getAgent(), reason);
             releases.releaseAll(worker, reason);
@@ -200,9 +200,9 @@
     }
 
     /** Stops runs that stand still, so that they go on elsewhere. */
-    void stopStalled() {
+    void stopStalledRuns() {
         long now = clock.nowMillis();
-        crashes.forgetOld();
+        crashes.removeExpired();
         for (WorkerEntry worker : workers.getWorkers()) {
             if (!worker.isReachable()) {
                 // Its figures are old; its lease decides what becomes of its runs.
@@ -211,14 +211,17 @@
             List<TaskEntry> stalled =
                     worker.listTasks().stream()
                             .filter(task -> !isHeldBack(task, worker, now))
-                            .filter(task -> task.isStalled(worker.getHeardAt(), STALL_MILLIS))
+                            .filter(
+                                    task ->
+                                            task.detectStall(
+                                                    worker.getLastReportMillis(), STALL_MILLIS))
                             .toList();
             for (TaskEntry task : stalled) {
                 LOG.info("stalled")
                         .with("run", task.getRun())
-                        .with("worker", worker.getLife())
+                        .with("worker", worker.getIncarnation())
                         .write();
-                workers.judge(worker, false, now);
+                workers.recordOutcome(worker, false, now);
             }
             orders.stopAfterCommit(stalled);
         }
@@ -226,16 +229,16 @@
 
     /** A run that is throttled stands still on purpose. */
     private static boolean isHeldBack(TaskEntry task, WorkerEntry worker, long now) {
-        return worker.getFigures().isHeldBack(task.getStep().image(), now, 0);
+        return worker.getMetrics().isThrottled(task.getStep().image(), now, 0);
     }
 
     // -----------------------------------------------------------------------
     private void handleWorker(WorkerEntry worker, WorkerReport part, AgentReport report) {
         if (part.lapsed()) {
-            giveUp(worker, "lease-lapsed");
+            abandonRuns(worker, "lease-lapsed");
         }
         part.running().forEach(progress -> saveProgress(progress, part.reachable()));
-        worker.getFigures().throttled(part.throttled(), clock.nowMillis());
+        worker.getMetrics().updateThrottled(part.throttled(), clock.nowMillis());
         figures.learn(worker, part.running());
         handleEnds(worker, part.ended());
         for (StartRefusal refusal : part.refused()) {
@@ -245,7 +248,7 @@
             releaseRun(worker, run, "stopped-before-start");
         }
         if (part.known()) {
-            comparison.compare(worker, part, report.incarnation());
+            comparison.reconcile(worker, part, report.incarnation());
         }
         if (part.worker().draining()) {
             evacuate(worker);
@@ -256,28 +259,28 @@
     private void saveProgress(RunProgress progress, boolean reachable) {
         TaskEntry task = board.findTask(progress.run().task());
         if (task != null && task.getRun().equals(progress.run())) {
-            task.save(progress.checkpoint());
-            task.getProgress().progress(progress.percent(), clock.nowMillis());
-            long took = task.takeMoveMillis(clock.nowMillis());
+            task.saveCheckpoint(progress.checkpoint());
+            task.getProgress().update(progress.percent(), clock.nowMillis());
+            long took = task.takeMoveDurationMillis(clock.nowMillis());
             if (took >= 0) {
-                moveCost.learn(took, clock.nowMillis());
+                moveCost.addSample(took, clock.nowMillis());
             }
             if (reachable) {
-                task.getTrial().seenAtWork(clock.nowMillis());
+                task.getTrial().recordRunning(clock.nowMillis());
             }
         }
     }
 
     private void handleEnds(WorkerEntry worker, List<RunEnd> ends) {
-        long before = worker.getEnds().getHandled();
+        long before = worker.getEnds().getLastHandled();
         for (RunEnd end : ends) {
-            if (end.number() > worker.getEnds().getHandled()) {
-                worker.getEnds().handle(end.number());
+            if (end.number() > worker.getEnds().getLastHandled()) {
+                worker.getEnds().markHandled(end.number());
                 handleEnd(worker, end);
             }
         }
-        if (!ends.isEmpty() || worker.getEnds().getHandled() > before) {
-            orders.recordedAfterCommit(worker);
+        if (!ends.isEmpty() || worker.getEnds().getLastHandled() > before) {
+            orders.acknowledgeEndsAfterCommit(worker);
         }
     }
 
@@ -285,7 +288,7 @@
         TaskEntry task = board.findTask(end.run().task());
         LOG.info("ended")
                 .with("run", end.run())
-                .with("worker", worker.getLife())
+                .with("worker", worker.getIncarnation())
                 .with("how", end.kind())
                 .with("number", end.number())
                 .with("known", task != null)
@@ -294,19 +297,19 @@
             return;
         }
         if (end.kind() == RunEndKind.DONE || end.kind() == RunEndKind.FAILED) {
-            workers.judge(worker, end.kind() == RunEndKind.DONE, clock.nowMillis());
+            workers.recordOutcome(worker, end.kind() == RunEndKind.DONE, clock.nowMillis());
         }
-        WorkerLife place = task.getWorker();
-        if (!task.end(worker.getLife(), end)) {
+        WorkerIncarnation place = task.getWorker();
+        if (!task.recordEnd(worker.getIncarnation(), end)) {
             return;
         }
         if (place != null && task.getWorker() == null) {
-            workers.vacate(task, place);
+            workers.removeTask(task, place);
         } else if (task.isDone() && place != null) {
             // Another run of a task that is done by now has nothing left to do.
             orders.stopAfterCommit(List.of(task));
         }
-        releases.touch(task);
+        releases.markTaskChanged(task);
     }
 
     private void refused(WorkerEntry worker, StartRefusal refusal) {
@@ -321,9 +324,9 @@
         boolean current =
                 task != null
                         && task.getRun().equals(run)
-                        && worker.getLife().equals(task.getWorker());
+                        && worker.getIncarnation().equals(task.getWorker());
         if (current) {
-            releases.release(task, worker.getLife(), reason);
+            releases.release(task, worker.getIncarnation(), reason);
         }
     }
 
@@ -342,7 +345,7 @@
                         .toList();
         if (!movable.isEmpty()) {
             LOG.info("moving")
-                    .with("worker", worker.getLife())
+                    .with("worker", worker.getIncarnation())
                     .with("runs", movable.size())
                     .write();
             orders.stopAfterCommit(movable);
@@ -355,18 +358,18 @@
      */
     private void takeBackWhatIsOver(WorkerEntry worker) {
         Resources room = worker.getDescription().capacity();
-        Resources taken = worker.getLoad().getTaken();
+        Resources taken = worker.getLoad().getReserved();
         List<TaskEntry> back = new ArrayList<>();
         for (TaskEntry task : worker.listTasks()) {
             boolean over = !taken.fitsIn(room);
             if (over && !task.isListed() && task.beginMove()) {
-                taken = taken.minus(task.getStep().room());
+                taken = taken.minus(task.getStep().requiredCapacity());
                 back.add(task);
             }
         }
         if (!back.isEmpty()) {
             LOG.info("taken-back")
-                    .with("worker", worker.getLife())
+                    .with("worker", worker.getIncarnation())
                     .with("runs", back.size())
                     .write();
             orders.stopAfterCommit(back);
--- a/src/main/java/org/standlink/cell/AttemptLimits.java
+++ b/src/main/java/org/standlink/cell/AttemptLimits.java
@@ -46,7 +46,7 @@
 
     @Override
     public int applyAsInt(JobEntry job) {
-        return configuration.get().getMostAttempts(job.getDefinition().queue());
+        return configuration.get().getMaxAttempts(job.getDefinition().queue());
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param board the jobs
      * @return the jobs that have become final, which are marked on the board
      */
-    List<JobEntry> judgeOnce(JobBoard board) {
+    List<JobEntry> applyOnce(JobRegistry board) {
         List<JobEntry> ended = new ArrayList<>();
         if (judged || !configuration.get().isRead()) {
             return ended;
@@ -64,7 +64,7 @@
         judged = true;
         for (JobEntry job : board.getJobs()) {
             boolean open = !job.getState().isFinal();
-            job.refresh(applyAsInt(job));
+            job.updateState(applyAsInt(job));
             if (open && job.getState().isFinal()) {
                 board.markChanged(job);
                 ended.add(job);
--- a/src/main/java/org/standlink/cell/CellTimes.java
+++ b/src/main/java/org/standlink/cell/CellTimes.java
@@ -22,9 +22,9 @@
  *
  * @param leaseMillis for how long a worker keeps its runs without word from the leader, in
  *     milliseconds; at most what the workers allow
- * @param statusMillis for how long the state of a final job is kept, in milliseconds
+ * @param statusRetentionMillis for how long the state of a final job is kept, in milliseconds
  */
-public record CellTimes(long leaseMillis, long statusMillis) {
+public record CellTimes(long leaseMillis, long statusRetentionMillis) {
 
     /**
      * For how long a leader grants leases after the store took its last append, in milliseconds.
@@ -37,13 +37,13 @@
      * The longest lease, in milliseconds: an agent whose machine lost power for 3.5 s is back
      * within 5.5 s. A longer one would only keep the work of lost workers waiting.
      */
-    public static final long LONGEST_LEASE_MILLIS = 6000;
+    public static final long MAX_LEASE_MILLIS = 6000;
 
     /**
      * What is added to every wait for somebody else's clock, in milliseconds: 2% of a lease of ten
      * seconds, and the time a worker takes to kill.
      */
-    public static final long MARGIN_MILLIS = 400;
+    public static final long SAFETY_MARGIN_MILLIS = 400;
 
     /**
      * Gets for how long runs may go on that were ordered by a leader that is gone, on workers that
@@ -52,6 +52,6 @@
      * @return the time since that leader was fenced, in milliseconds
      */
     public long waitAfterFenceMillis() {
-        return AUTHORITY_MILLIS + leaseMillis + MARGIN_MILLIS;
+        return AUTHORITY_MILLIS + leaseMillis + SAFETY_MARGIN_MILLIS;
     }
 }
--- a/src/main/java/org/standlink/cell/ChangeSource.java
+++ b/src/main/java/org/standlink/cell/ChangeSource.java
@@ -29,12 +29,13 @@
     boolean hasChanges();
 
     /**
-     * Takes the records of all that has changed; {@link #kept()} must come before the next time.
+     * Takes the records of all that has changed; {@link #markPersisted()} must come before the next
+     * time.
      *
      * @return the records
      */
     List<KeyedRecord> takeChanges();
 
     /** Takes note that the records taken last have been kept. */
-    void kept();
+    void markPersisted();
 }
--- a/src/main/java/org/standlink/cell/CommitQueue.java
+++ b/src/main/java/org/standlink/cell/CommitQueue.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.TimeUnit;
 import org.standlink.Epoch;
 import org.standlink.ErrorCode;
-import org.standlink.cell.StoreContact.Moment;
+import org.standlink.cell.LeaderAuthority.ClockReading;
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.process.WorkFailures;
@@ -52,7 +52,7 @@
     static final long HEARTBEAT_MILLIS = 250;
 
     /** How long an append may take before new work is refused, in milliseconds. */
-    static final long STALLED_MILLIS = 700;
+    static final long STALL_TIMEOUT_MILLIS = 700;
 
     /** The pause before an append that was refused is repeated, in milliseconds. */
     private static final long PAUSE_MILLIS = 100;
@@ -62,7 +62,7 @@
      * 10, and a call whose answer is lost is only given up after 1,000. It is also how soon a store
      * that was silent is found again; leases that end before that cost the work of their runs.
      */
-    static final long AGAIN_MILLIS = 100;
+    static final long RETRY_INTERVAL_MILLIS = 100;
 
     /** The same as a multiple of what the last append took, in case the store is slow. */
     private static final long AGAIN_FACTOR = 4;
@@ -71,7 +71,7 @@
      * How many calls for one append may be under way at once: as many as fit at that pace into the
      * time after which a call is given up, so that one goes out at every step of a long silence.
      */
-    static final int MOST_CALLS = 10;
+    static final int MAX_CONCURRENT_CALLS = 10;
 
     /** The key of the record that only says that the leader lives. */
     private static final String HEARTBEAT_KEY = "heartbeat";
@@ -89,7 +89,7 @@
     private final List<ChangeSource> sources;
 
     /** Tells the time, and how long the store has been silent. */
-    private final StoreContact contact;
+    private final LeaderAuthority contact;
 
     /** The leader's loop. */
     private final Executor loop;
@@ -110,7 +110,7 @@
     private long end;
 
     /** When the append under way was begun; null if there is none. */
-    private Moment begun;
+    private ClockReading begun;
 
     /** When the last call was made, on the steady clock, in milliseconds. */
     private long calledAt;
@@ -139,7 +139,7 @@
             KeyedStore store,
             Epoch epoch,
             List<ChangeSource> sources,
-            StoreContact contact,
+            LeaderAuthority contact,
             Executor loop,
             ScheduledExecutorService timers,
             Runnable whenFenced) {
@@ -157,7 +157,7 @@
      *
      * @param offset the end up to which it was read
      */
-    void startAt(long offset) {
+    void setTopicEnd(long offset) {
         end = offset;
     }
 
@@ -174,7 +174,7 @@
      * Begins an append if there is something to keep and none is under way. Whatever is thrown
      * meanwhile closes this queue, as the changes that were taken by then are lost.
      */
-    void pump() {
+    void startAppend() {
         orClose(this::begin);
     }
 
@@ -182,7 +182,7 @@
         if (closed || begun != null) {
             return;
         }
-        boolean beat = contact.getSilentMillis() >= HEARTBEAT_MILLIS;
+        boolean beat = contact.getMillisSinceConfirmed() >= HEARTBEAT_MILLIS;
         if (sources.stream().noneMatch(ChangeSource::hasChanges) && !beat) {
             runEffects(takeWaiting());
             return;
@@ -203,8 +203,8 @@
      *
      * @return the time since it was sent, in milliseconds
      */
-    long getSilentMillis() {
-        return contact.getSilentMillis();
+    long getMillisSinceAppend() {
+        return contact.getMillisSinceConfirmed();
     }
 
     /**
@@ -213,7 +213,8 @@
      * @return true if the append under way takes too long
      */
     boolean isStalled() {
-        return begun != null && contact.now().steady() - begun.steady() > STALLED_MILLIS;
+        return begun != null
+                && contact.now().monotonicMillis() - begun.monotonicMillis() > STALL_TIMEOUT_MILLIS;
     }
 
     /** Ends this queue; effects that wait never happen. */
@@ -234,25 +235,26 @@
      * brings no older state back, whatever the store looks at then.
      */
     private void send(PendingAppend append) {
-        if (closed || append.isDone()) {
+        if (closed || append.isAccepted()) {
             return;
         }
-        append.called();
-        Moment sent = contact.now();
-        calledAt = sent.steady();
+        append.callStarted();
+        ClockReading sent = contact.now();
+        calledAt = sent.monotonicMillis();
         Guarded.thenIn(
                 store.append(Topic.CELL, append.getRecords(), new Writer(epoch, sequence, end)),
                 loop,
                 (to, failure) -> orClose(() -> answered(append, sent, failure)));
-        sendAgainLater(append, Math.max(AGAIN_MILLIS, AGAIN_FACTOR * tookMillis));
+        sendAgainLater(append, Math.max(RETRY_INTERVAL_MILLIS, AGAIN_FACTOR * tookMillis));
     }
 
     /** Lets one more call follow the last one, unless another one has by then. */
     private void sendAgainLater(PendingAppend append, long millis) {
-        int last = append.getLastCall();
+        int last = append.getLastCallNumber();
         later(
                 () -> {
-                    if (append.getLastCall() == last && append.getCalls() < MOST_CALLS) {
+                    if (append.getLastCallNumber() == last
+                            && append.getCallsInFlight() < MAX_CONCURRENT_CALLS) {
                         send(append);
                     }
                 },
@@ -263,20 +265,20 @@
         timers.schedule(() -> loop.execute(() -> orClose(work)), millis, TimeUnit.MILLISECONDS);
     }
 
-    private void answered(PendingAppend append, Moment sent, Throwable failure) {
-        append.callOver();
-        if (append.isDone() || closed) {
+    private void answered(PendingAppend append, ClockReading sent, Throwable failure) {
+        append.callFinished();
+        if (append.isAccepted() || closed) {
             return;
         }
         if (failure == null) {
-            tookMillis = contact.now().steady() - sent.steady();
+            tookMillis = contact.now().monotonicMillis() - sent.monotonicMillis();
         }
-        boolean repeated = append.getLastCall() > 1;
+        boolean repeated = append.getLastCallNumber() > 1;
         if (failure == null && !repeated) {
             taken(append, sent);
         } else if (repeated
                 && (failure == null
-                        || StoreFailures.codeOf(failure) == ErrorCode.CONDITION_FAILED)) {
+                        || StoreFailureClassifier.codeOf(failure) == ErrorCode.CONDITION_FAILED)) {
             // Only a number that is answered shows that no newer leader had begun by then.
             confirm(append, failure == null ? sent : begun);
         } else {
@@ -289,9 +291,9 @@
      * the store has seen, before what came under it is done, or that the topic has moved on. Costs
      * one read for each append whose answer takes longer than the others.
      */
-    private void confirm(PendingAppend append, Moment since) {
-        if (!append.isConfirming()) {
-            append.setConfirming(true);
+    private void confirm(PendingAppend append, ClockReading since) {
+        if (!append.isReadingBack()) {
+            append.setReadingBack(true);
             Guarded.thenIn(
                     store.read(Topic.CELL, end, 0),
                     loop,
@@ -299,42 +301,43 @@
         }
     }
 
-    private void confirmed(PendingAppend append, Moment since, ReadResult read, Throwable failure) {
-        append.setConfirming(false);
-        if (append.isDone() || closed) {
+    private void confirmed(
+            PendingAppend append, ClockReading since, ReadResult read, Throwable failure) {
+        append.setReadingBack(false);
+        if (append.isAccepted() || closed) {
             return;
         }
-        StoreFailures.throwDefect(failure);
-        if (StoreFailures.codeOf(failure) == ErrorCode.LOG_GAP) {
+        StoreFailureClassifier.rethrowDefect(failure);
+        if (StoreFailureClassifier.codeOf(failure) == ErrorCode.LOG_GAP) {
             // What became of it cannot be read any more; the next leader reads the state anew.
             end(WorkFailures.causeOf(failure));
         } else if (read == null || read.records().isEmpty()) {
             later(() -> confirmAgain(append, since), PAUSE_MILLIS);
-        } else if (append.isIn(read.records())) {
+        } else if (append.matches(read.records())) {
             taken(append, since);
         } else {
             end("another leader has written");
         }
     }
 
-    private void confirmAgain(PendingAppend append, Moment since) {
-        if (!append.isDone() && !closed) {
+    private void confirmAgain(PendingAppend append, ClockReading since) {
+        if (!append.isAccepted() && !closed) {
             confirm(append, since);
         }
     }
 
-    private void taken(PendingAppend append, Moment sent) {
-        append.taken();
+    private void taken(PendingAppend append, ClockReading sent) {
+        append.markAccepted();
         end += append.getRecords().size();
         if (failing) {
             failing = false;
-            LOG.info("store-regained").with("after", contact.getSilentMillis()).write();
+            LOG.info("store-regained").with("after", contact.getMillisSinceConfirmed()).write();
         }
-        contact.taken(sent);
+        contact.appendAccepted(sent);
         begun = null;
-        sources.forEach(ChangeSource::kept);
-        runEffects(append.getEffects());
-        pump();
+        sources.forEach(ChangeSource::markPersisted);
+        runEffects(append.getCallbacks());
+        startAppend();
     }
 
     private void runEffects(List<Runnable> effects) {
@@ -365,9 +368,9 @@
     }
 
     private void failed(PendingAppend append, Throwable failure) {
-        StoreFailures.throwDefect(failure);
+        StoreFailureClassifier.rethrowDefect(failure);
         Throwable cause = WorkFailures.causeOf(failure);
-        ErrorCode code = StoreFailures.codeOf(failure);
+        ErrorCode code = StoreFailureClassifier.codeOf(failure);
         boolean overtaken =
                 code == ErrorCode.EPOCH_FENCED
                         || code == ErrorCode.INTERNAL
@@ -380,13 +383,13 @@
             failing = true;
             LOG.warning("store-lost").with("sequence", sequence).with("cause", cause).write();
         }
-        if (append.getCalls() == 0) {
+        if (append.getCallsInFlight() == 0) {
             sendAgainLater(append, PAUSE_MILLIS);
-        } else if (append.getCalls() == MOST_CALLS - 1) {
+        } else if (append.getCallsInFlight() == MAX_CONCURRENT_CALLS - 1) {
             // All that may be were under way, so none was to follow the last one. At a pace: a
             // store that refuses answers at once, and each answer leads here again.
-            long since = contact.now().steady() - calledAt;
-            sendAgainLater(append, Math.max(0, AGAIN_MILLIS - since));
+            long since = contact.now().monotonicMillis() - calledAt;
+            sendAgainLater(append, Math.max(0, RETRY_INTERVAL_MILLIS - since));
         }
     }
 }
--- a/src/main/java/org/standlink/cell/CrashDesk.java
+++ b/src/main/java/org/standlink/cell/CrashDetector.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.EventLog;
 
@@ -34,9 +34,9 @@
  * is not known yet whether the worker crashed; its runs are remembered until it is heard again, or
  * another life answers at its address.
  *
- * <p>{@code CrashDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code CrashDetector} is not thread-safe; the leader's loop owns it.
  */
-final class CrashDesk {
+final class CrashDetector {
 
     /**
      * How likely it is that a worker crashes of its own accord while a run is new there, for each
@@ -67,10 +67,10 @@
     private static final int MOST_UNEXPLAINED = 50;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(CrashDesk.class);
+    private static final EventLog LOG = EventLog.of(CrashDetector.class);
 
     /** The runs that were given up with their worker's lease, by the life of the worker. */
-    private final Map<WorkerLife, Silence> silent = new LinkedHashMap<>();
+    private final Map<WorkerIncarnation, Silence> silent = new LinkedHashMap<>();
 
     /** The crashes that no task explains yet, the oldest first. */
     private final Deque<Crash> unexplained = new ArrayDeque<>();
@@ -82,7 +82,7 @@
     private record Crash(long at, List<TaskEntry> tasks) {
 
         boolean isUnclear() {
-            return tasks.stream().noneMatch(task -> task.getTrial().getCrashes().isLikely());
+            return tasks.stream().noneMatch(task -> task.getTrial().getCrashes().isLikelyCause());
         }
     }
 
@@ -100,7 +100,7 @@
      *
      * @param clock the clock
      */
-    CrashDesk(MonotonicClock clock) {
+    CrashDetector(MonotonicClock clock) {
         this.clock = clock;
     }
 
@@ -110,8 +110,8 @@
      * @param worker the worker; one that said that it leaves has not crashed
      * @return the tasks of which something else is believed now
      */
-    List<TaskEntry> crashed(WorkerEntry worker) {
-        Silence earlier = remove(worker.getLife());
+    List<TaskEntry> recordCrash(WorkerEntry worker) {
+        Silence earlier = remove(worker.getIncarnation());
         boolean leaves = worker.getDescription() != null && worker.getDescription().draining();
         if (leaves) {
             return List.of();
@@ -121,7 +121,7 @@
             all.begun().addAll(earlier.begun());
             all.proven().addAll(earlier.proven());
         }
-        return count(worker.getLife(), all);
+        return count(worker.getIncarnation(), all);
     }
 
     /**
@@ -129,15 +129,15 @@
      *
      * @param worker the worker
      */
-    void silent(WorkerEntry worker) {
+    void recordLeaseExpiry(WorkerEntry worker) {
         Silence begins = silence(worker, clock.nowMillis());
-        if (silent.putIfAbsent(worker.getLife(), begins) == null) {
-            begins.begun().forEach(task -> task.getTrial().countUnclear(1));
+        if (silent.putIfAbsent(worker.getIncarnation(), begins) == null) {
+            begins.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(1));
         }
     }
 
     /** Forgets silent workers that have not come back. */
-    void forgetOld() {
+    void removeExpired() {
         long now = clock.nowMillis();
         List.copyOf(silent.keySet()).stream()
                 .filter(id -> now - silent.get(id).since() > REMEMBERED_MILLIS)
@@ -151,17 +151,17 @@
      * @param worker the worker
      * @return the tasks of which something else is believed now
      */
-    List<TaskEntry> answers(WorkerEntry worker) {
+    List<TaskEntry> recordContact(WorkerEntry worker) {
         if (silent.isEmpty()) {
             return List.of();
         }
-        remove(worker.getLife());
-        List<WorkerLife> before =
+        remove(worker.getIncarnation());
+        List<WorkerIncarnation> before =
                 silent.entrySet().stream()
                         .filter(one -> one.getValue().isAt(worker.getAddress()))
                         .map(Map.Entry::getKey)
                         .toList();
-        return before.stream().flatMap(id -> over(id).stream()).toList();
+        return before.stream().flatMap(id -> recordEnd(id).stream()).toList();
     }
 
     /**
@@ -170,7 +170,7 @@
      * @param id the life of the worker
      * @return the tasks of which something else is believed now
      */
-    List<TaskEntry> over(WorkerLife id) {
+    List<TaskEntry> recordEnd(WorkerIncarnation id) {
         Silence known = remove(id);
         return known == null ? List.of() : count(id, known);
     }
@@ -185,13 +185,15 @@
                         .filter(crash -> !crash.tasks().contains(task))
                         .filter(Crash::isUnclear)
                         .count();
-        return OF_ITSELF * (1 + others) * (task.getTrial().isSeenAtWork() ? LISTED_FACTOR : 1);
+        return OF_ITSELF
+                * (1 + others)
+                * (task.getTrial().wasReportedRunning() ? LISTED_FACTOR : 1);
     }
 
-    private Silence remove(WorkerLife id) {
+    private Silence remove(WorkerIncarnation id) {
         Silence known = silent.remove(id);
         if (known != null) {
-            known.begun().forEach(task -> task.getTrial().countUnclear(-1));
+            known.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(-1));
         }
         return known;
     }
@@ -206,7 +208,7 @@
     }
 
     /** Counts a crash, and divides the suspicion among all that had just begun. */
-    private List<TaskEntry> count(WorkerLife worker, Silence lost) {
+    private List<TaskEntry> count(WorkerIncarnation worker, Silence lost) {
         // Some of a crash that is told late have shown elsewhere that they crash no worker.
         List<TaskEntry> begun =
                 lost.begun().stream().filter(task -> !task.getTrial().isProven()).toList();
@@ -220,7 +222,7 @@
         for (TaskEntry task : begun) {
             CrashHistory before = task.getTrial().getCrashes();
             double likelihood = before.getWeight() / (all + ofItself(task));
-            task.getTrial().setCrashes(before.withCrash(likelihood));
+            task.getTrial().setCrashes(before.withStartupCrash(likelihood));
             counted.add(task);
         }
         if (!counted.isEmpty()) {
@@ -229,7 +231,7 @@
         }
         Set<TaskEntry> changed = new LinkedHashSet<>(counted);
         counted.stream()
-                .filter(task -> task.getTrial().getCrashes().isGivenUp())
+                .filter(task -> task.getTrial().getCrashes().isFailedPermanently())
                 .forEach(task -> changed.addAll(explain(task)));
         return List.copyOf(changed);
     }
@@ -248,7 +250,12 @@
             if (crash.tasks().contains(cause)) {
                 unexplained.remove(crash);
                 crash.tasks().stream()
-                        .filter(task -> task != cause && !task.getTrial().getCrashes().isGivenUp())
+                        .filter(
+                                task ->
+                                        task != cause
+                                                && !task.getTrial()
+                                                        .getCrashes()
+                                                        .isFailedPermanently())
                         .forEach(
                                 task -> {
                                     task.getTrial()
@@ -263,7 +270,7 @@
         return cleared;
     }
 
-    private static void tell(WorkerLife worker, int begun, List<TaskEntry> counted) {
+    private static void tell(WorkerIncarnation worker, int begun, List<TaskEntry> counted) {
         LOG.info("worker-crashed")
                 .with("worker", worker)
                 .with("begun", begun)
@@ -271,12 +278,12 @@
                 .write();
         for (TaskEntry task : counted) {
             CrashHistory crashes = task.getTrial().getCrashes();
-            if (crashes.isGivenUp() || crashes.isToBeApart()) {
-                LOG.info(crashes.isGivenUp() ? "given-up" : "suspected")
+            if (crashes.isFailedPermanently() || crashes.requiresIsolation()) {
+                LOG.info(crashes.isFailedPermanently() ? "given-up" : "suspected")
                         .with("task", task.getName())
-                        .with("crashes", crashes.getCrashes())
+                        .with("crashes", crashes.getStartupCrashes())
                         .with("late", crashes.getLateCrashes())
-                        .with("per-mille", crashes.getPerMille())
+                        .with("per-mille", crashes.getSuspicionPerMille())
                         .write();
             }
         }
--- a/src/main/java/org/standlink/cell/CrashHistory.java
+++ b/src/main/java/org/standlink/cell/CrashHistory.java
@@ -116,7 +116,7 @@
      * @param likelihood how likely it is that the task crashes its workers, 0 to 1
      * @return the history
      */
-    CrashHistory withCrash(double likelihood) {
+    CrashHistory withStartupCrash(double likelihood) {
         return new CrashHistory(crashes + 1, lateCrashes, clip(likelihood));
     }
 
@@ -136,7 +136,7 @@
      *
      * @return the history, with late crashes only
      */
-    CrashHistory proven() {
+    CrashHistory withProvenStart() {
         return crashes == 0 && suspicion == 0 ? this : new CrashHistory(0, lateCrashes, 0);
     }
 
@@ -146,7 +146,7 @@
      *
      * @return the number
      */
-    int getCrashes() {
+    int getStartupCrashes() {
         return crashes;
     }
 
@@ -164,7 +164,7 @@
      *
      * @return the suspicion, in thousandths
      */
-    int getPerMille() {
+    int getSuspicionPerMille() {
         return (int) Math.round(suspicion * PER_MILLE);
     }
 
@@ -182,7 +182,7 @@
      *
      * @return true if so
      */
-    boolean isSuspect() {
+    boolean isSuspected() {
         return suspicion > USUAL;
     }
 
@@ -191,8 +191,8 @@
      *
      * @return true if so
      */
-    boolean isToBeApart() {
-        return isLikely() || crashes >= FEWEST_CRASHES;
+    boolean requiresIsolation() {
+        return isLikelyCause() || crashes >= FEWEST_CRASHES;
     }
 
     /**
@@ -200,7 +200,7 @@
      *
      * @return true if one or two more crashes give the task up
      */
-    boolean isToWaitForCertainty() {
+    boolean requiresKnownOutcome() {
         return crashes >= FEWEST_CRASHES;
     }
 
@@ -209,8 +209,8 @@
      *
      * @return true if several workers have crashed under it
      */
-    boolean isToWait() {
-        return isToBeApart() && crashes >= FEWEST_CRASHES - 1;
+    boolean mustWaitForIsolation() {
+        return requiresIsolation() && crashes >= FEWEST_CRASHES - 1;
     }
 
     /**
@@ -218,7 +218,7 @@
      *
      * @return true if it is suspected that much
      */
-    boolean isLikely() {
+    boolean isLikelyCause() {
         return suspicion >= APART;
     }
 
@@ -227,7 +227,7 @@
      *
      * @return true if it is taken to crash each worker that starts it
      */
-    boolean isGivenUp() {
+    boolean isFailedPermanently() {
         boolean convinced = crashes >= FEWEST_CRASHES && suspicion >= CONVINCED;
         return convinced || crashes >= MOST_CRASHES || lateCrashes >= MOST_CRASHES;
     }
@@ -248,6 +248,11 @@
 
     @Override
     public String toString() {
-        return crashes + " crashes, " + lateCrashes + " late, " + getPerMille() + " per mille";
+        return crashes
+                + " crashes, "
+                + lateCrashes
+                + " late, "
+                + getSuspicionPerMille()
+                + " per mille";
     }
 }
--- a/src/main/java/org/standlink/cell/CrashRisk.java
+++ b/src/main/java/org/standlink/cell/CrashIsolation.java
@@ -21,7 +21,7 @@
  * Keeps tasks apart that may crash their workers, so that the next crash tells which one does, and
  * takes little else with it.
  */
-final class CrashRisk {
+final class CrashIsolation {
 
     /**
      * What each other task on trial costs a place, in thousandths of a core: nearly the room of a
@@ -33,7 +33,7 @@
     private static final long STAKE_PENALTY = 2000;
 
     /** No instances. */
-    private CrashRisk() {}
+    private CrashIsolation() {}
 
     /**
      * Checks whether a task may begin beside what has just begun on a worker.
@@ -42,8 +42,8 @@
      * @param worker the worker
      * @return false if the task, or one there, is to be tried apart
      */
-    static boolean isBearable(TaskEntry task, WorkerEntry worker) {
-        return isBearable(task, worker, CrashHistory::isToBeApart);
+    static boolean isStartAllowed(TaskEntry task, WorkerEntry worker) {
+        return isStartAllowed(task, worker, CrashHistory::requiresIsolation);
     }
 
     /**
@@ -53,11 +53,11 @@
      * @param worker the worker
      * @return false if the task, or one there, is to be tried apart and to wait for that
      */
-    static boolean isBearableAfterWaiting(TaskEntry task, WorkerEntry worker) {
-        return isBearable(task, worker, CrashHistory::isToWait);
+    static boolean isStartAllowedAfterWaiting(TaskEntry task, WorkerEntry worker) {
+        return isStartAllowed(task, worker, CrashHistory::mustWaitForIsolation);
     }
 
-    private static boolean isBearable(
+    private static boolean isStartAllowed(
             TaskEntry task, WorkerEntry worker, Predicate<CrashHistory> isApart) {
         boolean apart = isApart.test(task.getTrial().getCrashes());
         for (TaskEntry other : worker.listTasks()) {
@@ -81,7 +81,7 @@
         for (TaskEntry other : worker.listTasks()) {
             onTrial += other.getTrial().isOnTrial() ? 1 : 0;
         }
-        boolean apart = task.getTrial().getCrashes().isToBeApart();
+        boolean apart = task.getTrial().getCrashes().requiresIsolation();
         long stake = apart ? worker.listTasks().size() * STAKE_PENALTY : 0;
         return onTrial * TRIAL_PENALTY + stake;
     }
--- a/src/main/java/org/standlink/cell/SettledJob.java
+++ b/src/main/java/org/standlink/cell/FinishedJobRecord.java
@@ -26,7 +26,7 @@
  *
  * <p>It is written as an array, so new parts may only be added at its end.
  *
- * <p>{@code SettledJob} is thread-safe and immutable.
+ * <p>{@code FinishedJobRecord} is thread-safe and immutable.
  *
  * @param order the place in the order of acceptance
  * @param state the state
@@ -34,7 +34,7 @@
  * @param acceptedWallMillis when the job was accepted, in milliseconds since 1970
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-record SettledJob(long order, JobState state, String queue, long acceptedWallMillis) {
+record FinishedJobRecord(long order, JobState state, String queue, long acceptedWallMillis) {
 
     /**
      * Makes what is kept of a job.
@@ -43,8 +43,9 @@
      * @param record what was kept of it so far
      * @return the rest
      */
-    static SettledJob of(String queue, JobRecord record) {
-        return new SettledJob(record.order(), record.state(), queue, record.acceptedWallMillis());
+    static FinishedJobRecord of(String queue, JobRecord record) {
+        return new FinishedJobRecord(
+                record.order(), record.state(), queue, record.acceptedWallMillis());
     }
 
     /**
--- a/src/main/java/org/standlink/cell/FigureDesk.java
+++ b/src/main/java/org/standlink/cell/InterferenceLearner.java
@@ -22,27 +22,27 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.StepDefinition;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.MessageChannel;
 
 /**
  * Learns from the figures of workers which images harm which, and tells agents what is believed.
  *
- * <p>{@code FigureDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code InterferenceLearner} is not thread-safe; the leader's loop owns it.
  */
-final class FigureDesk {
+final class InterferenceLearner {
 
     /** The time that a worker's figures cover, in milliseconds. */
     private static final long SAMPLE_MILLIS = 450;
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The clock. */
     private final MonotonicClock clock;
 
     /** What is believed of images. */
-    private final HarmTable harm;
+    private final InterferenceTable harm;
 
     /** Up to which change of it each agent has been told. */
     private final Map<MessageChannel, Long> told = new WeakHashMap<>();
@@ -54,7 +54,7 @@
      * @param clock the clock
      * @param harm what is believed of images
      */
-    FigureDesk(JobBoard board, MonotonicClock clock, HarmTable harm) {
+    InterferenceLearner(JobRegistry board, MonotonicClock clock, InterferenceTable harm) {
         this.board = board;
         this.clock = clock;
         this.harm = harm;
@@ -67,7 +67,7 @@
      * @param running what runs there
      */
     void learn(WorkerEntry worker, List<RunProgress> running) {
-        if (!worker.getFigures().beginSample(clock.nowMillis(), SAMPLE_MILLIS)) {
+        if (!worker.getMetrics().beginSample(clock.nowMillis(), SAMPLE_MILLIS)) {
             return;
         }
         Map<String, Double> tails = new HashMap<>();
@@ -79,13 +79,13 @@
             }
             StepDefinition step = task.getStep();
             if (step.targetMillis() > 0) {
-                tails.merge(step.image(), progress.figure() / step.targetMillis(), Math::max);
+                tails.merge(step.image(), progress.measurement() / step.targetMillis(), Math::max);
             } else if (step.bestEffort()) {
-                used.merge(step.image(), progress.figure(), Long::sum);
+                used.merge(step.image(), progress.measurement(), Long::sum);
             }
         }
-        worker.getFigures()
-                .setWorstTail(
+        worker.getMetrics()
+                .setMaxTailRatio(
                         tails.values().stream().mapToDouble(Double::doubleValue).max().orElse(0));
         tails.forEach((image, ratio) -> harm.observe(image, ratio, used));
     }
@@ -96,7 +96,7 @@
      * @param agent the connection to the agent
      * @return the beliefs, empty if they have not changed
      */
-    List<HarmTable.Entry> harmFor(MessageChannel agent) {
+    List<InterferenceTable.Entry> listIfChanged(MessageChannel agent) {
         long version = harm.getVersion();
         Long before = told.put(agent, version);
         return before != null && before == version ? List.of() : harm.list();
--- a/src/main/java/org/standlink/cell/BeliefKeeper.java
+++ b/src/main/java/org/standlink/cell/InterferencePersistence.java
@@ -18,7 +18,7 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 import java.util.List;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.Packing;
@@ -27,9 +27,9 @@
  * Keeps what has been learned of images in the store, so that a new leader need not harm serving
  * runs to learn it again. It causes no append of its own: it goes along with others.
  *
- * <p>{@code BeliefKeeper} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code InterferencePersistence} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class BeliefKeeper implements ChangeSource {
+final class InterferencePersistence implements ChangeSource {
 
     /** The key of the beliefs. */
     static final String KEY = "beliefs";
@@ -41,16 +41,16 @@
     private static final long PAUSE_MILLIS = 4000;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(BeliefKeeper.class);
+    private static final EventLog LOG = EventLog.of(InterferencePersistence.class);
 
     /** The beliefs. */
-    private final HarmTable harm;
+    private final InterferenceTable harm;
 
     /** The clock. */
     private final MonotonicClock clock;
 
     /** What was kept last. */
-    private List<HarmTable.Entry> recorded = List.of();
+    private List<InterferenceTable.Entry> recorded = List.of();
 
     /** When it was kept. */
     private long recordedAt;
@@ -58,10 +58,10 @@
     /**
      * What is kept.
      *
-     * @param beliefs the beliefs
+     * @param estimates the beliefs
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    record BeliefRecord(List<HarmTable.Entry> beliefs) {}
+    record InterferenceRecord(List<InterferenceTable.Entry> estimates) {}
 
     /**
      * Constructor.
@@ -69,7 +69,7 @@
      * @param harm the beliefs
      * @param clock the clock
      */
-    BeliefKeeper(HarmTable harm, MonotonicClock clock) {
+    InterferencePersistence(InterferenceTable harm, MonotonicClock clock) {
         this.harm = harm;
         this.clock = clock;
         this.recordedAt = clock.nowMillis();
@@ -83,8 +83,8 @@
     void restore(List<KeyedRecord> records) {
         for (KeyedRecord record : records) {
             if (record.key().equals(KEY) && record.value().length > 0) {
-                recorded = Packing.unpack(record.value(), BeliefRecord.class).beliefs();
-                harm.tell(recorded);
+                recorded = Packing.unpack(record.value(), InterferenceRecord.class).estimates();
+                harm.putAll(recorded);
                 LOG.info("beliefs-read").with("pairs", recorded.size()).write();
             }
         }
@@ -101,16 +101,16 @@
             return List.of();
         }
         recordedAt = clock.nowMillis();
-        List<HarmTable.Entry> present = harm.list();
+        List<InterferenceTable.Entry> present = harm.list();
         if (present.equals(recorded)) {
             return List.of();
         }
         recorded = present;
-        return List.of(new KeyedRecord(KEY, Packing.pack(new BeliefRecord(present))));
+        return List.of(new KeyedRecord(KEY, Packing.pack(new InterferenceRecord(present))));
     }
 
     @Override
-    public void kept() {
+    public void markPersisted() {
         // Nothing waits for beliefs.
     }
 }
--- a/src/main/java/org/standlink/cell/CellLeader.java
+++ b/src/main/java/org/standlink/cell/JobCellLeader.java
@@ -26,7 +26,7 @@
 import org.standlink.job.Configuration;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.process.WorkFailures;
 import org.standlink.store.KeyedStore;
@@ -45,9 +45,9 @@
  * <p>It first raises the writer's epoch in the store, so that nothing of an older leader can be
  * kept any more, and then reads the state, which is complete.
  *
- * <p>{@code CellLeader} is thread-safe: every call is handed to the loop.
+ * <p>{@code BundleCellLeader} is thread-safe: every call is handed to the loop.
  */
-public final class CellLeader implements AutoCloseable {
+public final class JobCellLeader implements AutoCloseable {
 
     /** The time between two looks at leases and at jobs that have become due, in milliseconds. */
     private static final long TICK_MILLIS = 100;
@@ -62,7 +62,7 @@
     private static final long PAUSE_MILLIS = 150;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(CellLeader.class);
+    private static final EventLog LOG = EventLog.of(JobCellLeader.class);
 
     /** The epoch. */
     private final Epoch epoch;
@@ -89,16 +89,16 @@
     private final LeaderLoop loop;
 
     /** Is told when this leader leads no more. */
-    private final LeaderEnd whenOver;
+    private final LeaderEndListener whenOver;
 
     /** The jobs. */
-    private final JobBoard board = new JobBoard();
+    private final JobRegistry board = new JobRegistry();
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Keeps what is believed of images. */
-    private final BeliefKeeper beliefs;
+    private final InterferencePersistence beliefs;
 
     /** Assigns tasks. */
     private final Scheduler scheduler;
@@ -107,22 +107,22 @@
     private final CommitQueue commits;
 
     /** Tells agents what to do. */
-    private final OrderDesk orders;
+    private final OrderDispatcher orders;
 
     /** Moves throttled runs. */
-    private final MoveDesk moves;
+    private final MovePlanner moves;
 
     /** The agents. */
-    private final AgentBoard agents;
+    private final AgentRegistry agents;
 
     /** Grants leases. */
-    private final LeaseDesk leases;
+    private final LeaseGranter leases;
 
     /** Handles reports of agents. */
-    private final ReportDesk reports;
+    private final AgentReportHandler reports;
 
     /** Answers callers. */
-    private final CallerDesk callers;
+    private final JobRequestHandler callers;
 
     /** Whether the state has been read. */
     private boolean active;
@@ -149,7 +149,7 @@
      * @param loop the loop, of one thread
      * @param whenOver is told when this leader leads no more
      */
-    public CellLeader(
+    public JobCellLeader(
             Epoch epoch,
             KeyedStore store,
             CellTimes times,
@@ -158,7 +158,7 @@
             Supplier<Configuration> configuration,
             Supplier<EvacuatedHalls> evacuated,
             ScheduledExecutorService loop,
-            LeaderEnd whenOver) {
+            LeaderEndListener whenOver) {
         this.epoch = epoch;
         this.store = store;
         this.times = times;
@@ -166,32 +166,34 @@
         this.wallClock = wallClock;
         this.configuration = configuration;
         this.attempts = new AttemptLimits(configuration);
-        this.workers = new WorkerBoard(evacuated);
+        this.workers = new WorkerRegistry(evacuated);
         this.loop = new LeaderLoop(loop, this::fail);
         this.whenOver = whenOver;
-        HarmTable harm = new HarmTable();
-        Placement placement = new LeastAskedPlacement(harm);
+        InterferenceTable harm = new InterferenceTable();
+        Placement placement = new LeastRequestedPlacement(harm);
         this.scheduler = new Scheduler(board, workers, placement);
-        this.beliefs = new BeliefKeeper(harm, clock);
+        this.beliefs = new InterferencePersistence(harm, clock);
         this.commits =
                 new CommitQueue(
                         store,
                         epoch,
                         List.of(board, workers, beliefs),
-                        new StoreContact(clock, wallClock),
+                        new LeaderAuthority(clock, wallClock),
                         this.loop,
                         loop,
                         this::depose);
-        this.orders = new OrderDesk(epoch, board, workers, commits);
-        MoveCost moveCost = new MoveCost();
-        this.moves = new MoveDesk(workers, placement, orders, commits, moveCost);
+        this.orders = new OrderDispatcher(epoch, board, workers, commits);
+        MoveCostEstimator moveCost = new MoveCostEstimator();
+        this.moves = new MovePlanner(workers, placement, orders, commits, moveCost);
         this.callers =
-                new CallerDesk(epoch, board, workers, commits, clock, wallClock, this::noteFinal);
-        this.agents = new AgentBoard(epoch, workers);
-        FigureDesk figures = new FigureDesk(board, clock, harm);
+                new JobRequestHandler(
+                        epoch, board, workers, commits, clock, wallClock, this::noteFinal);
+        this.agents = new AgentRegistry(epoch, workers);
+        InterferenceLearner figures = new InterferenceLearner(board, clock, harm);
         this.reports =
-                new ReportDesk(board, workers, agents, orders, attempts, clock, figures, moveCost);
-        this.leases = new LeaseDesk(epoch, commits, agents, reports, figures, times, clock);
+                new AgentReportHandler(
+                        board, workers, agents, orders, attempts, clock, figures, moveCost);
+        this.leases = new LeaseGranter(epoch, commits, agents, reports, figures, times, clock);
     }
 
     /** Begins to take over. */
@@ -230,7 +232,7 @@
         if (!closed) {
             LOG.info("deposed").with("epoch", epoch).write();
             stop();
-            whenOver.deposed();
+            whenOver.leaderDeposed();
         }
     }
 
@@ -239,13 +241,13 @@
         if (!closed) {
             LOG.error("leader-failed").with("epoch", epoch).write();
             stop();
-            whenOver.failed();
+            whenOver.leaderFailed();
         }
     }
 
     private void fence() {
         if (!closed) {
-            loop.then(
+            loop.onCompletion(
                     store.fence(Topic.CELL, epoch).thenCompose(end -> store.readNewest(Topic.CELL)),
                     this::load);
         }
@@ -263,17 +265,17 @@
                 return;
             }
             LOG.warning("take-over-failed").with("epoch", epoch).with("cause", cause).write();
-            loop.later(PAUSE_MILLIS, this::fence);
+            loop.schedule(PAUSE_MILLIS, this::fence);
             return;
         }
         long now = clock.nowMillis();
-        commits.startAt(state.next());
+        commits.setTopicEnd(state.next());
         board.restore(state.records());
         workers.restore(state.records(), now + times.waitAfterFenceMillis());
         beliefs.restore(state.records());
         for (JobEntry job : board.getJobs()) {
-            job.resume(now, wallClock.getAsLong());
-            if (job.isSettled()) {
+            job.restoreAcceptanceTime(now, wallClock.getAsLong());
+            if (job.isFinalAndReleased()) {
                 // An earlier leader told of it; hundreds of such lines would hold up a start.
                 job.setFinalAt(now);
             } else {
@@ -281,7 +283,7 @@
             }
             job.allTasks()
                     .filter(task -> task.getWorker() != null)
-                    .forEach(task -> workers.place(task, now + times.waitAfterFenceMillis()));
+                    .forEach(task -> workers.addTask(task, now + times.waitAfterFenceMillis()));
         }
         active = true;
         LOG.info("leading")
@@ -289,7 +291,7 @@
                 .with("jobs", board.getJobs().size())
                 .with("end", state.next())
                 .write();
-        ticks = loop.repeat(TICK_MILLIS, this::tick);
+        ticks = loop.scheduleRepeating(TICK_MILLIS, this::tick);
     }
 
     private void tick() {
@@ -297,9 +299,9 @@
             return;
         }
         expire();
-        callers.refuseIfStalled();
-        reports.stopStalled();
-        moves.move(clock.nowMillis());
+        callers.rejectUnsentIfStalled();
+        reports.stopStalledRuns();
+        moves.moveThrottledRuns(clock.nowMillis());
         decide();
     }
 
@@ -307,18 +309,18 @@
     private void expire() {
         long now = clock.nowMillis();
         for (WorkerEntry worker : List.copyOf(workers.getWorkers())) {
-            if (now > worker.getMayRunUntil() + CellTimes.MARGIN_MILLIS) {
-                reports.giveUp(worker, "lease-expired");
+            if (now > worker.getLeaseExpiryMillis() + CellTimes.SAFETY_MARGIN_MILLIS) {
+                reports.abandonRuns(worker, "lease-expired");
                 workers.remove(worker);
             }
         }
-        agents.forgetSilent(now);
-        board.forgetOld(now - times.statusMillis());
+        agents.removeUnresponsive(now);
+        board.removeExpired(now - times.statusRetentionMillis());
     }
 
     /** Assigns what can be assigned, and keeps what has changed. */
     private void decide() {
-        attempts.judgeOnce(board).forEach(this::noteFinal);
+        attempts.applyOnce(board).forEach(this::noteFinal);
         if (!commits.isStalled()) {
             List<TaskEntry> assigned =
                     scheduler.schedule(
@@ -326,17 +328,17 @@
             assigned.stream()
                     .map(task -> board.find(task.getName().job()))
                     .distinct()
-                    .forEach(job -> job.refresh(Integer.MAX_VALUE));
+                    .forEach(job -> job.updateState(Integer.MAX_VALUE));
             orders.startAfterCommit(assigned);
         }
-        commits.pump();
+        commits.startAppend();
     }
 
     /** Decides once for all messages that come within a few milliseconds. */
     private void decideSoon() {
         if (!deciding) {
             deciding = true;
-            loop.later(GATHER_MILLIS, this::decideNow);
+            loop.schedule(GATHER_MILLIS, this::decideNow);
         }
     }
 
@@ -373,9 +375,9 @@
             depose();
             return;
         }
-        AgentGrant grant = active ? leases.handle(connection, report) : leases.grantNothingYet();
+        AgentGrant grant = active ? leases.handle(connection, report) : leases.grantNoLease();
         if (grant != null) {
-            reports.takeTouched().forEach(this::noteFinal);
+            reports.takeChangedJobs().forEach(this::noteFinal);
             connection.answer(call, grant);
         }
     }
--- a/src/main/java/org/standlink/cell/JobEntry.java
+++ b/src/main/java/org/standlink/cell/JobEntry.java
@@ -76,7 +76,7 @@
     JobEntry(JobDefinition definition, long order) {
         this.definition = definition;
         this.order = order;
-        for (int repetition = 0; repetition < definition.times(); repetition++) {
+        for (int repetition = 0; repetition < definition.repetitionCount(); repetition++) {
             List<List<TaskEntry>> steps = new ArrayList<>();
             for (int step = 0; step < definition.steps().size(); step++) {
                 steps.add(newTasks(repetition, step));
@@ -118,7 +118,7 @@
      */
     JobRecord toRecord() {
         sentState = state;
-        List<TaskRecord> records = allTasks().map(TaskEntry::toRecord).toList();
+        List<SubmittedTaskRecord> records = allTasks().map(TaskEntry::toRecord).toList();
         return new JobRecord(order, state, records, acceptedWallMillis);
     }
 
@@ -127,15 +127,15 @@
      *
      * @param mostAttempts how many runs of a task may fail
      */
-    void refresh(int mostAttempts) {
+    void updateState(int mostAttempts) {
         if (state.isFinal()) {
             return;
         }
-        if (allTasks().anyMatch(task -> task.isSpent(mostAttempts))) {
+        if (allTasks().anyMatch(task -> task.hasFailedPermanently(mostAttempts))) {
             state = JobState.FAILED;
         } else if (allTasks().allMatch(TaskEntry::isDone)) {
             state = JobState.COMPLETED;
-        } else if (hasBegun()) {
+        } else if (hasStarted()) {
             state = JobState.RUNNING;
         }
     }
@@ -153,7 +153,7 @@
      * @param wallMillis the time of day, in milliseconds since 1970
      * @return the tasks
      */
-    List<TaskEntry> readyTasks(long wallMillis) {
+    List<TaskEntry> listReadyTasks(long wallMillis) {
         List<TaskEntry> ready = new ArrayList<>();
         if (state.isFinal()) {
             return ready;
@@ -173,7 +173,7 @@
      * @param unfinished whether only steps count that are not done
      * @return the length, in milliseconds
      */
-    long chainMillis(boolean unfinished) {
+    long criticalPathMillis(boolean unfinished) {
         List<List<TaskEntry>> first = tasks.get(0);
         long[] chain = new long[first.size()];
         long longest = 0;
@@ -194,7 +194,7 @@
      *
      * @return true if so
      */
-    boolean isSettled() {
+    boolean isFinalAndReleased() {
         return state.isFinal() && allTasks().allMatch(task -> task.getWorker() == null);
     }
 
@@ -203,7 +203,7 @@
      *
      * @return true if so
      */
-    boolean hasBegun() {
+    boolean hasStarted() {
         return allTasks().anyMatch(TaskEntry::hasBegun);
     }
 
@@ -213,7 +213,7 @@
      * @param now the time on the leader's clock
      * @return for how long nothing of the job has run, in milliseconds; 0 if something does
      */
-    long starve(long now) {
+    long recordStarvation(long now) {
         if (allTasks().anyMatch(task -> task.getWorker() != null)) {
             starvedSince = -1;
             return 0;
@@ -223,7 +223,7 @@
     }
 
     /** Takes note that a task found a worker. */
-    void feed() {
+    void clearStarvation() {
         starvedSince = -1;
     }
 
@@ -239,7 +239,7 @@
             if (turn) {
                 steps.get(step).stream()
                         .filter(task -> !task.isDone() && task.getWorker() == null)
-                        .filter(task -> !task.getTrial().isHeldUp())
+                        .filter(task -> !task.getTrial().isAwaitingOutcomes())
                         .forEach(ready::add);
             }
         }
@@ -310,7 +310,7 @@
     }
 
     /** Takes note that the record made last has been kept. */
-    void kept() {
+    void markPersisted() {
         keptState = sentState;
     }
 
@@ -319,7 +319,7 @@
      *
      * @return the state that callers may be told, since no new leader can fall behind it
      */
-    JobState getKeptState() {
+    JobState getPersistedState() {
         return keptState;
     }
 
@@ -338,7 +338,7 @@
      * @param now the time on the leader's clock
      * @param wallMillis the time of day, in milliseconds since 1970
      */
-    void accept(long now, long wallMillis) {
+    void markAccepted(long now, long wallMillis) {
         acceptedAt = now;
         acceptedWallMillis = wallMillis;
     }
@@ -358,7 +358,7 @@
      * @param now the time on the leader's clock
      * @param wallMillis the time of day, in milliseconds since 1970
      */
-    void resume(long now, long wallMillis) {
+    void restoreAcceptanceTime(long now, long wallMillis) {
         long age = Math.min(MOST_AGE_MILLIS, wallMillis - acceptedWallMillis);
         acceptedAt = now - Math.max(0, age);
     }
--- a/src/main/java/org/standlink/cell/JobRecord.java
+++ b/src/main/java/org/standlink/cell/JobRecord.java
@@ -33,4 +33,5 @@
  *     the leader of that time; good for an age, not for a rule
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-record JobRecord(long order, JobState state, List<TaskRecord> tasks, long acceptedWallMillis) {}
+record JobRecord(
+        long order, JobState state, List<SubmittedTaskRecord> tasks, long acceptedWallMillis) {}
--- a/src/main/java/org/standlink/cell/JobBoard.java
+++ b/src/main/java/org/standlink/cell/JobRegistry.java
@@ -31,9 +31,9 @@
 /**
  * All jobs of a cell, and which of them have changed since they were kept last.
  *
- * <p>{@code JobBoard} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code JobRegistry} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class JobBoard implements ChangeSource {
+final class JobRegistry implements ChangeSource {
 
     /** The start of the keys of definitions. */
     private static final String DEFINITION_KEY = "d/";
@@ -75,14 +75,14 @@
     void restore(List<KeyedRecord> records) {
         Map<JobId, JobDefinition> definitions = new LinkedHashMap<>();
         Map<JobId, JobRecord> states = new LinkedHashMap<>();
-        Map<JobId, SettledJob> settled = new LinkedHashMap<>();
+        Map<JobId, FinishedJobRecord> settled = new LinkedHashMap<>();
         for (KeyedRecord record : records) {
             if (record.key().startsWith(DEFINITION_KEY)) {
                 collect(record, DEFINITION_KEY, JobDefinition.class, definitions);
             } else if (record.key().startsWith(STATE_KEY)) {
                 collect(record, STATE_KEY, JobRecord.class, states);
             } else if (record.key().startsWith(SETTLED_KEY)) {
-                collect(record, SETTLED_KEY, SettledJob.class, settled);
+                collect(record, SETTLED_KEY, FinishedJobRecord.class, settled);
             }
         }
         settled.forEach((id, job) -> definitions.put(id, job.toDefinition(id)));
@@ -144,10 +144,10 @@
      *
      * @param before the time up to which they became final, on the leader's clock
      */
-    void forgetOld(long before) {
+    void removeExpired(long before) {
         for (JobEntry job : List.copyOf(getJobs())) {
             boolean old = job.getFinalAt() >= 0 && job.getFinalAt() < before;
-            if (old && job.isSettled()) {
+            if (old && job.isFinalAndReleased()) {
                 remove(job);
             }
         }
@@ -222,8 +222,8 @@
     }
 
     @Override
-    public void kept() {
-        sent.forEach(JobEntry::kept);
+    public void markPersisted() {
+        sent.forEach(JobEntry::markPersisted);
         sent.clear();
     }
 
@@ -238,8 +238,8 @@
             JobEntry job = jobs.get(id);
             JobRecord record = job.toRecord();
             sent.add(job);
-            if (job.isSettled()) {
-                SettledJob rest = SettledJob.of(job.getDefinition().queue(), record);
+            if (job.isFinalAndReleased()) {
+                FinishedJobRecord rest = FinishedJobRecord.of(job.getDefinition().queue(), record);
                 records.add(new KeyedRecord(SETTLED_KEY + id, Packing.pack(rest)));
                 dropTasks(id, records);
             } else {
--- a/src/main/java/org/standlink/cell/CallerDesk.java
+++ b/src/main/java/org/standlink/cell/JobRequestHandler.java
@@ -38,9 +38,9 @@
 /**
  * Answers what callers ask of the leader.
  *
- * <p>{@code CallerDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code JobRequestHandler} is not thread-safe; the leader's loop owns it.
  */
-final class CallerDesk {
+final class JobRequestHandler {
 
     /** Why nothing was done, in answers and in the log. */
     private static final String STORE_SILENT = "the store does not answer";
@@ -52,16 +52,16 @@
     private static final String FAILED = "the leader failed while it handled the request";
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(CallerDesk.class);
+    private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
 
     /** The epoch of the leader. */
     private final Epoch epoch;
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Keeps changes. */
     private final CommitQueue commits;
@@ -97,10 +97,10 @@
      * @param wallClock the time of day, in milliseconds since 1970
      * @param whenFinal is told of jobs that have become final
      */
-    CallerDesk(
+    JobRequestHandler(
             Epoch epoch,
-            JobBoard board,
-            WorkerBoard workers,
+            JobRegistry board,
+            WorkerRegistry workers,
             CommitQueue commits,
             MonotonicClock clock,
             LongSupplier wallClock,
@@ -148,7 +148,7 @@
      * kept, and its caller learns so while there is time to come again. What an append has carried
      * waits for its answer, which alone tells.
      */
-    void refuseIfStalled() {
+    void rejectUnsentIfStalled() {
         if (!commits.isStalled()) {
             return;
         }
@@ -187,11 +187,11 @@
         LOG.info("received")
                 .with("job", job.id())
                 .with("again", known != null)
-                .with("store-silent-millis", commits.getSilentMillis())
+                .with("store-silent-millis", commits.getMillisSinceAppend())
                 .write();
         JobEntry entry = known == null ? board.add(job) : known;
         if (!entry.isAccepted()) {
-            entry.accept(clock.nowMillis(), wallClock.getAsLong());
+            entry.markAccepted(clock.nowMillis(), wallClock.getAsLong());
             board.markChanged(entry);
         }
         long start = clock.nowMillis();
@@ -206,7 +206,7 @@
                                 .with("again", known != null)
                                 .with("kept-after-millis", clock.nowMillis() - start)
                                 .write();
-                        submission.answer(JobAnswer.ofDone(entry.getKeptState()));
+                        submission.answer(JobAnswer.ofDone(entry.getPersistedState()));
                     }
                 });
     }
@@ -220,7 +220,7 @@
     private void withdraw(JobEntry job) {
         job.allTasks()
                 .filter(task -> task.getWorker() != null)
-                .forEach(task -> workers.vacate(task, task.getWorker()));
+                .forEach(task -> workers.removeTask(task, task.getWorker()));
         board.withdraw(job);
     }
 
@@ -265,7 +265,7 @@
         boolean there =
                 job != null && job.isAccepted() && job.getDefinition().queue().equals(queue);
         return there
-                ? JobAnswer.ofDone(job.getKeptState())
+                ? JobAnswer.ofDone(job.getPersistedState())
                 : JobAnswer.of(JobAnswer.Result.NO_SUCH_JOB, "");
     }
 
@@ -273,7 +273,7 @@
         long waiting =
                 board.getJobs().stream()
                         .filter(job -> job.getDefinition().queue().equals(queue))
-                        .filter(job -> job.getKeptState() == JobState.QUEUED)
+                        .filter(job -> job.getPersistedState() == JobState.QUEUED)
                         .count();
         return new JobAnswer(JobAnswer.Result.DONE, null, waiting, "");
     }
--- a/src/main/java/org/standlink/cell/JobOutlook.java
+++ b/src/main/java/org/standlink/cell/JobValue.java
@@ -23,13 +23,13 @@
  * most comes first, so that a crowd makes some jobs late and not all, and what has begun is
  * finished; none is given up.
  *
- * <p>{@code JobOutlook} is thread-safe and immutable.
+ * <p>{@code JobValue} is thread-safe and immutable.
  *
  * @param punctuality whether the job can be on time
- * @param worthPerWork its worth, as a share of its full worth, by the share of its work that is
+ * @param valuePerWork its worth, as a share of its full worth, by the share of its work that is
  *     left
  */
-record JobOutlook(Punctuality punctuality, double worthPerWork) implements Comparable<JobOutlook> {
+record JobValue(Punctuality punctuality, double valuePerWork) implements Comparable<JobValue> {
 
     /** Whether a job can be on time. */
     enum Punctuality {
@@ -76,14 +76,14 @@
      * @param now the time on the leader's clock
      * @return what it can still reach; a job that lasts or has times is worth most
      */
-    static JobOutlook of(JobEntry job, QueueDefinition queue, long now) {
+    static JobValue of(JobEntry job, QueueDefinition queue, long now) {
         boolean lasts = job.getDefinition().steps().stream().anyMatch(step -> step.longRunning());
         if (lasts || job.getDefinition().isTimed()) {
-            return new JobOutlook(Punctuality.ON_TIME, 1 / LEAST_LEFT);
+            return new JobValue(Punctuality.ON_TIME, 1 / LEAST_LEFT);
         }
         Punctuality punctuality = punctuality(job, queue, now);
         double left = Math.max(LEAST_LEFT, remainingShare(job));
-        return new JobOutlook(punctuality, punctuality.worth / left);
+        return new JobValue(punctuality, punctuality.worth / left);
     }
 
     /**
@@ -102,8 +102,8 @@
     }
 
     private static Punctuality punctuality(JobEntry job, QueueDefinition queue, long now) {
-        double target = queue.targetMillis() + queue.stretch() * job.chainMillis(false);
-        double work = (job.hasBegun() ? BEGUN_WORK : NEW_WORK) * job.chainMillis(true);
+        double target = queue.targetMillis() + queue.stretch() * job.criticalPathMillis(false);
+        double work = (job.hasStarted() ? BEGUN_WORK : NEW_WORK) * job.criticalPathMillis(true);
         double ready = now - job.getAcceptedAt() + work;
         if (ready <= target) {
             return Punctuality.ON_TIME;
@@ -113,7 +113,7 @@
 
     // -----------------------------------------------------------------------
     @Override
-    public int compareTo(JobOutlook other) {
-        return Double.compare(other.worthPerWork, worthPerWork);
+    public int compareTo(JobValue other) {
+        return Double.compare(other.valuePerWork, valuePerWork);
     }
 }
--- a/src/main/java/org/standlink/cell/StoreContact.java
+++ b/src/main/java/org/standlink/cell/LeaderAuthority.java
@@ -26,9 +26,9 @@
  * goes on, but may be set. Whichever says that more time has gone by is believed: a time of day
  * that jumps ahead costs no more than the leases until the next append, a quarter of a second.
  *
- * <p>{@code StoreContact} is not thread-safe; the leader's loop owns it.
+ * <p>{@code LeaderAuthority} is not thread-safe; the leader's loop owns it.
  */
-final class StoreContact {
+final class LeaderAuthority {
 
     /** The steady clock. */
     private final MonotonicClock clock;
@@ -37,15 +37,15 @@
     private final LongSupplier wallClock;
 
     /** When the last append that was taken had been sent. */
-    private Moment taken;
+    private ClockReading taken;
 
     /**
      * A moment on both clocks.
      *
-     * @param steady the time on the steady clock, in milliseconds
-     * @param wall the time of day, in milliseconds since 1970
+     * @param monotonicMillis the time on the steady clock, in milliseconds
+     * @param wallMillis the time of day, in milliseconds since 1970
      */
-    record Moment(long steady, long wall) {}
+    record ClockReading(long monotonicMillis, long wallMillis) {}
 
     /**
      * Constructor. The leader is taken to lead at first.
@@ -53,7 +53,7 @@
      * @param clock the steady clock
      * @param wallClock the time of day, in milliseconds since 1970
      */
-    StoreContact(MonotonicClock clock, LongSupplier wallClock) {
+    LeaderAuthority(MonotonicClock clock, LongSupplier wallClock) {
         this.clock = clock;
         this.wallClock = wallClock;
         this.taken = now();
@@ -64,8 +64,8 @@
      *
      * @return the moment
      */
-    Moment now() {
-        return new Moment(clock.nowMillis(), wallClock.getAsLong());
+    ClockReading now() {
+        return new ClockReading(clock.nowMillis(), wallClock.getAsLong());
     }
 
     /**
@@ -73,7 +73,7 @@
      *
      * @param sent when it had been sent
      */
-    void taken(Moment sent) {
+    void appendAccepted(ClockReading sent) {
         taken = sent;
     }
 
@@ -82,8 +82,10 @@
      *
      * @return the time, in milliseconds
      */
-    long getSilentMillis() {
-        Moment now = now();
-        return Math.max(now.steady() - taken.steady(), now.wall() - taken.wall());
+    long getMillisSinceConfirmed() {
+        ClockReading now = now();
+        return Math.max(
+                now.monotonicMillis() - taken.monotonicMillis(),
+                now.wallMillis() - taken.wallMillis());
     }
 }
--- a/src/main/java/org/standlink/cell/LeaderEnd.java
+++ b/src/main/java/org/standlink/cell/LeaderEndListener.java
@@ -17,16 +17,16 @@
 
 /** Is told that a leader of this process leads no more. */
 @FunctionalInterface
-public interface LeaderEnd {
+public interface LeaderEndListener {
 
     /** Takes note that another process leads. */
-    void deposed();
+    void leaderDeposed();
 
     /**
      * Takes note that the leader has ended itself, since its work failed; nobody leads until the
      * place is given up or found silent.
      */
-    default void failed() {
-        deposed();
+    default void leaderFailed() {
+        leaderDeposed();
     }
 }
--- a/src/main/java/org/standlink/cell/LeaderLoop.java
+++ b/src/main/java/org/standlink/cell/LeaderLoop.java
@@ -67,7 +67,7 @@
      * @param millis after how long, in milliseconds
      * @param work the work
      */
-    void later(long millis, Runnable work) {
+    void schedule(long millis, Runnable work) {
         loop.schedule(() -> run(work), millis, TimeUnit.MILLISECONDS);
     }
 
@@ -78,7 +78,7 @@
      * @param work the work
      * @return the series, which can be cancelled
      */
-    ScheduledFuture<?> repeat(long pauseMillis, Runnable work) {
+    ScheduledFuture<?> scheduleRepeating(long pauseMillis, Runnable work) {
         return Guarded.repeat(NAME, loop, pauseMillis, () -> run(work));
     }
 
@@ -89,7 +89,7 @@
      * @param then takes the value or the failure
      * @param <T> the type of the value
      */
-    <T> void then(CompletableFuture<T> future, BiConsumer<? super T, Throwable> then) {
+    <T> void onCompletion(CompletableFuture<T> future, BiConsumer<? super T, Throwable> then) {
         Guarded.thenIn(future, this, then);
     }
 
--- a/src/main/java/org/standlink/cell/LeaderSeat.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -41,15 +41,15 @@
  * The place of the leader in a process that may lead: takes it when a claim of this process is the
  * newest, leaves it when another one's is.
  *
- * <p>{@code LeaderSeat} is thread-safe.
+ * <p>{@code LeadershipManager} is thread-safe.
  */
-public final class LeaderSeat {
+public final class LeadershipManager {
 
     /** The pause before a place that could not be given up is given up again, in milliseconds. */
     private static final long PAUSE_MILLIS = 500;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(LeaderSeat.class);
+    private static final EventLog LOG = EventLog.of(LeadershipManager.class);
 
     /** The store. */
     private final KeyedStore store;
@@ -80,7 +80,7 @@
     private Claim newest = Claim.NONE;
 
     /** The leader in this process, null if it does not lead; guarded by this. */
-    private CellLeader leader;
+    private JobCellLeader leader;
 
     /**
      * Constructor.
@@ -93,7 +93,7 @@
      * @param link the leader, as this process knows it
      * @param evacuated the halls that this process knows to be evacuated
      */
-    public LeaderSeat(
+    public LeadershipManager(
             KeyedStore store,
             CellTimes times,
             MonotonicClock clock,
@@ -115,7 +115,7 @@
      *
      * @param offered the configuration
      */
-    public void offer(Configuration offered) {
+    public void offerConfiguration(Configuration offered) {
         configuration.updateAndGet(
                 present -> offered.version() > present.version() ? offered : present);
     }
@@ -125,7 +125,7 @@
      *
      * @param claim the claim
      */
-    public synchronized void claimed(Claim claim) {
+    public synchronized void applyClaim(Claim claim) {
         if (claim.epoch().compareTo(newest.epoch()) < 0 || claim.equals(newest)) {
             return;
         }
@@ -137,12 +137,12 @@
                 .write();
         leave();
         if (!claim.isHeld()) {
-            link.resigned(claim.epoch());
+            link.leaderResigned(claim.epoch());
             return;
         }
         if (claim.holder().equals(self)) {
             leader =
-                    new CellLeader(
+                    new JobCellLeader(
                             claim.epoch(),
                             store,
                             times,
@@ -165,7 +165,7 @@
      * @param message the message
      */
     public void handle(MessageChannel connection, long call, Message message) {
-        CellLeader present;
+        JobCellLeader present;
         synchronized (this) {
             present = leader;
         }
@@ -221,7 +221,7 @@
     }
 
     /** Looks after the place of one leader. */
-    private final class PlaceHolder implements LeaderEnd {
+    private final class PlaceHolder implements LeaderEndListener {
 
         /** The epoch of the leader. */
         private final Epoch epoch;
@@ -231,12 +231,12 @@
         }
 
         @Override
-        public void deposed() {
+        public void leaderDeposed() {
             leave();
         }
 
         @Override
-        public void failed() {
+        public void leaderFailed() {
             giveUp(epoch);
         }
     }
--- a/src/main/java/org/standlink/cell/LeaseDesk.java
+++ b/src/main/java/org/standlink/cell/LeaseGranter.java
@@ -26,9 +26,9 @@
 /**
  * Answers reports of agents with leases, for as long as the leader may grant any.
  *
- * <p>{@code LeaseDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code LeaseGranter} is not thread-safe; the leader's loop owns it.
  */
-final class LeaseDesk {
+final class LeaseGranter {
 
     /** The epoch of the leader. */
     private final Epoch epoch;
@@ -37,13 +37,13 @@
     private final CommitQueue commits;
 
     /** The agents. */
-    private final AgentBoard agents;
+    private final AgentRegistry agents;
 
     /** Handles what is reported. */
-    private final ReportDesk reports;
+    private final AgentReportHandler reports;
 
     /** Tells agents what is believed of images. */
-    private final FigureDesk figures;
+    private final InterferenceLearner figures;
 
     /** The lengths of time agreed on. */
     private final CellTimes times;
@@ -62,12 +62,12 @@
      * @param times the lengths of time agreed on
      * @param clock the clock
      */
-    LeaseDesk(
+    LeaseGranter(
             Epoch epoch,
             CommitQueue commits,
-            AgentBoard agents,
-            ReportDesk reports,
-            FigureDesk figures,
+            AgentRegistry agents,
+            AgentReportHandler reports,
+            InterferenceLearner figures,
             CellTimes times,
             MonotonicClock clock) {
         this.epoch = epoch;
@@ -90,7 +90,7 @@
         if (!agents.accept(report, clock.nowMillis())) {
             return null;
         }
-        long silent = commits.getSilentMillis();
+        long silent = commits.getMillisSinceAppend();
         boolean entitled = silent < CellTimes.AUTHORITY_MILLIS;
         long until = entitled ? clock.nowMillis() + times.leaseMillis() : 0;
         boolean counts = reports.handle(connection, report, until);
@@ -99,7 +99,7 @@
                 agents.getGeneration(report.incarnation()),
                 entitled && counts ? times.leaseMillis() : 0,
                 silent,
-                figures.harmFor(connection));
+                figures.listIfChanged(connection));
     }
 
     /**
@@ -107,7 +107,8 @@
      *
      * @return the answer, without a lease
      */
-    AgentGrant grantNothingYet() {
-        return new AgentGrant(epoch, LeaseGeneration.NONE, 0, commits.getSilentMillis(), List.of());
+    AgentGrant grantNoLease() {
+        return new AgentGrant(
+                epoch, LeaseGeneration.NONE, 0, commits.getMillisSinceAppend(), List.of());
     }
 }
--- a/src/main/java/org/standlink/cell/LeastAskedPlacement.java
+++ b/src/main/java/org/standlink/cell/LeastRequestedPlacement.java
@@ -19,16 +19,16 @@
 import java.util.function.Predicate;
 import org.standlink.Resources;
 import org.standlink.job.StepDefinition;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 
 /**
  * Chooses the worker with the most processors that nobody has asked for. Serving tasks are put
  * together; a best-effort task goes where it harms nobody, and waits when it would find no
  * processors.
  *
- * <p>{@code LeastAskedPlacement} is thread-safe and immutable.
+ * <p>{@code LeastRequestedPlacement} is thread-safe and immutable.
  */
-final class LeastAskedPlacement implements Placement {
+final class LeastRequestedPlacement implements Placement {
 
     /** What a worker near the data is worth, in thousandths of a core. */
     private static final long NEAR_BONUS = 100_000;
@@ -83,37 +83,41 @@
     private static final double PRESSURE_WEIGHT = 4;
 
     /** What is believed of images. */
-    private final WorkerHarm harm;
+    private final WorkerInterference harm;
 
     /**
      * Constructor.
      *
      * @param harm what is believed of images
      */
-    LeastAskedPlacement(HarmTable harm) {
-        this.harm = new WorkerHarm(harm);
+    LeastRequestedPlacement(InterferenceTable harm) {
+        this.harm = new WorkerInterference(harm);
     }
 
     @Override
     public WorkerEntry choose(TaskEntry task, Collection<WorkerEntry> workers) {
         boolean choosy =
                 task.getStep().bestEffort()
-                        && workers.stream().anyMatch(one -> harm(task, one) < HarmTable.HARMFUL);
+                        && workers.stream()
+                                .anyMatch(
+                                        one ->
+                                                harm(task, one)
+                                                        < InterferenceTable.HIGH_INTERFERENCE);
         return best(task, workers, worker -> isFit(task, worker, choosy));
     }
 
     @Override
-    public WorkerEntry chooseAnyway(TaskEntry task, Collection<WorkerEntry> workers) {
+    public WorkerEntry chooseAllowingInterference(TaskEntry task, Collection<WorkerEntry> workers) {
         return best(
                 task,
                 workers,
                 worker ->
                         Placement.isAllowed(task, worker)
-                                && CrashRisk.isBearableAfterWaiting(task, worker));
+                                && CrashIsolation.isStartAllowedAfterWaiting(task, worker));
     }
 
     @Override
-    public WorkerEntry chooseInNeed(TaskEntry task, Collection<WorkerEntry> workers) {
+    public WorkerEntry chooseAllowingCrashRisk(TaskEntry task, Collection<WorkerEntry> workers) {
         return best(task, workers, worker -> Placement.isAllowed(task, worker));
     }
 
@@ -135,13 +139,15 @@
     }
 
     @Override
-    public boolean isGentle(TaskEntry task, WorkerEntry worker) {
+    public boolean isInterferenceAcceptable(TaskEntry task, WorkerEntry worker) {
         double belief = harm(task, worker);
-        if (belief < HarmTable.HARMLESS) {
+        if (belief < InterferenceTable.LOW_INTERFERENCE) {
             return true;
         }
-        boolean tight = worker.getFigures().getWorstTail() > TIGHT_TAIL;
-        return !tight && belief < HarmTable.HARMFUL && !isCrowded(task, worker, belief);
+        boolean tight = worker.getMetrics().getMaxTailRatio() > TIGHT_TAIL;
+        return !tight
+                && belief < InterferenceTable.HIGH_INTERFERENCE
+                && !isCrowded(task, worker, belief);
     }
 
     private boolean isCrowded(TaskEntry task, WorkerEntry worker, double belief) {
@@ -153,14 +159,14 @@
 
     // -----------------------------------------------------------------------
     private boolean isFit(TaskEntry task, WorkerEntry worker, boolean choosy) {
-        if (!Placement.isAllowed(task, worker) || !CrashRisk.isBearable(task, worker)) {
+        if (!Placement.isAllowed(task, worker) || !CrashIsolation.isStartAllowed(task, worker)) {
             return false;
         }
         if (!task.getStep().bestEffort()) {
             return true;
         }
         return idleMilliCores(worker) >= wanted(task.getStep(), worker)
-                && (!choosy || isGentle(task, worker));
+                && (!choosy || isInterferenceAcceptable(task, worker));
     }
 
     private static long wanted(StepDefinition step, WorkerEntry worker) {
@@ -176,7 +182,7 @@
     }
 
     private double harm(TaskEntry task, WorkerEntry worker) {
-        return harm.of(task.getStep().image(), worker);
+        return harm.get(task.getStep().image(), worker);
     }
 
     private long apartScore(TaskEntry task, WorkerEntry worker) {
@@ -187,26 +193,26 @@
             return 0;
         }
         double belief = harm(task, worker);
-        if (belief < HarmTable.HARMLESS) {
+        if (belief < InterferenceTable.LOW_INTERFERENCE) {
             return BESIDE_BONUS;
         }
         return -(long) (belief * HARM_PENALTY + harm.getPressure(worker) * PRESSURE_WEIGHT);
     }
 
     private static long failurePenalty(TaskEntry task, WorkerEntry worker) {
-        long penalty = worker.getHealth().getFailuresInRow() * FAILURE_PENALTY;
+        long penalty = worker.getHealth().getConsecutiveFailures() * FAILURE_PENALTY;
         return task.getFailures() > 0 ? penalty * LAST_CHANCE_FACTOR : penalty;
     }
 
     private long score(TaskEntry task, WorkerEntry worker) {
         String rack = task.getStep().dataRack();
         boolean near = !rack.isEmpty() && worker.getDescription().labels().contains(rack);
-        boolean failedHere = worker.getLife().equals(task.getFailedOn());
+        boolean failedHere = worker.getIncarnation().equals(task.getFailedOn());
         return idleMilliCores(worker)
                 + apartScore(task, worker)
                 + (near ? NEAR_BONUS : 0)
                 - (failedHere ? FAILED_PENALTY : 0)
                 - failurePenalty(task, worker)
-                - CrashRisk.penalty(task, worker);
+                - CrashIsolation.penalty(task, worker);
     }
 }
--- a/src/main/java/org/standlink/cell/MoveCost.java
+++ b/src/main/java/org/standlink/cell/MoveCostEstimator.java
@@ -19,9 +19,9 @@
  * Learns how long a move holds a task up: from the decision until the next run is further than the
  * last one was. Stop, start, restoring and the work since the last saved state are part of it.
  *
- * <p>{@code MoveCost} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code MoveCostEstimator} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class MoveCost {
+final class MoveCostEstimator {
 
     /** What a move is taken to cost before any was seen, in milliseconds. */
     private static final double PRIOR_MILLIS = 1000;
@@ -47,8 +47,8 @@
      * @param took how long it held the task up, in milliseconds
      * @param now the time on the leader's clock
      */
-    void learn(long took, long now) {
-        double before = getMillis(now);
+    void addSample(long took, long now) {
+        double before = estimateMillis(now);
         millis = before + SAMPLE_WEIGHT * (took - before);
         learntAt = now;
     }
@@ -59,7 +59,7 @@
      * @param now the time on the leader's clock
      * @return the expected time, in milliseconds
      */
-    double getMillis(long now) {
+    double estimateMillis(long now) {
         double kept = Math.pow(0.5, (now - learntAt) / HALF_LIFE_MILLIS);
         return PRIOR_MILLIS + (millis - PRIOR_MILLIS) * kept;
     }
--- a/src/main/java/org/standlink/cell/MoveDesk.java
+++ b/src/main/java/org/standlink/cell/MovePlanner.java
@@ -26,9 +26,9 @@
  * Moves best-effort runs that are throttled for the sake of serving ones to workers where they harm
  * nobody. A job ends with its slowest task, and a run that saves its state loses little by a stop.
  *
- * <p>{@code MoveDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code MovePlanner} is not thread-safe; the leader's loop owns it.
  */
-final class MoveDesk {
+final class MovePlanner {
 
     /**
      * How long a run must have been held back before it is moved, in milliseconds; two decisions on
@@ -45,22 +45,22 @@
     private static final double LEAST_GAIN = 2;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(MoveDesk.class);
+    private static final EventLog LOG = EventLog.of(MovePlanner.class);
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Chooses workers. */
     private final Placement placement;
 
     /** Tells agents what to do. */
-    private final OrderDesk orders;
+    private final OrderDispatcher orders;
 
     /** Tells whether the store takes anything. */
     private final CommitQueue commits;
 
     /** What a move costs. */
-    private final MoveCost cost;
+    private final MoveCostEstimator cost;
 
     /** When the last round was, on the leader's clock. */
     private long roundAt;
@@ -74,12 +74,12 @@
      * @param commits tells whether the store takes anything
      * @param cost what a move costs
      */
-    MoveDesk(
-            WorkerBoard workers,
+    MovePlanner(
+            WorkerRegistry workers,
             Placement placement,
-            OrderDesk orders,
+            OrderDispatcher orders,
             CommitQueue commits,
-            MoveCost cost) {
+            MoveCostEstimator cost) {
         this.workers = workers;
         this.placement = placement;
         this.orders = orders;
@@ -95,7 +95,7 @@
      *
      * @param now the time on the leader's clock, in milliseconds
      */
-    void move(long now) {
+    void moveThrottledRuns(long now) {
         if (now - roundAt < ROUND_MILLIS || commits.isStalled()) {
             return;
         }
@@ -122,38 +122,38 @@
             WorkerEntry target = placement.choose(task, others);
             boolean better =
                     target != null
-                            && placement.isGentle(task, target)
-                            && !target.getFigures().isHeldBack(task.getStep().image(), now, 0);
+                            && placement.isInterferenceAcceptable(task, target)
+                            && !target.getMetrics().isThrottled(task.getStep().image(), now, 0);
             if (!better) {
                 continue;
             }
-            task.beginMoveAway(now);
+            task.beginMoveFromThrottled(now);
             taken.add(target);
             moved.add(task);
             LOG.info("moving-throttled")
                     .with("run", task.getRun())
-                    .with("worker", worker.getLife())
-                    .with("aim", target.getLife())
+                    .with("worker", worker.getIncarnation())
+                    .with("aim", target.getIncarnation())
                     .with(
                             "remaining-millis",
                             Math.round(task.getProgress().getRemainingMillis(now)))
-                    .with("cost-millis", Math.round(cost.getMillis(now)))
-                    .with("worst-tail", Math.round(worker.getFigures().getWorstTail() * 100))
+                    .with("cost-millis", Math.round(cost.estimateMillis(now)))
+                    .with("worst-tail", Math.round(worker.getMetrics().getMaxTailRatio() * 100))
                     .write();
         }
     }
 
     private List<WorkerEntry> usable(WorkerEntry worker, long now) {
-        return workers.usable(worker.getDescription().service(), now).stream()
+        return workers.findUsable(worker.getDescription().service(), now).stream()
                 .filter(other -> other != worker)
                 .toList();
     }
 
     /** A move must save twice its cost, since the next place may be held back as well. */
     private boolean isWorthIt(TaskEntry task, WorkerEntry worker, long now) {
-        double share = worker.getFigures().getShare(task.getStep().image());
+        double share = worker.getMetrics().getRunShare(task.getStep().image());
         double gain = task.getProgress().getRemainingMillis(now) * (1 - share);
-        return gain > LEAST_GAIN * cost.getMillis(now);
+        return gain > LEAST_GAIN * cost.estimateMillis(now);
     }
 
     private boolean isMovable(TaskEntry task, WorkerEntry worker, long now) {
@@ -161,8 +161,8 @@
         return step.bestEffort()
                 && step.checkpointing()
                 && !step.gang()
-                && task.isAtWork()
-                && worker.getFigures().isHeldBack(step.image(), now, HELD_BACK_MILLIS)
+                && task.isRunning()
+                && worker.getMetrics().isThrottled(step.image(), now, HELD_BACK_MILLIS)
                 && isWorthIt(task, worker, now);
     }
 }
--- a/src/main/java/org/standlink/cell/OrderDesk.java
+++ b/src/main/java/org/standlink/cell/OrderDispatcher.java
@@ -24,7 +24,7 @@
 import org.standlink.StandlinkException;
 import org.standlink.job.RunId;
 import org.standlink.job.StepDefinition;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.EventLog;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
@@ -34,21 +34,21 @@
  *
  * <p>What an agent did not hear it is told again when it has connected anew.
  *
- * <p>{@code OrderDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code OrderDispatcher} is not thread-safe; the leader's loop owns it.
  */
-final class OrderDesk {
+final class OrderDispatcher {
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(OrderDesk.class);
+    private static final EventLog LOG = EventLog.of(OrderDispatcher.class);
 
     /** The epoch. */
     private final Epoch epoch;
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Keeps decisions. */
     private final CommitQueue commits;
@@ -64,7 +64,7 @@
      * @param workers the workers
      * @param commits keeps decisions
      */
-    OrderDesk(Epoch epoch, JobBoard board, WorkerBoard workers, CommitQueue commits) {
+    OrderDispatcher(Epoch epoch, JobRegistry board, WorkerRegistry workers, CommitQueue commits) {
         this.epoch = epoch;
         this.board = board;
         this.workers = workers;
@@ -77,14 +77,14 @@
      * @param tasks the tasks whose last run is to be started
      */
     void startAfterCommit(List<TaskEntry> tasks) {
-        Map<WorkerLife, List<TaskEntry>> byWorker = new LinkedHashMap<>();
+        Map<WorkerIncarnation, List<TaskEntry>> byWorker = new LinkedHashMap<>();
         for (TaskEntry task : tasks) {
             byWorker.computeIfAbsent(task.getWorker(), key -> new ArrayList<>()).add(task);
         }
         byWorker.forEach(
                 (id, list) -> {
                     List<Start> starts = list.stream().map(this::start).toList();
-                    LeaseGeneration given = workers.find(id).getToldGeneration();
+                    LeaseGeneration given = workers.find(id).getSyncedGeneration();
                     commits.afterCommit(() -> send(id, given, starts, List.of()));
                 });
     }
@@ -95,7 +95,7 @@
      * @param tasks the tasks; those that run nowhere are passed over
      */
     void stopAfterCommit(List<TaskEntry> tasks) {
-        Map<WorkerLife, List<RunId>> byWorker = new LinkedHashMap<>();
+        Map<WorkerIncarnation, List<RunId>> byWorker = new LinkedHashMap<>();
         for (TaskEntry task : tasks) {
             if (task.getWorker() != null) {
                 byWorker.computeIfAbsent(task.getWorker(), key -> new ArrayList<>())
@@ -111,7 +111,7 @@
      * @param id the worker
      * @param runs the runs
      */
-    void stopStray(WorkerLife id, List<RunId> runs) {
+    void stopUnexpected(WorkerIncarnation id, List<RunId> runs) {
         if (!runs.isEmpty()) {
             LOG.info("stray-runs").with("worker", id).with("runs", runs).write();
             commits.afterCommit(() -> sendNow(id, List.of(), runs));
@@ -123,13 +123,13 @@
      *
      * @param worker the worker
      */
-    void recordedAfterCommit(WorkerEntry worker) {
+    void acknowledgeEndsAfterCommit(WorkerEntry worker) {
         // Ends that are handled while the append is under way are not part of it.
-        long number = worker.getEnds().getHandled();
+        long number = worker.getEnds().getLastHandled();
         commits.afterCommit(
                 () -> {
-                    worker.getEnds().record(number);
-                    sendNow(worker.getLife(), List.of(), List.of());
+                    worker.getEnds().markRecorded(number);
+                    sendNow(worker.getIncarnation(), List.of(), List.of());
                 });
     }
 
@@ -143,20 +143,20 @@
         List<Start> starts = new ArrayList<>();
         List<RunId> stops = new ArrayList<>();
         for (TaskEntry task : worker.listTasks()) {
-            if (isWanted(task)) {
+            if (shouldRun(task)) {
                 starts.add(start(task));
             } else {
                 stops.add(task.getRun());
             }
         }
         LOG.info("agent-synced")
-                .with("worker", worker.getLife())
+                .with("worker", worker.getIncarnation())
                 .with("present", present.size())
                 .with("starts", starts.size())
                 .with("stops", stops.size())
                 .write();
-        LeaseGeneration given = worker.getToldGeneration();
-        commits.afterCommit(() -> send(worker.getLife(), given, starts, stops));
+        LeaseGeneration given = worker.getSyncedGeneration();
+        commits.afterCommit(() -> send(worker.getIncarnation(), given, starts, stops));
     }
 
     /**
@@ -165,7 +165,7 @@
      * @param task the task
      * @return false if it is done or to go on elsewhere, or if its job is final
      */
-    boolean isWanted(TaskEntry task) {
+    boolean shouldRun(TaskEntry task) {
         return !task.isDone()
                 && !task.isStopping()
                 && !board.find(task.getName().job()).getState().isFinal();
@@ -189,24 +189,25 @@
      * Checks whether an order still holds. A job that was refused and handed in again has other
      * tasks under the same names, whose record may not have been kept yet.
      */
-    private boolean isInForce(Start start, WorkerLife id) {
+    private boolean isInForce(Start start, WorkerIncarnation id) {
         TaskEntry task = start.task();
         return board.findTask(task.getName()) == task
                 && task.getRun().equals(start.order().run())
                 && id.equals(task.getWorker());
     }
 
-    private void sendNow(WorkerLife id, List<Start> starts, List<RunId> stops) {
+    private void sendNow(WorkerIncarnation id, List<Start> starts, List<RunId> stops) {
         WorkerEntry worker = workers.find(id);
         if (worker != null) {
-            send(id, worker.getToldGeneration(), starts, stops);
+            send(id, worker.getSyncedGeneration(), starts, stops);
         }
     }
 
     /**
      * An order names the lease under which it was given, though it leaves once it has been kept.
      */
-    private void send(WorkerLife id, LeaseGeneration given, List<Start> starts, List<RunId> stops) {
+    private void send(
+            WorkerIncarnation id, LeaseGeneration given, List<Start> starts, List<RunId> stops) {
         WorkerEntry worker = workers.find(id);
         if (worker == null || worker.getConnection() == null) {
             return;
@@ -222,7 +223,7 @@
                                     id,
                                     present,
                                     stops,
-                                    worker.getEnds().getRecorded()));
+                                    worker.getEnds().getLastRecorded()));
         } catch (StandlinkException lost) {
             LOG.info("orders-not-sent").with("worker", id).with("cause", lost).write();
         }
--- a/src/main/java/org/standlink/cell/PendingAppend.java
+++ b/src/main/java/org/standlink/cell/PendingAppend.java
@@ -38,7 +38,7 @@
     private int lastCall;
 
     /** Whether it was taken. */
-    private boolean done;
+    private boolean accepted;
 
     /** Whether it is being read back. */
     private boolean confirming;
@@ -55,19 +55,19 @@
     }
 
     /** Takes note that a call is sent. */
-    void called() {
+    void callStarted() {
         calls++;
         lastCall++;
     }
 
     /** Takes note that a call is over, with or without an answer. */
-    void callOver() {
+    void callFinished() {
         calls--;
     }
 
     /** Takes note that the store has taken it. */
-    void taken() {
-        done = true;
+    void markAccepted() {
+        accepted = true;
     }
 
     /**
@@ -75,7 +75,7 @@
      *
      * @param reading whether it is
      */
-    void setConfirming(boolean reading) {
+    void setReadingBack(boolean reading) {
         confirming = reading;
     }
 
@@ -83,23 +83,23 @@
         return records;
     }
 
-    List<Runnable> getEffects() {
+    List<Runnable> getCallbacks() {
         return effects;
     }
 
-    int getCalls() {
+    int getCallsInFlight() {
         return calls;
     }
 
-    int getLastCall() {
+    int getLastCallNumber() {
         return lastCall;
     }
 
-    boolean isDone() {
-        return done;
+    boolean isAccepted() {
+        return accepted;
     }
 
-    boolean isConfirming() {
+    boolean isReadingBack() {
         return confirming;
     }
 
@@ -110,7 +110,7 @@
      *     whole
      * @return true if these are its records
      */
-    boolean isIn(List<KeyedRecord> read) {
+    boolean matches(List<KeyedRecord> read) {
         int common = Math.min(read.size(), records.size());
         return read.subList(0, common).equals(records.subList(0, common));
     }
--- a/src/main/java/org/standlink/cell/Placement.java
+++ b/src/main/java/org/standlink/cell/Placement.java
@@ -42,7 +42,7 @@
      * @param workers the workers that may be used
      * @return the worker, null if none has room
      */
-    WorkerEntry chooseAnyway(TaskEntry task, Collection<WorkerEntry> workers);
+    WorkerEntry chooseAllowingInterference(TaskEntry task, Collection<WorkerEntry> workers);
 
     /**
      * Chooses a worker for a task that can wait no longer: one with room, also if the task or one
@@ -52,7 +52,7 @@
      * @param workers the workers that may be used
      * @return the worker, null if none has room
      */
-    WorkerEntry chooseInNeed(TaskEntry task, Collection<WorkerEntry> workers);
+    WorkerEntry chooseAllowingCrashRisk(TaskEntry task, Collection<WorkerEntry> workers);
 
     /**
      * Checks whether a best-effort task is not expected to lengthen the tails of serving runs
@@ -62,7 +62,7 @@
      * @param worker the worker
      * @return true if it may work there all the time, as far as is known
      */
-    boolean isGentle(TaskEntry task, WorkerEntry worker);
+    boolean isInterferenceAcceptable(TaskEntry task, WorkerEntry worker);
 
     /**
      * Checks what holds for every placement: room, label and the most tasks of the step.
@@ -77,8 +77,8 @@
                 step.requiredLabel().isEmpty()
                         || worker.getDescription().labels().contains(step.requiredLabel());
         return labelled
-                && step.room().fitsIn(worker.free())
-                && (step.mostPerWorker() == 0
-                        || worker.countOf(task.getName()) < step.mostPerWorker());
+                && step.requiredCapacity().fitsIn(worker.getFreeCapacity())
+                && (step.maxPerWorker() == 0
+                        || worker.countTasksOfStep(task.getName()) < step.maxPerWorker());
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerEnds.java
+++ b/src/main/java/org/standlink/cell/RunEndTracker.java
@@ -18,9 +18,9 @@
 /**
  * How far the ends that one life of a worker lists have been handled and recorded.
  *
- * <p>{@code WorkerEnds} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code RunEndTracker} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class WorkerEnds {
+final class RunEndTracker {
 
     /** The last end that was handled. */
     private long handled;
@@ -33,7 +33,7 @@
      *
      * @return its number
      */
-    long getHandled() {
+    long getLastHandled() {
         return handled;
     }
 
@@ -42,7 +42,7 @@
      *
      * @param number its number
      */
-    void handle(long number) {
+    void markHandled(long number) {
         handled = number;
     }
 
@@ -51,7 +51,7 @@
      *
      * @return its number
      */
-    long getRecorded() {
+    long getLastRecorded() {
         return recorded;
     }
 
@@ -60,7 +60,7 @@
      *
      * @param number the number of the last of them
      */
-    void record(long number) {
+    void markRecorded(long number) {
         recorded = Math.max(recorded, number);
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerHealth.java
+++ b/src/main/java/org/standlink/cell/RunOutcomeHealth.java
@@ -18,9 +18,9 @@
 /**
  * How well runs end on one life of a worker.
  *
- * <p>{@code WorkerHealth} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class WorkerHealth {
+final class RunOutcomeHealth {
 
     /** How many runs have failed there without one that ended well. */
     private int failuresInRow;
@@ -33,7 +33,7 @@
      *
      * @param well whether it ended well
      */
-    void judge(boolean well) {
+    void recordOutcome(boolean well) {
         failuresInRow = well ? 0 : failuresInRow + 1;
     }
 
@@ -42,7 +42,7 @@
      *
      * @return the number
      */
-    int getFailuresInRow() {
+    int getConsecutiveFailures() {
         return failuresInRow;
     }
 
--- a/src/main/java/org/standlink/cell/RunComparison.java
+++ b/src/main/java/org/standlink/cell/RunReconciler.java
@@ -28,18 +28,18 @@
  * Compares what a worker runs with what it should run: tells a new agent all, and stops what should
  * not be there.
  *
- * <p>{@code RunComparison} is not thread-safe; the leader's loop owns it.
+ * <p>{@code RunReconciler} is not thread-safe; the leader's loop owns it.
  */
-final class RunComparison {
+final class RunReconciler {
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The agents. */
-    private final AgentBoard agents;
+    private final AgentRegistry agents;
 
     /** Tells agents what to do. */
-    private final OrderDesk orders;
+    private final OrderDispatcher orders;
 
     /**
      * Constructor.
@@ -48,7 +48,7 @@
      * @param agents the agents
      * @param orders tells agents what to do
      */
-    RunComparison(JobBoard board, AgentBoard agents, OrderDesk orders) {
+    RunReconciler(JobRegistry board, AgentRegistry agents, OrderDispatcher orders) {
         this.board = board;
         this.agents = agents;
         this.orders = orders;
@@ -61,7 +61,7 @@
      * @param part what is reported of it
      * @param agent the run of the agent that reports
      */
-    void compare(WorkerEntry worker, WorkerReport part, Incarnation agent) {
+    void reconcile(WorkerEntry worker, WorkerReport part, Incarnation agent) {
         List<RunId> present = new ArrayList<>();
         List<RunId> stray = new ArrayList<>();
         Resources strayRoom = Resources.NONE;
@@ -69,17 +69,17 @@
             TaskEntry task = worker.findTask(progress.run().task());
             boolean placed = task != null && task.getRun().equals(progress.run());
             // A run that is to end stays placed here until it has; an order to stop it may be lost.
-            boolean expected = placed && orders.isWanted(task);
+            boolean expected = placed && orders.shouldRun(task);
             (expected ? present : stray).add(progress.run());
             if (!placed) {
                 strayRoom = strayRoom.plus(roomOf(worker, progress.run()));
             }
         }
-        worker.getLoad().setStrayRoom(strayRoom);
-        orders.stopStray(worker.getLife(), stray);
+        worker.getLoad().setUnexpectedUsage(strayRoom);
+        orders.stopUnexpected(worker.getIncarnation(), stray);
         LeaseGeneration generation = agents.getGeneration(agent);
-        if (!generation.equals(worker.getToldGeneration())) {
-            worker.setToldGeneration(generation);
+        if (!generation.equals(worker.getSyncedGeneration())) {
+            worker.setSyncedGeneration(generation);
             orders.syncAfterCommit(worker, present);
         }
     }
@@ -87,6 +87,8 @@
     /** The room of a run whose job is not known any more may be all that there is. */
     private Resources roomOf(WorkerEntry worker, RunId run) {
         TaskEntry task = board.findTask(run.task());
-        return task == null ? worker.getDescription().capacity() : task.getStep().room();
+        return task == null
+                ? worker.getDescription().capacity()
+                : task.getStep().requiredCapacity();
     }
 }
--- a/src/main/java/org/standlink/cell/ReleaseDesk.java
+++ b/src/main/java/org/standlink/cell/RunReleaser.java
@@ -19,24 +19,24 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.EventLog;
 
 /**
  * Takes runs that are over without an end off their workers, and remembers which jobs have changed.
  *
- * <p>{@code ReleaseDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code RunReleaser} is not thread-safe; the leader's loop owns it.
  */
-final class ReleaseDesk {
+final class RunReleaser {
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(ReportDesk.class);
+    private static final EventLog LOG = EventLog.of(AgentReportHandler.class);
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Tells how many runs of a job's task may fail. */
     private final ToIntFunction<JobEntry> mostAttempts;
@@ -51,7 +51,7 @@
      * @param workers the workers
      * @param mostAttempts tells how many runs of a job's task may fail
      */
-    ReleaseDesk(JobBoard board, WorkerBoard workers, ToIntFunction<JobEntry> mostAttempts) {
+    RunReleaser(JobRegistry board, WorkerRegistry workers, ToIntFunction<JobEntry> mostAttempts) {
         this.board = board;
         this.workers = workers;
         this.mostAttempts = mostAttempts;
@@ -65,7 +65,7 @@
      */
     void releaseAll(WorkerEntry worker, String reason) {
         for (TaskEntry task : List.copyOf(worker.listTasks())) {
-            release(task, worker.getLife(), reason);
+            release(task, worker.getIncarnation(), reason);
         }
     }
 
@@ -76,15 +76,15 @@
      * @param place the worker
      * @param reason why, for the log
      */
-    void release(TaskEntry task, WorkerLife place, String reason) {
+    void release(TaskEntry task, WorkerIncarnation place, String reason) {
         LOG.info("released")
                 .with("run", task.getRun())
                 .with("worker", place)
                 .with("reason", reason)
                 .write();
         task.release();
-        workers.vacate(task, place);
-        touch(task);
+        workers.removeTask(task, place);
+        markTaskChanged(task);
     }
 
     /**
@@ -92,13 +92,13 @@
      *
      * @param task the task
      */
-    void touch(TaskEntry task) {
+    void markTaskChanged(TaskEntry task) {
         JobEntry job = board.find(task.getName().job());
         if (job == null || job.findTask(task.getName()) != task) {
             // A crash that is told late may be of a job that is forgotten by now.
             return;
         }
-        job.refresh(mostAttempts.applyAsInt(job));
+        job.updateState(mostAttempts.applyAsInt(job));
         board.markChanged(job);
         touched.add(job);
     }
@@ -108,7 +108,7 @@
      *
      * @return the jobs
      */
-    Set<JobEntry> takeTouched() {
+    Set<JobEntry> takeChangedJobs() {
         Set<JobEntry> taken = touched;
         touched = new LinkedHashSet<>();
         return taken;
--- a/src/main/java/org/standlink/cell/Scheduler.java
+++ b/src/main/java/org/standlink/cell/Scheduler.java
@@ -52,10 +52,10 @@
     private static final long LONGEST_STARVED_MILLIS = 2500;
 
     /** The jobs. */
-    private final JobBoard board;
+    private final JobRegistry board;
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** Chooses workers. */
     private final Placement placement;
@@ -67,7 +67,7 @@
     private long toldAt;
 
     /** A job that may have tasks to start, its queue, and what it can still reach. */
-    private record Candidate(JobEntry job, QueueDefinition queue, JobOutlook outlook) {}
+    private record Candidate(JobEntry job, QueueDefinition queue, JobValue outlook) {}
 
     /**
      * Constructor.
@@ -76,7 +76,7 @@
      * @param workers the workers
      * @param placement chooses workers
      */
-    Scheduler(JobBoard board, WorkerBoard workers, Placement placement) {
+    Scheduler(JobRegistry board, WorkerRegistry workers, Placement placement) {
         this.board = board;
         this.workers = workers;
         this.placement = placement;
@@ -97,10 +97,10 @@
         for (Candidate candidate : candidates(configuration, now)) {
             String service = candidate.queue().service();
             List<WorkerEntry> fit =
-                    usable.computeIfAbsent(service, name -> workers.usable(name, now));
+                    usable.computeIfAbsent(service, name -> workers.findUsable(name, now));
             if (!fit.isEmpty()) {
                 assign(candidate.job(), fit, now, wallMillis, assigned);
-            } else if (!workers.getEvacuated().isEmpty()) {
+            } else if (!workers.getEvacuatedHalls().isEmpty()) {
                 countWaiting(candidate.job(), wallMillis);
             }
         }
@@ -116,13 +116,13 @@
                             LOG.info("waiting")
                                     .with("job", job)
                                     .with("tasks", tasks)
-                                    .with("halls-evacuated", workers.getEvacuated())
+                                    .with("halls-evacuated", workers.getEvacuatedHalls())
                                     .write());
         }
     }
 
     private void countWaiting(JobEntry job, long wallMillis) {
-        int ready = job.readyTasks(wallMillis).size();
+        int ready = job.listReadyTasks(wallMillis).size();
         if (ready > 0) {
             waiting.put(job.getId().toString(), ready);
         }
@@ -139,9 +139,7 @@
                                 queue ->
                                         found.add(
                                                 new Candidate(
-                                                        job,
-                                                        queue,
-                                                        JobOutlook.of(job, queue, now))));
+                                                        job, queue, JobValue.of(job, queue, now))));
             }
         }
         found.sort(
@@ -157,12 +155,12 @@
             return worker;
         }
         // A suspected task waits for a place apart while others of its job run.
-        long waited = Math.max(job.starve(now), task.getTrial().waitApart(now));
+        long waited = Math.max(job.recordStarvation(now), task.getTrial().recordIsolationWait(now));
         if (waited >= MOST_STARVED_MILLIS) {
-            worker = placement.chooseAnyway(task, fit);
+            worker = placement.chooseAllowingInterference(task, fit);
         }
         boolean inNeed = worker == null && waited >= LONGEST_STARVED_MILLIS;
-        return inNeed && isRoomy(fit) ? placement.chooseInNeed(task, fit) : worker;
+        return inNeed && isRoomy(fit) ? placement.chooseAllowingCrashRisk(task, fit) : worker;
     }
 
     /** Where more than half is taken, a job waits for room as well as for a safe place. */
@@ -171,7 +169,7 @@
         long free = 0;
         for (WorkerEntry worker : workers) {
             capacity += worker.getDescription().capacity().milliCores();
-            free += worker.free().milliCores();
+            free += worker.getFreeCapacity().milliCores();
         }
         return 2 * free >= capacity;
     }
@@ -183,27 +181,27 @@
             long wallMillis,
             List<TaskEntry> assigned) {
         TaskName full = null;
-        for (TaskEntry task : job.readyTasks(wallMillis)) {
+        for (TaskEntry task : job.listReadyTasks(wallMillis)) {
             // The tasks of a step are alike, but for those that are to begin apart: if one finds no
             // worker, the next does not, either.
             boolean waits = full != null && full.isOfSameStep(task.getName());
             WorkerEntry worker = waits ? null : choose(job, task, fit, now);
             if (worker == null) {
-                full = task.getTrial().getCrashes().isToBeApart() ? full : task.getName();
+                full = task.getTrial().getCrashes().requiresIsolation() ? full : task.getName();
                 waiting.merge(job.getId().toString(), 1, Integer::sum);
                 continue;
             }
-            job.feed();
-            task.assign(worker.getLife());
-            workers.place(task, worker.getMayRunUntil());
-            if (!workers.given(worker, now)) {
+            job.clearStarvation();
+            task.assign(worker.getIncarnation());
+            workers.addTask(task, worker.getLeaseExpiryMillis());
+            if (!workers.recordAssignment(worker, now)) {
                 fit.remove(worker);
             }
             board.markChanged(job);
             assigned.add(task);
             LOG.info("assigned")
                     .with("run", task.getRun())
-                    .with("worker", worker.getLife())
+                    .with("worker", worker.getIncarnation())
                     .with("candidates", fit.size())
                     .write();
         }
--- a/src/main/java/org/standlink/cell/StoreFailures.java
+++ b/src/main/java/org/standlink/cell/StoreFailureClassifier.java
@@ -22,12 +22,12 @@
 /**
  * Tells failures of the store from those of this process.
  *
- * <p>{@code StoreFailures} is thread-safe and immutable.
+ * <p>{@code StoreFailureClassifier} is thread-safe and immutable.
  */
-final class StoreFailures {
+final class StoreFailureClassifier {
 
     /** No instances. */
-    private StoreFailures() {}
+    private StoreFailureClassifier() {}
 
     /**
      * Gets the code of a failure.
@@ -46,7 +46,7 @@
      *
      * @param failure the failure of a call, null if it went well
      */
-    static void throwDefect(Throwable failure) {
+    static void rethrowDefect(Throwable failure) {
         Throwable cause = WorkFailures.causeOf(failure);
         if (cause instanceof Error error) {
             throw error;
--- a/src/main/java/org/standlink/cell/TaskRecord.java
+++ b/src/main/java/org/standlink/cell/SubmittedTaskRecord.java
@@ -22,7 +22,7 @@
  *
  * <p>It is written as an array, so new parts may only be added at its end.
  *
- * <p>{@code TaskRecord} is thread-safe and immutable.
+ * <p>{@code SubmittedTaskRecord} is thread-safe and immutable.
  *
  * @param lastRun the number of the last run, 0 before the first
  * @param failures how many runs have failed
@@ -35,7 +35,7 @@
  * @param suspicion how likely it is that the task crashes its workers, in thousandths
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-record TaskRecord(
+record SubmittedTaskRecord(
         int lastRun,
         int failures,
         int lastFailedRun,
--- a/src/main/java/org/standlink/cell/TaskEntry.java
+++ b/src/main/java/org/standlink/cell/TaskEntry.java
@@ -20,7 +20,7 @@
 import org.standlink.job.RunId;
 import org.standlink.job.StepDefinition;
 import org.standlink.job.TaskName;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * The state of one task: its runs so far and where it runs now.
@@ -48,7 +48,7 @@
     private boolean done;
 
     /** Where the last run may still be, null if nowhere. */
-    private WorkerLife worker;
+    private WorkerIncarnation worker;
 
     /** The state that was saved last, empty if none. */
     private String checkpoint = "";
@@ -57,7 +57,7 @@
      * Where the last run that failed, stood still or was held back was, null if none; not kept in
      * the store.
      */
-    private WorkerLife failedOn;
+    private WorkerIncarnation failedOn;
 
     /** How far the last run is, and what moves have cost the task. */
     private final TaskProgress progress = new TaskProgress();
@@ -85,12 +85,12 @@
      *
      * @param record the record
      */
-    void restore(TaskRecord record) {
+    void restore(SubmittedTaskRecord record) {
         lastRun = record.lastRun();
         failures = record.failures();
         lastFailedRun = record.lastFailedRun();
         done = record.done();
-        worker = record.worker().isEmpty() ? null : WorkerLife.parse(record.worker());
+        worker = record.worker().isEmpty() ? null : WorkerIncarnation.parse(record.worker());
         checkpoint = record.checkpoint();
         trial.restore(record);
     }
@@ -100,19 +100,19 @@
      *
      * @return the record
      */
-    TaskRecord toRecord() {
+    SubmittedTaskRecord toRecord() {
         CrashHistory crashes = trial.getCrashes();
         String place = worker == null ? "" : worker.toString();
-        return new TaskRecord(
+        return new SubmittedTaskRecord(
                 lastRun,
                 failures,
                 lastFailedRun,
                 done,
                 place,
                 checkpoint,
-                crashes.getCrashes(),
+                crashes.getStartupCrashes(),
                 crashes.getLateCrashes(),
-                crashes.getPerMille());
+                crashes.getSuspicionPerMille());
     }
 
     // -----------------------------------------------------------------------
@@ -121,7 +121,7 @@
      *
      * @param place where
      */
-    void assign(WorkerLife place) {
+    void assign(WorkerIncarnation place) {
         lastRun++;
         worker = place;
         progress.begin();
@@ -134,7 +134,7 @@
      *
      * @param place that life
      */
-    void findAt(WorkerLife place) {
+    void setWorker(WorkerIncarnation place) {
         worker = place;
     }
 
@@ -150,7 +150,7 @@
      * @param end the end
      * @return true if this changed anything
      */
-    boolean end(WorkerLife from, RunEnd end) {
+    boolean recordEnd(WorkerIncarnation from, RunEnd end) {
         if (done) {
             return false;
         }
@@ -171,7 +171,7 @@
         }
         if (current) {
             worker = null;
-            save(end.checkpoint());
+            saveCheckpoint(end.checkpoint());
         }
         return counted || current;
     }
@@ -181,7 +181,7 @@
      *
      * @param saved the state, empty if none
      */
-    void save(String saved) {
+    void saveCheckpoint(String saved) {
         if (!saved.isEmpty()) {
             checkpoint = saved;
         }
@@ -193,9 +193,9 @@
      * @param mostAttempts how many runs may fail, but for tasks that last
      * @return true if too many have failed, or if the task crashes its workers
      */
-    boolean isSpent(int mostAttempts) {
+    boolean hasFailedPermanently(int mostAttempts) {
         boolean failed = !step.longRunning() && failures >= mostAttempts;
-        return !done && (failed || trial.getCrashes().isGivenUp());
+        return !done && (failed || trial.getCrashes().isFailedPermanently());
     }
 
     /**
@@ -205,7 +205,7 @@
      * @param millis how long a run may stand still, in milliseconds
      * @return true if it is to be stopped
      */
-    boolean isStalled(long heardAt, long millis) {
+    boolean detectStall(long heardAt, long millis) {
         boolean judged = worker != null && isListed() && !step.longRunning() && !step.gang();
         if (!judged || stopping || heardAt - progress.getChangedAt() < millis) {
             return false;
@@ -232,11 +232,11 @@
      * @param now the time on the leader's clock
      * @return false if it is being stopped already
      */
-    boolean beginMoveAway(long now) {
+    boolean beginMoveFromThrottled(long now) {
         boolean begins = beginMove();
         if (begins) {
             failedOn = worker;
-            progress.move(now);
+            progress.beginMove(now);
         }
         return begins;
     }
@@ -256,7 +256,7 @@
      * @return true if so
      */
     boolean isListed() {
-        return progress.isKnown();
+        return progress.isReported();
     }
 
     /**
@@ -264,7 +264,7 @@
      *
      * @return true if so
      */
-    boolean isAtWork() {
+    boolean isRunning() {
         return worker != null && isListed() && !stopping;
     }
 
@@ -320,8 +320,8 @@
      * @param now the time on the leader's clock
      * @return the time, in milliseconds; negative if no move has come to its end
      */
-    long takeMoveMillis(long now) {
-        return stopping ? TaskProgress.UNKNOWN : progress.takeMoveMillis(now);
+    long takeMoveDurationMillis(long now) {
+        return stopping ? TaskProgress.UNKNOWN : progress.takeMoveDurationMillis(now);
     }
 
     /**
@@ -356,7 +356,7 @@
      *
      * @return the worker, null if nowhere
      */
-    WorkerLife getWorker() {
+    WorkerIncarnation getWorker() {
         return worker;
     }
 
@@ -374,7 +374,7 @@
      *
      * @return the worker, null if none
      */
-    WorkerLife getFailedOn() {
+    WorkerIncarnation getFailedOn() {
         return failedOn;
     }
 }
--- a/src/main/java/org/standlink/cell/TaskProgress.java
+++ b/src/main/java/org/standlink/cell/TaskProgress.java
@@ -58,7 +58,7 @@
      * @param told in percent
      * @param now the time on the leader's clock
      */
-    void progress(int told, long now) {
+    void update(int told, long now) {
         if (percent == UNKNOWN) {
             firstPercent = told;
             firstAt = now;
@@ -74,7 +74,7 @@
      *
      * @param now the time on the leader's clock
      */
-    void move(long now) {
+    void beginMove(long now) {
         movedPercent = percent;
         movedAt = now;
     }
@@ -85,7 +85,7 @@
      *
      * @return true if so
      */
-    boolean isKnown() {
+    boolean isReported() {
         return percent != UNKNOWN;
     }
 
@@ -105,7 +105,7 @@
      * @return the time, in milliseconds; 0 if the run is not listed
      */
     double getRemainingMillis(long now) {
-        if (!isKnown()) {
+        if (!isReported()) {
             return 0;
         }
         double elapsed = now - firstAt;
@@ -118,7 +118,7 @@
      * @param now the time on the leader's clock
      * @return the time, in milliseconds; negative if no move has come to its end
      */
-    long takeMoveMillis(long now) {
+    long takeMoveDurationMillis(long now) {
         if (movedAt == UNKNOWN || percent <= movedPercent) {
             return UNKNOWN;
         }
--- a/src/main/java/org/standlink/cell/TaskTrial.java
+++ b/src/main/java/org/standlink/cell/TaskTrial.java
@@ -56,7 +56,7 @@
      *
      * @param record the record
      */
-    void restore(TaskRecord record) {
+    void restore(SubmittedTaskRecord record) {
         crashes = CrashHistory.of(record.crashes(), record.lateCrashes(), record.suspicion());
     }
 
@@ -72,12 +72,12 @@
      *
      * @param now the time on the leader's clock
      */
-    void seenAtWork(long now) {
+    void recordRunning(long now) {
         seenAt = seenAt < 0 ? now : seenAt;
         long atWork = now - seenAt;
         if (atWork >= PROVEN_MILLIS) {
             proven = true;
-            crashes = atWork >= FORGIVEN_MILLIS ? CrashHistory.NONE : crashes.proven();
+            crashes = atWork >= FORGIVEN_MILLIS ? CrashHistory.NONE : crashes.withProvenStart();
         }
     }
 
@@ -96,7 +96,7 @@
      *
      * @return true if so
      */
-    boolean isSeenAtWork() {
+    boolean wasReportedRunning() {
         return seenAt >= 0;
     }
 
@@ -106,8 +106,8 @@
      * @param now the time on the leader's clock
      * @return for how long it has waited, in milliseconds; 0 if it is not to begin apart
      */
-    long waitApart(long now) {
-        if (!crashes.isToBeApart()) {
+    long recordIsolationWait(long now) {
+        if (!crashes.requiresIsolation()) {
             return 0;
         }
         waitingSince = waitingSince < 0 ? now : waitingSince;
@@ -119,7 +119,7 @@
      *
      * @param change 1 if it is not known whether the run crashed its worker, -1 once it is
      */
-    void countUnclear(int change) {
+    void adjustUnresolvedRuns(int change) {
         unclear += change;
     }
 
@@ -128,8 +128,8 @@
      *
      * @return true if so
      */
-    boolean isHeldUp() {
-        return unclear > 0 && crashes.isToWaitForCertainty();
+    boolean isAwaitingOutcomes() {
+        return unclear > 0 && crashes.requiresKnownOutcome();
     }
 
     /**
@@ -138,7 +138,7 @@
      * @return true if it is suspected and has not been at work for long enough
      */
     boolean isOnTrial() {
-        return !proven && crashes.isSuspect();
+        return !proven && crashes.isSuspected();
     }
 
     /**
--- a/src/main/java/org/standlink/cell/WorkerEntry.java
+++ b/src/main/java/org/standlink/cell/WorkerEntry.java
@@ -23,7 +23,7 @@
 import org.standlink.Resources;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.wire.MessageChannel;
 
 /**
@@ -34,7 +34,7 @@
 final class WorkerEntry {
 
     /** The life of the worker. */
-    private final WorkerLife life;
+    private final WorkerIncarnation life;
 
     /** Where it takes calls, host and port; empty if not known. */
     private String address = "";
@@ -67,16 +67,16 @@
     private boolean reachable;
 
     /** How far its ends have been handled and recorded. */
-    private final WorkerEnds ends = new WorkerEnds();
+    private final RunEndTracker ends = new RunEndTracker();
 
     /** What its tasks ask for. */
     private final WorkerLoad load = new WorkerLoad();
 
     /** What it reported of its runs' figures. */
-    private final WorkerFigures figures = new WorkerFigures();
+    private final WorkerMetrics figures = new WorkerMetrics();
 
     /** How well runs end there. */
-    private final WorkerHealth health = new WorkerHealth();
+    private final RunOutcomeHealth health = new RunOutcomeHealth();
 
     /** The generation of lease that bars all orders of this life; null while it lasts. */
     private LeaseGeneration barredBy;
@@ -87,7 +87,7 @@
      * @param life the life of the worker
      * @param mayRunUntil until when its runs may go on without its agent, on the leader's clock
      */
-    WorkerEntry(WorkerLife life, long mayRunUntil) {
+    WorkerEntry(WorkerIncarnation life, long mayRunUntil) {
         this.life = life;
         this.mayRunUntil = mayRunUntil;
     }
@@ -101,7 +101,7 @@
      * @param answers whether the worker answered its agent's last call
      * @param now the time on the leader's clock
      */
-    void heard(WorkerDescription told, MessageChannel from, boolean answers, long now) {
+    void receiveReport(WorkerDescription told, MessageChannel from, boolean answers, long now) {
         if (from != connection) {
             connection = from;
             toldGeneration = LeaseGeneration.NONE;
@@ -117,7 +117,7 @@
      *
      * @param until the time on the leader's clock
      */
-    void prolong(long until) {
+    void extendLease(long until) {
         mayRunUntil = Math.max(mayRunUntil, until);
     }
 
@@ -126,7 +126,7 @@
      *
      * @param task the task
      */
-    void add(TaskEntry task) {
+    void addTask(TaskEntry task) {
         if (tasks.put(task.getName(), task) == null) {
             count(task, 1);
         }
@@ -137,7 +137,7 @@
      *
      * @param task the task
      */
-    void remove(TaskEntry task) {
+    void removeTask(TaskEntry task) {
         if (tasks.remove(task.getName()) != null) {
             count(task, -1);
         }
@@ -145,7 +145,7 @@
 
     private void count(TaskEntry task, int sign) {
         taskChanges++;
-        load.count(task.getStep(), sign);
+        load.adjust(task.getStep(), sign);
     }
 
     /**
@@ -153,7 +153,7 @@
      *
      * @return the number, which rises
      */
-    long getTaskChanges() {
+    long getTaskVersion() {
         return taskChanges;
     }
 
@@ -162,7 +162,7 @@
      *
      * @return the free room; may be negative in parts on a worker that does not guard its room
      */
-    Resources free() {
+    Resources getFreeCapacity() {
         return description.capacity().minus(load.getOccupied());
     }
 
@@ -181,7 +181,7 @@
      * @param name names a task of the step
      * @return how many of them may be here
      */
-    long countOf(TaskName name) {
+    long countTasksOfStep(TaskName name) {
         return tasks.keySet().stream().filter(name::isOfSameStep).count();
     }
 
@@ -191,7 +191,7 @@
      *
      * @return the figures, which change with each report
      */
-    WorkerFigures getFigures() {
+    WorkerMetrics getMetrics() {
         return figures;
     }
 
@@ -200,7 +200,7 @@
      *
      * @return the life
      */
-    WorkerLife getLife() {
+    WorkerIncarnation getIncarnation() {
         return life;
     }
 
@@ -282,7 +282,7 @@
      *
      * @return the generation, the one before the first if it does not
      */
-    LeaseGeneration getToldGeneration() {
+    LeaseGeneration getSyncedGeneration() {
         return toldGeneration;
     }
 
@@ -291,7 +291,7 @@
      *
      * @param generation the generation, the one before the first if it does not
      */
-    void setToldGeneration(LeaseGeneration generation) {
+    void setSyncedGeneration(LeaseGeneration generation) {
         toldGeneration = generation;
     }
 
@@ -300,7 +300,7 @@
      *
      * @return the time on the leader's clock
      */
-    long getMayRunUntil() {
+    long getLeaseExpiryMillis() {
         return mayRunUntil;
     }
 
@@ -309,7 +309,7 @@
      *
      * @return the time on the leader's clock
      */
-    long getHeardAt() {
+    long getLastReportMillis() {
         return heardAt;
     }
 
@@ -327,7 +327,7 @@
      *
      * @return the numbers, which change
      */
-    WorkerEnds getEnds() {
+    RunEndTracker getEnds() {
         return ends;
     }
 
@@ -336,7 +336,7 @@
      *
      * @return the health, which changes
      */
-    WorkerHealth getHealth() {
+    RunOutcomeHealth getHealth() {
         return health;
     }
 
@@ -346,7 +346,7 @@
      *
      * @param generation the generation of lease from which on all orders of this life are refused
      */
-    void endBy(LeaseGeneration generation) {
+    void markEnded(LeaseGeneration generation) {
         barredBy = generation;
         reachable = false;
     }
@@ -356,7 +356,7 @@
      *
      * @return the generation, null while this life lasts as far as is known
      */
-    LeaseGeneration getBarredBy() {
+    LeaseGeneration getFenceGeneration() {
         return barredBy;
     }
 
@@ -365,7 +365,7 @@
      *
      * @return true if so
      */
-    boolean isOver() {
+    boolean isEnded() {
         return barredBy != null;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerHarm.java
+++ b/src/main/java/org/standlink/cell/WorkerInterference.java
@@ -20,18 +20,18 @@
 import java.util.Map;
 import java.util.WeakHashMap;
 import org.standlink.job.StepDefinition;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 
 /**
  * What best-effort images are believed to do to the serving runs of each worker. It is worked out
  * once for as long as neither the worker's tasks nor the beliefs change.
  *
- * <p>{@code WorkerHarm} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerInterference} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class WorkerHarm {
+final class WorkerInterference {
 
     /** What is believed of images. */
-    private final HarmTable harm;
+    private final InterferenceTable harm;
 
     /** What was worked out for each worker. */
     private final Map<WorkerEntry, View> views = new WeakHashMap<>();
@@ -55,7 +55,7 @@
         private double pressure = -1;
 
         View(WorkerEntry worker, long version) {
-            this.taskChanges = worker.getTaskChanges();
+            this.taskChanges = worker.getTaskVersion();
             this.version = version;
             this.serving =
                     worker.listTasks().stream()
@@ -72,7 +72,7 @@
      *
      * @param harm what is believed of images
      */
-    WorkerHarm(HarmTable harm) {
+    WorkerInterference(InterferenceTable harm) {
         this.harm = harm;
     }
 
@@ -83,8 +83,8 @@
      * @param worker the worker
      * @return 0 for not at all, or if nothing serves there, to 1
      */
-    double of(String image, WorkerEntry worker) {
-        return of(image, view(worker));
+    double get(String image, WorkerEntry worker) {
+        return get(image, view(worker));
     }
 
     /**
@@ -100,7 +100,7 @@
             for (TaskEntry task : worker.listTasks()) {
                 StepDefinition step = task.getStep();
                 if (step.bestEffort()) {
-                    view.pressure += step.demand().milliCores() * of(step.image(), view);
+                    view.pressure += step.demand().milliCores() * get(step.image(), view);
                 }
             }
         }
@@ -113,14 +113,14 @@
         View known = views.get(worker);
         if (known == null
                 || known.version != version
-                || known.taskChanges != worker.getTaskChanges()) {
+                || known.taskChanges != worker.getTaskVersion()) {
             known = new View(worker, version);
             views.put(worker, known);
         }
         return known;
     }
 
-    private double of(String image, View view) {
+    private double get(String image, View view) {
         return view.byImage.computeIfAbsent(
                 image,
                 key -> {
--- a/src/main/java/org/standlink/cell/WorkerLoad.java
+++ b/src/main/java/org/standlink/cell/WorkerLoad.java
@@ -43,8 +43,11 @@
      * @param step its step
      * @param sign 1 if it comes, -1 if it goes
      */
-    void count(StepDefinition step, int sign) {
-        taken = sign > 0 ? taken.plus(step.room()) : taken.minus(step.room());
+    void adjust(StepDefinition step, int sign) {
+        taken =
+                sign > 0
+                        ? taken.plus(step.requiredCapacity())
+                        : taken.minus(step.requiredCapacity());
         long asked = sign * step.demand().milliCores();
         if (step.longRunning()) {
             servingMilliCores += asked;
@@ -58,7 +61,7 @@
      *
      * @param room the room, which is theirs until they have been stopped
      */
-    void setStrayRoom(Resources room) {
+    void setUnexpectedUsage(Resources room) {
         strayRoom = room;
     }
 
@@ -67,7 +70,7 @@
      *
      * @return the sum
      */
-    Resources getTaken() {
+    Resources getReserved() {
         return taken;
     }
 
--- a/src/main/java/org/standlink/cell/WorkerFigures.java
+++ b/src/main/java/org/standlink/cell/WorkerMetrics.java
@@ -24,9 +24,9 @@
  * What a worker's agent told last of the figures of its runs: tails of serving ones, and which
  * best-effort ones are throttled for them.
  *
- * <p>{@code WorkerFigures} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerMetrics} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class WorkerFigures {
+final class WorkerMetrics {
 
     /** The share of a run that is not throttled, in percent. */
     private static final int FULL_PERCENT = 100;
@@ -67,7 +67,7 @@
      * @param shares the images whose runs may not work all the time
      * @param now the time on the leader's clock
      */
-    void throttled(List<ImageShare> shares, long now) {
+    void updateThrottled(List<ImageShare> shares, long now) {
         List<String> held =
                 shares.stream()
                         .filter(share -> share.percent() <= HELD_BACK_PERCENT)
@@ -87,7 +87,7 @@
      * @param millis how long a while is, in milliseconds
      * @return true if so
      */
-    boolean isHeldBack(String image, long now, long millis) {
+    boolean isThrottled(String image, long now, long millis) {
         Long since = throttledSince.get(image);
         return since != null && now - since >= millis;
     }
@@ -98,7 +98,7 @@
      * @param image the image
      * @return the share, 0 to 1
      */
-    double getShare(String image) {
+    double getRunShare(String image) {
         return percents.getOrDefault(image, FULL_PERCENT) / (double) FULL_PERCENT;
     }
 
@@ -107,7 +107,7 @@
      *
      * @return as a share of its target; 0 if none serves
      */
-    double getWorstTail() {
+    double getMaxTailRatio() {
         return worstTail;
     }
 
@@ -116,7 +116,7 @@
      *
      * @param share as a share of its target; 0 if none serves
      */
-    void setWorstTail(double share) {
+    void setMaxTailRatio(double share) {
         worstTail = share;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerBoard.java
+++ b/src/main/java/org/standlink/cell/WorkerRegistry.java
@@ -26,16 +26,16 @@
 import java.util.function.Supplier;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.EvacuatedHalls;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.EventLog;
 import org.standlink.store.KeyedRecord;
 
 /**
  * All workers of a cell, and which tasks may run on each.
  *
- * <p>{@code WorkerBoard} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerRegistry} is mutable and not thread-safe; the leader's loop owns it.
  */
-final class WorkerBoard implements ChangeSource {
+final class WorkerRegistry implements ChangeSource {
 
     /** After how many failures of different jobs in a row a worker is set aside. */
     private static final int MOST_FAILURES = 3;
@@ -50,19 +50,19 @@
     private static final long TRIAL_MILLIS = 1500;
 
     /** How long ago an agent may have been heard for its workers to be used, in milliseconds. */
-    static final long SILENT_MILLIS = 1500;
+    static final long REPORT_TIMEOUT_MILLIS = 1500;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(WorkerBoard.class);
+    private static final EventLog LOG = EventLog.of(WorkerRegistry.class);
 
     /** The start of the keys of workers' addresses. */
     private static final String ADDRESS_KEY = "w/";
 
     /** Workers whose address is to be kept, or removed if they are no longer known. */
-    private final Set<WorkerLife> changed = new LinkedHashSet<>();
+    private final Set<WorkerIncarnation> changed = new LinkedHashSet<>();
 
     /** The workers. */
-    private final Map<WorkerLife, WorkerEntry> workers = new LinkedHashMap<>();
+    private final Map<WorkerIncarnation, WorkerEntry> workers = new LinkedHashMap<>();
 
     /** The halls in which nothing may be started. */
     private final Supplier<EvacuatedHalls> evacuated;
@@ -72,7 +72,7 @@
      *
      * @param evacuated the halls in which nothing may be started
      */
-    WorkerBoard(Supplier<EvacuatedHalls> evacuated) {
+    WorkerRegistry(Supplier<EvacuatedHalls> evacuated) {
         this.evacuated = evacuated;
     }
 
@@ -86,9 +86,10 @@
     void restore(List<KeyedRecord> records, long mayRunUntil) {
         for (KeyedRecord record : records) {
             if (record.key().startsWith(ADDRESS_KEY) && record.value().length > 0) {
-                WorkerLife life = WorkerLife.parse(record.key().substring(ADDRESS_KEY.length()));
+                WorkerIncarnation life =
+                        WorkerIncarnation.parse(record.key().substring(ADDRESS_KEY.length()));
                 String address = new String(record.value(), StandardCharsets.US_ASCII);
-                get(life, mayRunUntil).restoreAddress(address);
+                getOrAdd(life, mayRunUntil).restoreAddress(address);
             }
         }
     }
@@ -99,9 +100,13 @@
      * @param present the life that answers
      * @return the lives at that address that have other ids
      */
-    List<WorkerEntry> replacedBy(WorkerEntry present) {
+    List<WorkerEntry> findReplacedBy(WorkerEntry present) {
         return workers.values().stream()
-                .filter(other -> !other.getLife().getId().equals(present.getLife().getId()))
+                .filter(
+                        other ->
+                                !other.getIncarnation()
+                                        .getId()
+                                        .equals(present.getIncarnation().getId()))
                 .filter(other -> other.getAddress().equals(present.getAddress()))
                 .toList();
     }
@@ -112,9 +117,9 @@
      * @param present a life of it
      * @return the others that are known
      */
-    List<WorkerEntry> findOtherLives(WorkerLife present) {
+    List<WorkerEntry> findOtherIncarnations(WorkerIncarnation present) {
         return workers.values().stream()
-                .filter(other -> other.getLife().isOtherLifeOf(present))
+                .filter(other -> other.getIncarnation().isOtherIncarnationOf(present))
                 .toList();
     }
 
@@ -123,8 +128,8 @@
      *
      * @param worker the worker
      */
-    void keepAddress(WorkerEntry worker) {
-        changed.add(worker.getLife());
+    void persistAddress(WorkerEntry worker) {
+        changed.add(worker.getIncarnation());
     }
 
     @Override
@@ -135,7 +140,7 @@
     @Override
     public List<KeyedRecord> takeChanges() {
         List<KeyedRecord> records = new ArrayList<>();
-        for (WorkerLife life : changed) {
+        for (WorkerIncarnation life : changed) {
             WorkerEntry worker = workers.get(life);
             String address = worker == null ? "" : worker.getAddress();
             byte[] value = address.getBytes(StandardCharsets.US_ASCII);
@@ -146,7 +151,7 @@
     }
 
     @Override
-    public void kept() {
+    public void markPersisted() {
         // Nothing waits for the address of a worker.
     }
 
@@ -158,7 +163,7 @@
      * @param mayRunUntil until when its runs may go on, if it is new
      * @return the worker
      */
-    WorkerEntry get(WorkerLife id, long mayRunUntil) {
+    WorkerEntry getOrAdd(WorkerIncarnation id, long mayRunUntil) {
         return workers.computeIfAbsent(id, key -> new WorkerEntry(key, mayRunUntil));
     }
 
@@ -168,7 +173,7 @@
      * @param id the life of the worker
      * @return the worker, null if it is not known
      */
-    WorkerEntry find(WorkerLife id) {
+    WorkerEntry find(WorkerIncarnation id) {
         return workers.get(id);
     }
 
@@ -178,8 +183,8 @@
      * @param task the task, which has a worker
      * @param mayRunUntil until when the worker's runs may go on, if it is new
      */
-    void place(TaskEntry task, long mayRunUntil) {
-        get(task.getWorker(), mayRunUntil).add(task);
+    void addTask(TaskEntry task, long mayRunUntil) {
+        getOrAdd(task.getWorker(), mayRunUntil).addTask(task);
     }
 
     /**
@@ -188,10 +193,10 @@
      * @param task the task
      * @param id where it was
      */
-    void vacate(TaskEntry task, WorkerLife id) {
+    void removeTask(TaskEntry task, WorkerIncarnation id) {
         WorkerEntry worker = workers.get(id);
         if (worker != null) {
-            worker.remove(task);
+            worker.removeTask(task);
         }
     }
 
@@ -202,13 +207,13 @@
      * @param well whether the run ended well
      * @param now the time on the leader's clock
      */
-    void judge(WorkerEntry worker, boolean well, long now) {
-        worker.getHealth().judge(well);
-        if (worker.getHealth().getFailuresInRow() >= MOST_FAILURES) {
+    void recordOutcome(WorkerEntry worker, boolean well, long now) {
+        worker.getHealth().recordOutcome(well);
+        if (worker.getHealth().getConsecutiveFailures() >= MOST_FAILURES) {
             worker.getHealth().avoidUntil(now + ASIDE_MILLIS);
             LOG.info("worker-set-aside")
-                    .with("worker", worker.getLife())
-                    .with("failures", worker.getHealth().getFailuresInRow())
+                    .with("worker", worker.getIncarnation())
+                    .with("failures", worker.getHealth().getConsecutiveFailures())
                     .write();
         }
     }
@@ -221,8 +226,8 @@
      * @param now the time on the leader's clock
      * @return true if it may be given more
      */
-    boolean given(WorkerEntry worker, long now) {
-        boolean trusted = worker.getHealth().getFailuresInRow() < MOST_FAILURES;
+    boolean recordAssignment(WorkerEntry worker, long now) {
+        boolean trusted = worker.getHealth().getConsecutiveFailures() < MOST_FAILURES;
         if (!trusted) {
             worker.getHealth().avoidUntil(now + TRIAL_MILLIS);
         }
@@ -236,7 +241,7 @@
      * @param now the time on the leader's clock
      * @return the workers
      */
-    List<WorkerEntry> usable(String service, long now) {
+    List<WorkerEntry> findUsable(String service, long now) {
         List<WorkerEntry> usable = new ArrayList<>();
         EvacuatedHalls closed = evacuated.get();
         for (WorkerEntry worker : workers.values()) {
@@ -246,11 +251,11 @@
                             && !worker.getDescription().draining()
                             && !closed.contains(worker.getDescription().hall())
                             && worker.isReachable()
-                            && !worker.getToldGeneration().equals(LeaseGeneration.NONE)
+                            && !worker.getSyncedGeneration().equals(LeaseGeneration.NONE)
                             // What is given under a lease that is over would only wait for the
                             // next.
-                            && now < worker.getMayRunUntil()
-                            && now - worker.getHeardAt() < SILENT_MILLIS
+                            && now < worker.getLeaseExpiryMillis()
+                            && now - worker.getLastReportMillis() < REPORT_TIMEOUT_MILLIS
                             && now >= worker.getHealth().getAvoidUntil();
             if (fit) {
                 usable.add(worker);
@@ -264,7 +269,7 @@
      *
      * @return the halls
      */
-    EvacuatedHalls getEvacuated() {
+    EvacuatedHalls getEvacuatedHalls() {
         return evacuated.get();
     }
 
@@ -283,7 +288,7 @@
      * @param worker the worker
      */
     void remove(WorkerEntry worker) {
-        workers.remove(worker.getLife());
-        changed.add(worker.getLife());
+        workers.remove(worker.getIncarnation());
+        changed.add(worker.getIncarnation());
     }
 }
--- a/src/main/java/org/standlink/cell/SuccessionDesk.java
+++ b/src/main/java/org/standlink/cell/WorkerRestartHandler.java
@@ -19,7 +19,7 @@
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.RunId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.EventLog;
 import org.standlink.wire.AgentReport;
@@ -35,24 +35,24 @@
  * listed what it runs under that generation. From then on it refuses all that came before. Runs
  * that it lists go on there; the others ended with the former life.
  *
- * <p>{@code SuccessionDesk} is not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerRestartHandler} is not thread-safe; the leader's loop owns it.
  */
-final class SuccessionDesk {
+final class WorkerRestartHandler {
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(SuccessionDesk.class);
+    private static final EventLog LOG = EventLog.of(WorkerRestartHandler.class);
 
     /** The workers. */
-    private final WorkerBoard workers;
+    private final WorkerRegistry workers;
 
     /** The agents. */
-    private final AgentBoard agents;
+    private final AgentRegistry agents;
 
     /** Finds tasks that crash their workers. */
-    private final CrashDesk crashes;
+    private final CrashDetector crashes;
 
     /** Takes runs off their workers. */
-    private final ReleaseDesk releases;
+    private final RunReleaser releases;
 
     /** The clock. */
     private final MonotonicClock clock;
@@ -66,11 +66,11 @@
      * @param releases takes runs off their workers
      * @param clock the clock
      */
-    SuccessionDesk(
-            WorkerBoard workers,
-            AgentBoard agents,
-            CrashDesk crashes,
-            ReleaseDesk releases,
+    WorkerRestartHandler(
+            WorkerRegistry workers,
+            AgentRegistry agents,
+            CrashDetector crashes,
+            RunReleaser releases,
             MonotonicClock clock) {
         this.workers = workers;
         this.agents = agents;
@@ -86,15 +86,15 @@
      * @return true if the generation of the sender's lease has risen, so that the report counts for
      *     nothing more
      */
-    boolean begin(AgentReport report) {
+    boolean detectRestarts(AgentReport report) {
         boolean begun = false;
         for (WorkerReport part : report.workers()) {
-            for (WorkerEntry former : workers.findOtherLives(part.worker().life())) {
+            for (WorkerEntry former : workers.findOtherIncarnations(part.worker().incarnation())) {
                 boolean over =
-                        former.isOver()
-                                || report.dead().contains(former.getLife())
+                        former.isEnded()
+                                || report.dead().contains(former.getIncarnation())
                                 || isFollowed(former, part, report.incarnation());
-                begun |= over && end(former, part.worker().life(), report.incarnation());
+                begun |= over && end(former, part.worker().incarnation(), report.incarnation());
             }
         }
         return begun;
@@ -108,10 +108,10 @@
      * @param part what is reported of it
      * @return true if the report of it counts for nothing more
      */
-    boolean isOpen(WorkerEntry present, WorkerReport part) {
+    boolean isResolutionPending(WorkerEntry present, WorkerReport part) {
         List<WorkerEntry> formers =
-                workers.findOtherLives(present.getLife()).stream()
-                        .filter(WorkerEntry::isOver)
+                workers.findOtherIncarnations(present.getIncarnation()).stream()
+                        .filter(WorkerEntry::isEnded)
                         .toList();
         boolean open = !formers.isEmpty() && !(part.listed() && part.reachable());
         if (!open) {
@@ -128,29 +128,30 @@
     private boolean isFollowed(WorkerEntry former, WorkerReport part, Incarnation agent) {
         boolean silent =
                 !former.isReachable()
-                        || clock.nowMillis() - former.getHeardAt() >= WorkerBoard.SILENT_MILLIS;
+                        || clock.nowMillis() - former.getLastReportMillis()
+                                >= WorkerRegistry.REPORT_TIMEOUT_MILLIS;
         return part.reachable()
                 && (silent
                         || agent.equals(former.getAgent())
-                        || part.worker().life().isBornAfter(former.getLife()));
+                        || part.worker().incarnation().isStartedAfter(former.getIncarnation()));
     }
 
     /** Ends a life; false if all orders of it are barred already where the next one is. */
-    private boolean end(WorkerEntry former, WorkerLife present, Incarnation agent) {
+    private boolean end(WorkerEntry former, WorkerIncarnation present, Incarnation agent) {
         LeaseGeneration known = agents.getGeneration(agent);
-        if (former.isOver() && !former.getBarredBy().isAfter(known)) {
+        if (former.isEnded() && !former.getFenceGeneration().isAfter(known)) {
             return false;
         }
-        if (!former.isOver() && former.getLife().isKnown()) {
-            crashes.crashed(former).forEach(releases::touch);
+        if (!former.isEnded() && former.getIncarnation().hasStartTime()) {
+            crashes.recordCrash(former).forEach(releases::markTaskChanged);
         }
         agents.raiseGeneration(agent, "worker-started-again");
-        former.endBy(agents.getGeneration(agent));
+        former.markEnded(agents.getGeneration(agent));
         LOG.info("worker-started-again")
-                .with("former", former.getLife())
+                .with("former", former.getIncarnation())
                 .with("present", present)
                 .with("runs", former.listTasks().size())
-                .with("generation", former.getBarredBy())
+                .with("generation", former.getFenceGeneration())
                 .write();
         return true;
     }
@@ -160,14 +161,14 @@
             if (isListed(part, task.getRun())) {
                 LOG.info("taken-over")
                         .with("run", task.getRun())
-                        .with("worker", present.getLife())
+                        .with("worker", present.getIncarnation())
                         .write();
-                former.remove(task);
-                task.findAt(present.getLife());
-                present.add(task);
-                releases.touch(task);
+                former.removeTask(task);
+                task.setWorker(present.getIncarnation());
+                present.addTask(task);
+                releases.markTaskChanged(task);
             } else {
-                releases.release(task, former.getLife(), "worker-started-again");
+                releases.release(task, former.getIncarnation(), "worker-started-again");
             }
         }
         workers.remove(former);
--- a/src/main/java/org/standlink/command/PlatformAgentCommand.java
+++ b/src/main/java/org/standlink/command/PlatformAgentCommand.java
@@ -24,14 +24,14 @@
 import org.standlink.VmId;
 import org.standlink.admin.HealthApi;
 import org.standlink.cell.CellTimes;
-import org.standlink.cell.LeaderSeat;
+import org.standlink.cell.LeadershipManager;
 import org.standlink.election.Candidate;
 import org.standlink.election.Claim;
 import org.standlink.election.LeaderLink;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.platform.HeartbeatServer;
 import org.standlink.platform.HttpCaller;
-import org.standlink.platform.HttpWorkerCalls;
+import org.standlink.platform.HttpWorkerClient;
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.process.HttpService;
@@ -99,23 +99,23 @@
                         address,
                         self,
                         leader,
-                        new HttpWorkerCalls(new HttpCaller(base.getExecutor())),
+                        new HttpWorkerClient(new HttpCaller(base.getExecutor())),
                         base.getClock(),
                         base.getLoop(),
                         candidate,
                         this::getEvacuated);
-        LeaderSeat seat =
-                new LeaderSeat(
+        LeadershipManager seat =
+                new LeadershipManager(
                         base.getStore(),
                         new CellTimes(
-                                Math.min(settings.leaseMillis(), CellTimes.LONGEST_LEASE_MILLIS),
+                                Math.min(settings.leaseMillis(), CellTimes.MAX_LEASE_MILLIS),
                                 settings.statusMillis()),
                         base.getClock(),
                         base.getLoop(),
                         self,
                         leader,
                         this::getEvacuated);
-        operator = new OperatorTopic(seat::offer);
+        operator = new OperatorTopic(seat::offerConfiguration);
         // Reading begins before the servers are made, which takes about half of a start.
         base.followOperator(operator);
         claims = base.followClaims(claim -> claimed(claim, candidate, seat, base));
@@ -138,9 +138,10 @@
         return operator.getEvacuated();
     }
 
-    private void claimed(Claim claim, Candidate candidate, LeaderSeat seat, PlatformBase base) {
-        candidate.claimed(claim);
-        seat.claimed(claim);
+    private void claimed(
+            Claim claim, Candidate candidate, LeadershipManager seat, PlatformBase base) {
+        candidate.observeClaim(claim);
+        seat.applyClaim(claim);
         if (listening) {
             // Whoever sees that nobody leads need not wait for the next look.
             base.getLoop().execute(candidate::tick);
@@ -158,7 +159,7 @@
         agent.handle(connection, call, message);
     }
 
-    private static void stop(LeaderSeat seat) throws InterruptedException {
+    private static void stop(LeadershipManager seat) throws InterruptedException {
         LOG.info("stopping").write();
         try {
             seat.resign(RESIGN_MILLIS).get(RESIGN_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/standlink/command/PlatformEntryCommand.java
+++ b/src/main/java/org/standlink/command/PlatformEntryCommand.java
@@ -87,7 +87,7 @@
         if (claim.isHeld()) {
             leader.offer(new LeaderNotice(claim.epoch(), claim.address()), "store");
         } else {
-            leader.resigned(claim.epoch());
+            leader.leaderResigned(claim.epoch());
         }
     }
 
--- a/src/main/java/org/standlink/election/Candidate.java
+++ b/src/main/java/org/standlink/election/Candidate.java
@@ -43,29 +43,29 @@
      * After how long without an answer, or without a record that the leader could keep, the store
      * is watched, in milliseconds: an agent hears from its leader every 500 ms.
      */
-    static final long WATCH_MILLIS = 600;
+    static final long WATCH_DELAY_MILLIS = 600;
 
     /** After how long without an answer a leader is suspected, in milliseconds: two heartbeats. */
-    static final long SUSPECT_MILLIS = 1100;
+    static final long SUSPECT_TIMEOUT_MILLIS = 1100;
 
     /**
      * How long the store must be without a record of a suspected leader, in milliseconds: four of
      * its records; in a store that is slowed seventyfold one takes half of it.
      */
-    static final long SILENCE_MILLIS = 1200;
+    static final long STORE_SILENCE_MILLIS = 1200;
 
     /**
      * How long the store must be without a record of a leader that is gone from its address, in
      * milliseconds: longer than between two of its records, in case it is cut off from this process
      * only.
      */
-    static final long GONE_MILLIS = 350;
+    static final long ABSENT_LEADER_SILENCE_MILLIS = 350;
 
     /**
      * For how long a leader must have had no store to be replaced, in milliseconds; after an outage
      * for all, its next try comes within one call and a pause.
      */
-    static final long STORELESS_MILLIS = 1500;
+    static final long LEADER_STORE_OUTAGE_MILLIS = 1500;
 
     /** The log. */
     private static final EventLog LOG = EventLog.of(Candidate.class);
@@ -126,7 +126,7 @@
         this.address = address;
         this.self = self;
         this.claimsRead = claimsRead;
-        this.leaderSeen = clock.nowMillis() - SUSPECT_MILLIS;
+        this.leaderSeen = clock.nowMillis() - SUSPECT_TIMEOUT_MILLIS;
     }
 
     /**
@@ -134,7 +134,7 @@
      *
      * @param claim the claim
      */
-    public synchronized void claimed(Claim claim) {
+    public synchronized void observeClaim(Claim claim) {
         if (claim.epoch().compareTo(newest.epoch()) >= 0) {
             if (!newest.equals(Claim.NONE)) {
                 // Whoever has just claimed reads the state before it answers and writes; who led
@@ -153,13 +153,13 @@
         leaderSeen = clock.nowMillis();
         storeSilent = storeSilentMillis;
         gone = false;
-        if (storeSilent < WATCH_MILLIS) {
+        if (storeSilent < WATCH_DELAY_MILLIS) {
             quietSince = -1;
         }
     }
 
     @Override
-    public synchronized void leaderGone() {
+    public synchronized void leaderAbsent() {
         gone = true;
     }
 
@@ -188,7 +188,7 @@
     /** A process that gave the place up, perhaps as it had failed, lets the others go first. */
     private void claimVacant() {
         boolean gaveUp = newest.holder().equals(self);
-        if (!gaveUp || clock.nowMillis() - leaderSeen >= SUSPECT_MILLIS) {
+        if (!gaveUp || clock.nowMillis() - leaderSeen >= SUSPECT_TIMEOUT_MILLIS) {
             claim("no leader");
         }
     }
@@ -197,16 +197,16 @@
         return !newest.isHeld()
                 || newest.address().equals(address)
                 || gone
-                || storeSilent >= WATCH_MILLIS
-                || clock.nowMillis() - leaderSeen >= WATCH_MILLIS;
+                || storeSilent >= WATCH_DELAY_MILLIS
+                || clock.nowMillis() - leaderSeen >= WATCH_DELAY_MILLIS;
     }
 
     /** Decides by how long the store has been without a record of the leader. */
     private boolean isToBeReplaced(long quietMillis) {
-        boolean suspected = clock.nowMillis() - leaderSeen >= SUSPECT_MILLIS;
-        return gone && quietMillis >= GONE_MILLIS
-                || suspected && quietMillis >= SILENCE_MILLIS
-                || storeSilent >= STORELESS_MILLIS && quietMillis >= SILENCE_MILLIS;
+        boolean suspected = clock.nowMillis() - leaderSeen >= SUSPECT_TIMEOUT_MILLIS;
+        return gone && quietMillis >= ABSENT_LEADER_SILENCE_MILLIS
+                || suspected && quietMillis >= STORE_SILENCE_MILLIS
+                || storeSilent >= LEADER_STORE_OUTAGE_MILLIS && quietMillis >= STORE_SILENCE_MILLIS;
     }
 
     private synchronized void judge(Long end, Throwable failure) {
--- a/src/main/java/org/standlink/election/LeaderCalls.java
+++ b/src/main/java/org/standlink/election/LeaderClient.java
@@ -25,7 +25,7 @@
  *
  * <p>Implementations are thread-safe.
  */
-public interface LeaderCalls {
+public interface LeaderClient {
 
     /**
      * Takes note of a leader; one of an older epoch is passed over.
@@ -57,7 +57,7 @@
      * @param failure why the call failed, null if it did not
      * @return true if the connection was refused
      */
-    static boolean isRefused(Throwable failure) {
+    static boolean isConnectionRefused(Throwable failure) {
         Throwable cause = failure;
         while (cause != null && !(cause instanceof ConnectException)) {
             cause = cause.getCause();
--- a/src/main/java/org/standlink/election/LeaderLink.java
+++ b/src/main/java/org/standlink/election/LeaderLink.java
@@ -35,7 +35,7 @@
  *
  * <p>{@code LeaderLink} is thread-safe.
  */
-public final class LeaderLink implements LeaderCalls, AutoCloseable {
+public final class LeaderLink implements LeaderClient, AutoCloseable {
 
     /** The log. */
     private static final EventLog LOG = EventLog.of(LeaderLink.class);
@@ -106,7 +106,7 @@
      *
      * @param epoch the epoch
      */
-    public synchronized void resigned(Epoch epoch) {
+    public synchronized void leaderResigned(Epoch epoch) {
         if (epoch.equals(leader.epoch())) {
             leader = new LeaderNotice(epoch, "");
             close();
@@ -154,7 +154,7 @@
      *
      * @return true if it has left all calls unanswered for a while
      */
-    public synchronized boolean isSilent() {
+    public synchronized boolean isUnresponsive() {
         long now = clock.nowMillis();
         boolean silent = waitingSince >= 0 && now - waitingSince > SILENT_MILLIS;
         if (silent && now - triedAt >= PROBE_MILLIS) {
--- a/src/main/java/org/standlink/election/LeaderObserver.java
+++ b/src/main/java/org/standlink/election/LeaderObserver.java
@@ -30,5 +30,5 @@
     void leaderAnswered(long storeSilentMillis);
 
     /** Nobody leads at the leader's address: it refuses connections, or says that it does not. */
-    void leaderGone();
+    void leaderAbsent();
 }
--- a/src/main/java/org/standlink/entry/RequestRouter.java
+++ b/src/main/java/org/standlink/entry/RequestRouter.java
@@ -141,7 +141,7 @@
         Set<VmId> tried = new HashSet<>();
         String unknown = null;
         ForwardAnswer last = null;
-        retries.requested();
+        retries.recordRequest();
         for (int tries = 0; tries < MOST_TRIES; tries++) {
             long left = untilMillis - clock.nowMillis();
             Upstream upstream = choose(request, bundle, tried);
@@ -225,7 +225,7 @@
         RequestId id = new RequestId(incarnation, lastTry.incrementAndGet());
         Forward forward = request.toForward(id, left);
         long start = System.nanoTime();
-        outliers.sent(upstream.getVm(), clock.nowMillis());
+        outliers.recordSend(upstream.getVm(), clock.nowMillis());
         upstream.sent();
         ForwardAnswer answer;
         try {
@@ -243,9 +243,9 @@
     private void judge(Upstream upstream, ForwardAnswer answer, long micros) {
         long now = clock.nowMillis();
         if (answer.outcome() == Outcome.ANSWERED && answer.status() < 500) {
-            outliers.answered(upstream.getVm(), micros, now);
+            outliers.recordAnswer(upstream.getVm(), micros, now);
         } else {
-            outliers.failed(upstream.getVm(), now);
+            outliers.recordFailure(upstream.getVm(), now);
         }
         registry.counter("standlink.entry.tries", "outcome", answer.outcome().toString())
                 .increment();
--- a/src/main/java/org/standlink/gateway/JobCall.java
+++ b/src/main/java/org/standlink/gateway/JobCall.java
@@ -47,7 +47,7 @@
      *
      * @return true if so
      */
-    public boolean isLook() {
+    public boolean isReadOnly() {
         return kind == Kind.STATE || kind == Kind.COUNT;
     }
 }
--- a/src/main/java/org/standlink/gateway/JobGateway.java
+++ b/src/main/java/org/standlink/gateway/JobGateway.java
@@ -118,7 +118,7 @@
      *
      * @return the limit in bytes, empty if there is none
      */
-    public OptionalInt getMostBodyBytes() {
+    public OptionalInt getMaxBodyBytes() {
         int most = configuration.get().mostBodyBytes();
         return most > 0 ? OptionalInt.of(most) : OptionalInt.empty();
     }
@@ -152,7 +152,7 @@
         if (call.kind() == null) {
             return JobReply.of(405, "use POST, GET or DELETE for a job, GET for a queue");
         }
-        JobReply reply = new LeaderInquiry(leader, clock, mayWait, call, queue.get().name()).run();
+        JobReply reply = new LeaderRequest(leader, clock, mayWait, call, queue.get().name()).run();
         // The reply holds whatever becomes of its record.
         Guarded.work(
                         "record",
--- a/src/main/java/org/standlink/gateway/LeaderInquiry.java
+++ b/src/main/java/org/standlink/gateway/LeaderRequest.java
@@ -34,9 +34,9 @@
  * Asks the leader one caller's question, again if need be, until there is an answer or the caller's
  * time is over, and says truly what became of it.
  *
- * <p>{@code LeaderInquiry} is mutable and not thread-safe; each request has its own.
+ * <p>{@code LeaderRequest} is mutable and not thread-safe; each request has its own.
  */
-final class LeaderInquiry {
+final class LeaderRequest {
 
     /**
      * How long a request waits for a leader to be reachable, in milliseconds, at its start and
@@ -97,7 +97,7 @@
      * @param call the caller's request
      * @param queue the name of its queue
      */
-    LeaderInquiry(
+    LeaderRequest(
             LeaderLink leader,
             MonotonicClock clock,
             Semaphore mayWait,
@@ -128,7 +128,7 @@
      */
     JobReply run() {
         while (clock.nowMillis() <= end && isInTime()) {
-            if (leader.isSilent()) {
+            if (leader.isUnresponsive()) {
                 note("the leader does not answer");
                 if (leader.isConnected()) {
                     break;
@@ -235,7 +235,7 @@
     /** A question without an answer: a mere look had no effect, anything else may have had. */
     private JobReply notKnown() {
         String told = "the leader's answer was lost: " + reason;
-        return call.isLook() ? JobReply.ofNotRun(told) : JobReply.of(504, told);
+        return call.isReadOnly() ? JobReply.ofNotRun(told) : JobReply.of(504, told);
     }
 
     /** Waits a little, unless too many requests wait already. */
--- a/src/main/java/org/standlink/job/Configuration.java
+++ b/src/main/java/org/standlink/job/Configuration.java
@@ -76,7 +76,7 @@
      * @return the number; one if the queue is no longer configured, no limit as long as no
      *     configuration has been read
      */
-    public int getMostAttempts(String name) {
+    public int getMaxAttempts(String name) {
         int otherwise = isRead() ? OTHERWISE_ATTEMPTS : Integer.MAX_VALUE;
         return findQueue(name).map(QueueDefinition::mostAttempts).orElse(otherwise);
     }
--- a/src/main/java/org/standlink/job/JobDefinition.java
+++ b/src/main/java/org/standlink/job/JobDefinition.java
@@ -49,7 +49,7 @@
      *
      * @return the number, 1 or more
      */
-    public int times() {
+    public int repetitionCount() {
         return Math.max(1, repetitions);
     }
 
--- a/src/main/java/org/standlink/job/RunProgress.java
+++ b/src/main/java/org/standlink/job/RunProgress.java
@@ -25,8 +25,8 @@
  * @param run the run
  * @param checkpoint the state it saved last, empty if none
  * @param percent how much of its work is done, 0 to 100
- * @param figure of the last half second: a serving task's tail latency in milliseconds, any other
- *     task's processor use in thousandths of a core
+ * @param measurement of the last half second: a serving task's tail latency in milliseconds, any
+ *     other task's processor use in thousandths of a core
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-public record RunProgress(RunId run, String checkpoint, int percent, long figure) {}
+public record RunProgress(RunId run, String checkpoint, int percent, long measurement) {}
--- a/src/main/java/org/standlink/job/StepDefinition.java
+++ b/src/main/java/org/standlink/job/StepDefinition.java
@@ -35,13 +35,13 @@
  * @param rackLocal whether a gang slows down when it spans racks
  * @param requiredLabel the label that a worker must have, empty if any will do
  * @param dataRack the rack where the data is, empty if anywhere
- * @param mostPerWorker the most tasks of the step on one worker, 0 for no limit
+ * @param maxPerWorker the most tasks of the step on one worker, 0 for no limit
  * @param speculative whether copies of a task may run side by side
  * @param longRunning whether tasks run until the job is cancelled
  * @param image what the tasks run, empty if not told
  * @param targetMillis the tail latency that a serving task is to keep, in milliseconds; 0 if none
  * @param bestEffort whether the tasks use only processors that others leave idle
- * @param mayMiss how many tasks the system may hold away at once, by its own doing
+ * @param maxUnavailable how many tasks the system may hold away at once, by its own doing
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record StepDefinition(
@@ -54,20 +54,20 @@
         boolean rackLocal,
         String requiredLabel,
         String dataRack,
-        int mostPerWorker,
+        int maxPerWorker,
         boolean speculative,
         boolean longRunning,
         String image,
         double targetMillis,
         boolean bestEffort,
-        int mayMiss) {
+        int maxUnavailable) {
 
     /**
      * Gets what a task takes of a worker's room: a best-effort task takes no processors of it.
      *
      * @return the amount that must be free on the worker
      */
-    public Resources room() {
+    public Resources requiredCapacity() {
         return bestEffort
                 ? new Resources(0, demand.memoryMegabytes(), demand.accelerators())
                 : demand;
--- a/src/main/java/org/standlink/job/WorkerDescription.java
+++ b/src/main/java/org/standlink/job/WorkerDescription.java
@@ -25,7 +25,7 @@
  *
  * <p>{@code WorkerDescription} is thread-safe and immutable.
  *
- * @param life the life of the worker
+ * @param incarnation the life of the worker
  * @param service the service whose queues it may run
  * @param address where it takes calls, host and port
  * @param capacity its room
@@ -36,7 +36,7 @@
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record WorkerDescription(
-        WorkerLife life,
+        WorkerIncarnation incarnation,
         String service,
         String address,
         Resources capacity,
--- a/src/main/java/org/standlink/job/WorkerId.java
+++ b/src/main/java/org/standlink/job/WorkerId.java
@@ -19,7 +19,7 @@
 import org.standlink.AbstractIdentifier;
 
 /**
- * Names a worker; one that starts again may have the same id, see {@link WorkerLife}.
+ * Names a worker; one that starts again may have the same id, see {@link WorkerIncarnation}.
  *
  * <p>{@code WorkerId} is thread-safe and immutable.
  */
