--- a/src/main/java/org/standlink/job/WorkerLife.java
+++ b/src/main/java/org/standlink/job/WorkerIncarnation.java
@@ -29,9 +29,9 @@
  * present one is told by who answers, not by the births: a worker's time of day may have been set
  * back between two starts.
  *
- * <p>{@code WorkerLife} is thread-safe and immutable.
+ * <p>{@code WorkerIncarnation} is thread-safe and immutable.
  */
-public final class WorkerLife {
+public final class WorkerIncarnation {
 
     /** Stands between id and birth; no id holds it. */
     private static final char SEPARATOR = '@';
@@ -51,7 +51,7 @@
      * @param id the id of the worker
      * @param bornMillis when the life began, checked
      */
-    private WorkerLife(WorkerId id, long bornMillis) {
+    private WorkerIncarnation(WorkerId id, long bornMillis) {
         this.id = id;
         this.bornMillis = bornMillis;
     }
@@ -64,11 +64,11 @@
      * @return the life
      * @throws StandlinkException with code INVALID_IDENTIFIER if the birth is negative
      */
-    public static WorkerLife of(WorkerId id, long bornMillis) {
+    public static WorkerIncarnation of(WorkerId id, long bornMillis) {
         if (bornMillis < 0) {
             throw malformed(id + "" + SEPARATOR + bornMillis);
         }
-        return new WorkerLife(id, bornMillis);
+        return new WorkerIncarnation(id, bornMillis);
     }
 
     /**
@@ -77,8 +77,8 @@
      * @param id the id of the worker
      * @return the life
      */
-    public static WorkerLife withoutBirth(WorkerId id) {
-        return new WorkerLife(id, NO_BIRTH);
+    public static WorkerIncarnation withoutStartTime(WorkerId id) {
+        return new WorkerIncarnation(id, NO_BIRTH);
     }
 
     /**
@@ -90,10 +90,10 @@
      * @throws StandlinkException with code INVALID_IDENTIFIER if it is none
      */
     @JsonCreator
-    public static WorkerLife parse(String text) {
+    public static WorkerIncarnation parse(String text) {
         int at = text == null ? -1 : text.indexOf(SEPARATOR);
         if (at < 0) {
-            return withoutBirth(WorkerId.parse(text));
+            return withoutStartTime(WorkerId.parse(text));
         }
         WorkerId id = WorkerId.parse(text.substring(0, at));
         try {
@@ -125,7 +125,7 @@
      *
      * @return false if the worker or an older program told none
      */
-    public boolean isKnown() {
+    public boolean hasStartTime() {
         return bornMillis != NO_BIRTH;
     }
 
@@ -136,7 +136,7 @@
      * @param other the other life
      * @return true if the two differ and have one id
      */
-    public boolean isOtherLifeOf(WorkerLife other) {
+    public boolean isOtherIncarnationOf(WorkerIncarnation other) {
         return id.equals(other.id) && bornMillis != other.bornMillis;
     }
 
@@ -146,14 +146,14 @@
      * @param other the other life
      * @return true if so
      */
-    public boolean isBornAfter(WorkerLife other) {
+    public boolean isStartedAfter(WorkerIncarnation other) {
         return bornMillis > other.bornMillis;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public boolean equals(Object object) {
-        return object instanceof WorkerLife other
+        return object instanceof WorkerIncarnation other
                 && bornMillis == other.bornMillis
                 && id.equals(other.id);
     }
@@ -166,6 +166,6 @@
     @JsonValue
     @Override
     public String toString() {
-        return isKnown() ? id.toString() + SEPARATOR + bornMillis : id.toString();
+        return hasStartTime() ? id.toString() + SEPARATOR + bornMillis : id.toString();
     }
 }
--- a/src/main/java/org/standlink/leader/CellLeader.java
+++ b/src/main/java/org/standlink/leader/BundleCellLeader.java
@@ -45,9 +45,9 @@
  * is not handed to its agent any more, even if the agent comes back or the job is added again
  * first.
  *
- * <p>{@code CellLeader} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code BundleCellLeader} is mutable and not thread-safe; its owner guards it.
  */
-public final class CellLeader {
+public final class BundleCellLeader {
 
     /** How far apart the first revisions of two epochs are. */
     private static final long REVISIONS_PER_EPOCH = 1L << 32;
@@ -95,7 +95,7 @@
      * @param claimedMillis when the claim had been seen in the log, in milliseconds
      * @param confirmedMillis when the read of the log that showed the claim began, in milliseconds
      */
-    public CellLeader(
+    public BundleCellLeader(
             Epoch epoch,
             Incarnation incarnation,
             LeaseTimes times,
--- a/src/main/java/org/standlink/leader/CellPlanner.java
+++ b/src/main/java/org/standlink/leader/CellPlanner.java
@@ -41,17 +41,17 @@
 import org.standlink.policy.LearnedInterference;
 import org.standlink.policy.LearnedSizes;
 import org.standlink.policy.PlacementDecision;
-import org.standlink.policy.Plan;
+import org.standlink.policy.PlanningResult;
 import org.standlink.policy.ReliefAction;
 import org.standlink.policy.ReliefPolicy;
 import org.standlink.policy.RunningTask;
 import org.standlink.policy.ServiceLoad;
-import org.standlink.policy.ServiceMeasure;
+import org.standlink.policy.ServiceMeasurement;
 import org.standlink.policy.SizeEstimator;
 import org.standlink.policy.TaskDemand;
 import org.standlink.policy.TaskPlanner;
 import org.standlink.policy.WaitingReason;
-import org.standlink.policy.WorkerHealth;
+import org.standlink.policy.WorkerHealthPolicy;
 import org.standlink.policy.WorkerView;
 import org.standlink.wire.Assignment;
 import org.standlink.wire.Heartbeat;
@@ -89,7 +89,7 @@
     private final ReliefPolicy relief = new GradualRelief(interference);
 
     /** Health of workers and jobs. */
-    private final WorkerHealth health = new WorkerHealth();
+    private final WorkerHealthPolicy health = new WorkerHealthPolicy();
 
     /** The load of the services on each VM, as last reported. */
     private final Map<VmId, List<ServiceLoad>> loads = new HashMap<>();
@@ -178,8 +178,8 @@
             present.add(load);
             interference.observe(load, classes, report.latencyPercent());
             if (isManaged(bundle, report)) {
-                ServiceMeasure measure =
-                        new ServiceMeasure(heartbeat.vm(), load, report.latencyPercent());
+                ServiceMeasurement measure =
+                        new ServiceMeasurement(heartbeat.vm(), load, report.latencyPercent());
                 relief.relieve(measure, beside).forEach(action -> act(action, state));
             }
         }
@@ -195,7 +195,7 @@
     void ended(TaskEvent event, VmId worker) {
         orders.forget(event.task());
         if (event.kind() == TaskEvent.Kind.FINISH) {
-            health.succeeded(worker, event.task());
+            health.recordSuccess(worker, event.task());
         }
     }
 
@@ -207,7 +207,7 @@
      * @param nowMillis the time, in milliseconds
      */
     void failed(TaskEvent event, VmId worker, long nowMillis) {
-        health.failed(worker, event.task(), nowMillis);
+        health.recordFailure(worker, event.task(), nowMillis);
     }
 
     /**
@@ -232,7 +232,8 @@
         List<RunningTask> running = views.running(state, agents);
         List<WorkerView> workers =
                 views.workers(agents, running, loads, vm -> health.isUsable(vm, nowMillis));
-        Plan plan = planner(bundle).plan(demands, workers, running, views.quotas(running));
+        PlanningResult plan =
+                planner(bundle).plan(demands, workers, running, views.quotas(running));
         plan.evictions().forEach(task -> orders.stop(task, state.get(task).attempt()));
         reasons.putAll(plan.waiting());
         waiting = reasons;
@@ -258,12 +259,12 @@
     }
 
     // -----------------------------------------------------------------------
-    private List<TaskEvent> events(Plan plan, CellState state) {
+    private List<TaskEvent> events(PlanningResult plan, CellState state) {
         List<TaskEvent> events = new ArrayList<>();
         for (Map.Entry<TaskId, PlacementDecision> placed : plan.placements().entrySet()) {
             PlacementDecision decision = placed.getValue();
             Attempt attempt = state.get(placed.getKey()).attempt().next();
-            health.assigned(decision.worker());
+            health.recordAssignment(decision.worker());
             events.add(
                     TaskEvent.ofAssign(
                             placed.getKey(), attempt, decision.worker(), decision.resources()));
@@ -284,7 +285,7 @@
             }
             if (job.mode() == Mode.OBSERVE) {
                 reasons.put(task, WaitingReason.OBSERVED.toString());
-            } else if (health.isHeldBack(job.id())) {
+            } else if (health.isSuspended(job.id())) {
                 reasons.put(task, WaitingReason.KEEPS_FAILING.toString());
             } else {
                 demands.add(demand(job, task, bundle));
@@ -309,7 +310,7 @@
                 hoursLeft,
                 rule.map(r -> Set.copyOf(r.halls())).orElse(Set.of()),
                 rule.map(r -> Set.copyOf(r.avoidServices())).orElse(Set.of()),
-                health.getAvoided(task));
+                health.getAvoidedWorkers(task));
     }
 
     private CellViews views(Bundle bundle) {
--- a/src/main/java/org/standlink/leader/CellStatus.java
+++ b/src/main/java/org/standlink/leader/CellStatus.java
@@ -53,7 +53,8 @@
      * @param nowMillis the time, in milliseconds
      * @return the JSON text
      */
-    static String describe(CellLeader leader, CellState state, Bundle bundle, long nowMillis) {
+    static String describe(
+            BundleCellLeader leader, CellState state, Bundle bundle, long nowMillis) {
         ObjectNode top = MAPPER.createObjectNode();
         top.put("cell", state.getCell().toString());
         top.put("epoch", state.getEpoch().getValue());
@@ -79,7 +80,7 @@
     }
 
     private static ObjectNode worker(
-            WorkerSpecification worker, CellLeader leader, long nowMillis) {
+            WorkerSpecification worker, BundleCellLeader leader, long nowMillis) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("vm", worker.vm().toString());
         node.put("hall", worker.hall().toString());
@@ -107,7 +108,7 @@
     }
 
     private static void addTasks(
-            ArrayNode tasks, JobSpecification job, CellLeader leader, CellState state) {
+            ArrayNode tasks, JobSpecification job, BundleCellLeader leader, CellState state) {
         Map<TaskId, String> waiting = leader.getPlanner().getWaiting();
         for (int index = 0; index < job.tasks(); index++) {
             TaskState task = state.get(TaskId.of(job.id(), index));
@@ -125,7 +126,7 @@
         }
     }
 
-    private static String phaseOf(TaskState task, CellLeader leader) {
+    private static String phaseOf(TaskState task, BundleCellLeader leader) {
         if (!task.isAssigned()) {
             return task.phase().name().toLowerCase(java.util.Locale.ROOT);
         }
--- a/src/main/java/org/standlink/leader/CellViews.java
+++ b/src/main/java/org/standlink/leader/CellViews.java
@@ -36,7 +36,7 @@
 import org.standlink.bundle.WorkerSpecification;
 import org.standlink.log.CellState;
 import org.standlink.log.TaskState;
-import org.standlink.policy.QuotaLedger;
+import org.standlink.policy.QuotaUsage;
 import org.standlink.policy.RunningTask;
 import org.standlink.policy.ServiceLoad;
 import org.standlink.policy.WorkerView;
@@ -77,12 +77,12 @@
      * @param running the tasks that hold room
      * @return the quotas with what is held of them
      */
-    QuotaLedger quotas(List<RunningTask> running) {
+    QuotaUsage quotas(List<RunningTask> running) {
         Map<TeamId, Resources> quotas = new HashMap<>();
         for (TeamSpecification team : bundle.teams()) {
             quotas.put(team.id(), team.quota());
         }
-        QuotaLedger ledger = new QuotaLedger(quotas);
+        QuotaUsage ledger = new QuotaUsage(quotas);
         running.forEach(task -> ledger.add(task.team(), task.granted()));
         return ledger;
     }
@@ -114,9 +114,9 @@
         for (RunningTask task : running) {
             WorkerView view = byVm.get(task.worker());
             if (view != null && task.queued()) {
-                view.addBacklog();
+                view.addQueued();
             } else if (view != null) {
-                view.add(task.batchClass(), task.granted());
+                view.addTask(task.batchClass(), task.granted());
             }
         }
         return views;
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -30,6 +30,7 @@
 import org.standlink.bundle.BundleHolder;
 import org.standlink.lease.LeaseTimes;
 import org.standlink.lease.MonotonicClock;
+import org.standlink.log.BundleTaskRecord;
 import org.standlink.log.CellState;
 import org.standlink.log.ClaimRecord;
 import org.standlink.log.LogFold;
@@ -37,7 +38,6 @@
 import org.standlink.log.LogRecord;
 import org.standlink.log.RecordCodec;
 import org.standlink.log.TaskEvent;
-import org.standlink.log.TaskRecord;
 import org.standlink.port.LogPort;
 import org.standlink.wire.Heartbeat;
 import org.standlink.wire.HeartbeatAnswer;
@@ -98,7 +98,7 @@
     private final Counter appendFailures;
 
     /** The leader, null while this process does not lead. */
-    private CellLeader leader;
+    private BundleCellLeader leader;
 
     /** The sequence of the last append. */
     private long sequence;
@@ -179,7 +179,7 @@
         follower.poll();
         follower.read(fold -> holder.offer(fold.getBundles().getSignedText(), versionOf(fold)));
         follow(readStart);
-        TaskRecord record = decide();
+        BundleTaskRecord record = decide();
         if (record != null) {
             append(record);
             follower.poll();
@@ -289,7 +289,9 @@
     private void takeUp(CellState state, long readStart) {
         CellPlanner planner = new CellPlanner(cell, hourOfDay);
         long claimed = clock.nowMillis();
-        leader = new CellLeader(state.getEpoch(), incarnation, times, planner, claimed, readStart);
+        leader =
+                new BundleCellLeader(
+                        state.getEpoch(), incarnation, times, planner, claimed, readStart);
         sequence = state.getSequence();
         announceUntilMillis = clock.nowMillis() + ANNOUNCE_MILLIS;
         snapshotMillis = readStart - retentionMillis;
@@ -311,7 +313,7 @@
         }
     }
 
-    private synchronized TaskRecord decide() {
+    private synchronized BundleTaskRecord decide() {
         Bundle bundle = holder.getBundle();
         long now = clock.nowMillis();
         if (leader == null || bundle == null || bundle.findCell(cell).isEmpty()) {
@@ -327,7 +329,7 @@
         }
         appendedMillis = now;
         sequence++;
-        return new TaskRecord(RecordCodec.newId(), cell, leader.getEpoch(), sequence, events);
+        return new BundleTaskRecord(RecordCodec.newId(), cell, leader.getEpoch(), sequence, events);
     }
 
     private void snapshotIfDue() {
--- a/src/main/java/org/standlink/log/TaskRecord.java
+++ b/src/main/java/org/standlink/log/BundleTaskRecord.java
@@ -23,7 +23,7 @@
  * A batch of task events by the leader of a cell; valid only with the current epoch and a sequence
  * above the last.
  *
- * <p>{@code TaskRecord} is thread-safe and immutable.
+ * <p>{@code SubmittedTaskRecord} is thread-safe and immutable.
  *
  * @param id drawn by the writer
  * @param cell the cell
@@ -32,5 +32,6 @@
  *     void
  * @param events the events, applied in order
  */
-public record TaskRecord(String id, CellId cell, Epoch epoch, long sequence, List<TaskEvent> events)
+public record BundleTaskRecord(
+        String id, CellId cell, Epoch epoch, long sequence, List<TaskEvent> events)
         implements LogRecord {}
--- a/src/main/java/org/standlink/log/CellState.java
+++ b/src/main/java/org/standlink/log/CellState.java
@@ -96,7 +96,7 @@
      * @param record the events
      * @return true if the record is not void
      */
-    public boolean apply(TaskRecord record) {
+    public boolean apply(BundleTaskRecord record) {
         if (!record.cell().equals(cell)
                 || !record.epoch().equals(epoch)
                 || record.sequence() <= sequence) {
--- a/src/main/java/org/standlink/log/LogFold.java
+++ b/src/main/java/org/standlink/log/LogFold.java
@@ -135,7 +135,7 @@
             if (offset > coveredCells.getOrDefault(claim.cell(), -1L)) {
                 claim(claim);
             }
-        } else if (record instanceof TaskRecord tasks) {
+        } else if (record instanceof BundleTaskRecord tasks) {
             if (offset > coveredCells.getOrDefault(tasks.cell(), -1L) && isKnown(tasks.cell())) {
                 stateOf(tasks.cell()).apply(tasks);
                 prune(stateOf(tasks.cell()));
--- a/src/main/java/org/standlink/log/LogRecord.java
+++ b/src/main/java/org/standlink/log/LogRecord.java
@@ -28,10 +28,11 @@
 @JsonSubTypes({
     @JsonSubTypes.Type(value = BundleRecord.class, name = "bundle"),
     @JsonSubTypes.Type(value = ClaimRecord.class, name = "claim"),
-    @JsonSubTypes.Type(value = TaskRecord.class, name = "tasks"),
+    @JsonSubTypes.Type(value = BundleTaskRecord.class, name = "tasks"),
     @JsonSubTypes.Type(value = SnapshotRecord.class, name = "snapshot")
 })
-public sealed interface LogRecord permits BundleRecord, ClaimRecord, TaskRecord, SnapshotRecord {
+public sealed interface LogRecord
+        permits BundleRecord, ClaimRecord, BundleTaskRecord, SnapshotRecord {
 
     /**
      * Gets the id drawn by the writer.
--- a/src/main/java/org/standlink/platform/CallerHttp.java
+++ b/src/main/java/org/standlink/platform/CallerHttp.java
@@ -109,7 +109,7 @@
 
     // -----------------------------------------------------------------------
     private void handle(HttpExchange exchange) throws IOException {
-        int most = gateway.getMostBodyBytes().orElse(MOST_BODY_BYTES);
+        int most = gateway.getMaxBodyBytes().orElse(MOST_BODY_BYTES);
         Optional<byte[]> body = RequestBody.read(exchange, most);
         JobReply reply =
                 body.isEmpty() ? tooLong(exchange, most) : reply(exchange, body.orElseThrow());
--- a/src/main/java/org/standlink/platform/HeartbeatServer.java
+++ b/src/main/java/org/standlink/platform/HeartbeatServer.java
@@ -99,9 +99,9 @@
             switch (exchange.getRequestMethod()) {
                 case "PUT" -> {
                     HeartbeatFormat.Heartbeat heartbeat = HeartbeatFormat.decode(id, body);
-                    listener.heartbeat(heartbeat.worker(), heartbeat.sequence());
+                    listener.heartbeatReceived(heartbeat.worker(), heartbeat.sequence());
                 }
-                case "DELETE" -> listener.left(id);
+                case "DELETE" -> listener.workerLeft(id);
                 default -> {
                     return 405;
                 }
--- a/src/main/java/org/standlink/platform/HttpWorkerCalls.java
+++ b/src/main/java/org/standlink/platform/HttpWorkerClient.java
@@ -31,19 +31,19 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.WorkFailures;
 import org.standlink.runner.CallResult;
 import org.standlink.runner.RenewalResult;
-import org.standlink.runner.WorkerCalls;
+import org.standlink.runner.WorkerClient;
 import org.standlink.wire.StartOrder;
 
 /**
  * The calls of a worker over HTTP.
  *
- * <p>{@code HttpWorkerCalls} is thread-safe and immutable.
+ * <p>{@code HttpWorkerClient} is thread-safe and immutable.
  */
-public final class HttpWorkerCalls implements WorkerCalls {
+public final class HttpWorkerClient implements WorkerClient {
 
     /** How long a call may take, in milliseconds; the worker is beside and answers in about 10. */
     private static final long CALL_MILLIS = 500;
@@ -59,7 +59,7 @@
      *
      * @param caller the client
      */
-    public HttpWorkerCalls(HttpCaller caller) {
+    public HttpWorkerClient(HttpCaller caller) {
         this.caller = caller;
     }
 
@@ -113,7 +113,7 @@
                                         ? renewalResult(worker, response)
                                         : noAnswer(failure))
                 // An answer that cannot be read is none: whoever waits must go on asking.
-                .exceptionally(HttpWorkerCalls::noAnswer);
+                .exceptionally(HttpWorkerClient::noAnswer);
     }
 
     // -----------------------------------------------------------------------
@@ -138,7 +138,7 @@
         HttpRequest.Builder request =
                 caller.request(worker.address(), path, timeoutMillis)
                         .header("Content-Type", "application/json")
-                        .header(LIFE_HEADER, worker.life().getId().toString())
+                        .header(LIFE_HEADER, worker.incarnation().getId().toString())
                         .POST(HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
         return caller.send(request);
     }
@@ -200,7 +200,7 @@
             return RenewalResult.notDone(result);
         }
         JsonNode body = body(response);
-        WorkerLife life = LifeFormat.readAnswer(asked.life(), body);
+        WorkerIncarnation life = LifeFormat.readAnswer(asked.incarnation(), body);
         List<RunProgress> running = new ArrayList<>();
         for (JsonNode row : body.path("running")) {
             running.add(
--- a/src/main/java/org/standlink/platform/LifeFormat.java
+++ b/src/main/java/org/standlink/platform/LifeFormat.java
@@ -19,7 +19,7 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * Reads which life of a worker speaks.
@@ -44,10 +44,10 @@
      *     there and not a whole number of milliseconds: what the worker says then counts for none
      *     of its lives
      */
-    static WorkerLife read(WorkerId id, JsonNode fields) {
+    static WorkerIncarnation read(WorkerId id, JsonNode fields) {
         return fields.has(BIRTH)
-                ? WorkerLife.of(id, birth(fields.path(BIRTH)))
-                : WorkerLife.withoutBirth(id);
+                ? WorkerIncarnation.of(id, birth(fields.path(BIRTH)))
+                : WorkerIncarnation.withoutStartTime(id);
     }
 
     /**
@@ -59,9 +59,9 @@
      * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the birth is
      *     not a whole number of milliseconds, or missing though the worker has told one before
      */
-    static WorkerLife readAnswer(WorkerLife asked, JsonNode fields) {
-        return asked.isKnown()
-                ? WorkerLife.of(asked.getId(), birth(fields.path(BIRTH)))
+    static WorkerIncarnation readAnswer(WorkerIncarnation asked, JsonNode fields) {
+        return asked.hasStartTime()
+                ? WorkerIncarnation.of(asked.getId(), birth(fields.path(BIRTH)))
                 : read(asked.getId(), fields);
     }
 
--- a/src/main/java/org/standlink/policy/AbstractPlacement.java
+++ b/src/main/java/org/standlink/policy/AbstractPlacement.java
@@ -27,7 +27,7 @@
 public abstract class AbstractPlacement implements PlacementPolicy {
 
     /** The score of a worker that must not be taken. */
-    protected static final double REFUSED = Double.NEGATIVE_INFINITY;
+    protected static final double INELIGIBLE = Double.NEGATIVE_INFINITY;
 
     /** Estimates what tasks take. */
     private final SizeEstimator sizes;
@@ -45,7 +45,7 @@
     public final PlacementDecision place(TaskDemand demand, List<WorkerView> workers) {
         Resources size = sizes.estimate(demand.batchClass(), demand.declared());
         WorkerView best = null;
-        double bestScore = REFUSED;
+        double bestScore = INELIGIBLE;
         for (WorkerView worker : workers) {
             if (!isAllowed(demand, worker) || !size.fitsIn(worker.getFree())) {
                 continue;
@@ -67,7 +67,7 @@
      * @param demand the task
      * @param worker a worker that may be taken and has room
      * @param size what the task would be granted
-     * @return greater is better; {@link #REFUSED} to leave the worker out
+     * @return greater is better; {@link #INELIGIBLE} to leave the worker out
      */
     protected abstract double score(TaskDemand demand, WorkerView worker, Resources size);
 
@@ -105,7 +105,7 @@
         boolean room = false;
         for (WorkerView worker : workers) {
             boolean here = isPermitted(demand, worker);
-            boolean fits = size.fitsIn(worker.getRoom());
+            boolean fits = size.fitsIn(worker.getAllocatable());
             permitted |= here;
             large &= !(here && fits);
             usable |= here && fits && worker.isUsable();
--- a/src/main/java/org/standlink/policy/GradualRelief.java
+++ b/src/main/java/org/standlink/policy/GradualRelief.java
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public List<ReliefAction> relieve(ServiceMeasure measure, List<RunningTask> beside) {
+    public List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside) {
         Seen here = seen.computeIfAbsent(measure.worker(), key -> new Seen());
         count(here, measure.latencyPercent());
         if (here.settling > 0) {
@@ -118,10 +118,10 @@
     }
 
     private Optional<ReliefAction> tighten(
-            Seen here, ServiceMeasure measure, List<RunningTask> beside) {
+            Seen here, ServiceMeasurement measure, List<RunningTask> beside) {
         Comparator<RunningTask> byShare =
                 Comparator.comparingDouble(
-                        task -> model.estimateShare(measure.load(), task.batchClass()));
+                        task -> model.estimateIncrease(measure.load(), task.batchClass()));
         here.acts++;
         if (here.acts <= ACTS_BEFORE_STOP) {
             Optional<RunningTask> target =
@@ -141,13 +141,13 @@
                 .map(task -> new ReliefAction(task.task(), 0));
     }
 
-    private Optional<ReliefAction> giveBack(ServiceMeasure measure, List<RunningTask> beside) {
+    private Optional<ReliefAction> giveBack(ServiceMeasurement measure, List<RunningTask> beside) {
         return beside.stream()
                 .filter(GradualRelief::isRunning)
                 .filter(task -> task.throttlePercent() < STEPS[0])
                 .min(
                         Comparator.comparingDouble(
-                                task -> model.estimateShare(measure.load(), task.batchClass())))
+                                task -> model.estimateIncrease(measure.load(), task.batchClass())))
                 .map(task -> new ReliefAction(task.task(), stepUp(task.throttlePercent())));
     }
 
--- a/src/main/java/org/standlink/policy/InterferenceAwarePlacement.java
+++ b/src/main/java/org/standlink/policy/InterferenceAwarePlacement.java
@@ -67,10 +67,10 @@
         double added = 0;
         for (int i = 0; i < worker.getServices().size(); i++) {
             ServiceLoad load = worker.getServices().get(i);
-            double share = model.estimateShare(load, demand.batchClass());
-            double expected = worker.getExpected(i, model) + share;
+            double share = model.estimateIncrease(load, demand.batchClass());
+            double expected = worker.getExpectedLatency(i, model) + share;
             if (expected > limit && !demand.urgent()) {
-                return REFUSED;
+                return INELIGIBLE;
             }
             added += share;
         }
--- a/src/main/java/org/standlink/policy/InterferenceModel.java
+++ b/src/main/java/org/standlink/policy/InterferenceModel.java
@@ -45,7 +45,7 @@
      * @param batchClass the class of the task
      * @return what it adds to the tail latency, in percent of the target
      */
-    double estimateShare(ServiceLoad load, String batchClass);
+    double estimateIncrease(ServiceLoad load, String batchClass);
 
     /**
      * Makes the baseline, which knows of no interference.
@@ -66,7 +66,7 @@
             }
 
             @Override
-            public double estimateShare(ServiceLoad load, String batchClass) {
+            public double estimateIncrease(ServiceLoad load, String batchClass) {
                 return 0;
             }
         };
--- a/src/main/java/org/standlink/policy/HarmTable.java
+++ b/src/main/java/org/standlink/policy/InterferenceTable.java
@@ -30,21 +30,21 @@
  * harmful already; a tail well below lowers them. {@link LearnedInterference} adds shares instead,
  * which such outliers spoil.
  *
- * <p>{@code HarmTable} is thread-safe.
+ * <p>{@code InterferenceTable} is thread-safe.
  */
-public final class HarmTable {
+public final class InterferenceTable {
 
     /**
      * The belief of a pair that was never seen; serving tails are protected by throttling
      * meanwhile.
      */
-    public static final double UNKNOWN = 0.4;
+    public static final double INITIAL_ESTIMATE = 0.4;
 
     /** The belief from which a pair counts as harmful. */
-    public static final double HARMFUL = 0.6;
+    public static final double HIGH_INTERFERENCE = 0.6;
 
     /** The belief below which a pair counts as harmless. */
-    public static final double HARMLESS = 0.2;
+    public static final double LOW_INTERFERENCE = 0.2;
 
     /** The share of its target above which a tail blames what works beside it. */
     private static final double HIGH = 0.95;
@@ -72,10 +72,10 @@
      *
      * @param serving the serving image
      * @param bestEffort the best-effort image
-     * @param belief 0 for harmless to 1 for harmful
+     * @param estimate 0 for harmless to 1 for harmful
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
-    public record Entry(String serving, String bestEffort, double belief) {}
+    public record Entry(String serving, String bestEffort, double estimate) {}
 
     /** The beliefs, by serving and then best-effort image; guarded by this. */
     private final Map<String, Map<String, Double>> beliefs = new HashMap<>();
@@ -152,7 +152,7 @@
      */
     public synchronized double get(String serving, String bestEffort) {
         Map<String, Double> row = beliefs.get(serving);
-        return row == null ? UNKNOWN : row.getOrDefault(bestEffort, UNKNOWN);
+        return row == null ? INITIAL_ESTIMATE : row.getOrDefault(bestEffort, INITIAL_ESTIMATE);
     }
 
     /**
@@ -160,8 +160,8 @@
      *
      * @param told the beliefs
      */
-    public synchronized void tell(List<Entry> told) {
-        told.forEach(entry -> put(entry.serving(), entry.bestEffort(), entry.belief()));
+    public synchronized void putAll(List<Entry> told) {
+        told.forEach(entry -> put(entry.serving(), entry.bestEffort(), entry.estimate()));
     }
 
     /**
--- a/src/main/java/org/standlink/policy/LearnedInterference.java
+++ b/src/main/java/org/standlink/policy/LearnedInterference.java
@@ -102,13 +102,13 @@
         Share base = pairs.get(new Pair(load, BASE));
         double sum = base == null ? UNSEEN_BASE : base.value;
         for (String batchClass : beside) {
-            sum += estimateShare(load, batchClass);
+            sum += estimateIncrease(load, batchClass);
         }
         return sum;
     }
 
     @Override
-    public double estimateShare(ServiceLoad load, String batchClass) {
+    public double estimateIncrease(ServiceLoad load, String batchClass) {
         double prior = classShare(batchClass);
         Share share = pairs.get(new Pair(load, batchClass));
         if (share == null) {
--- a/src/main/java/org/standlink/policy/OutlierDetector.java
+++ b/src/main/java/org/standlink/policy/OutlierDetector.java
@@ -77,7 +77,7 @@
      * @param micros how long it took, in microseconds
      * @param nowMillis the time, in milliseconds
      */
-    public synchronized void answered(VmId vm, long micros, long nowMillis) {
+    public synchronized void recordAnswer(VmId vm, long micros, long nowMillis) {
         Record record = records.computeIfAbsent(vm, key -> new Record());
         record.latency.add(micros);
         record.failures = 0;
@@ -102,7 +102,7 @@
      * @param vm the upstream
      * @param nowMillis the time, in milliseconds
      */
-    public synchronized void failed(VmId vm, long nowMillis) {
+    public synchronized void recordFailure(VmId vm, long nowMillis) {
         Record record = records.computeIfAbsent(vm, key -> new Record());
         record.failures++;
         if (record.failures >= FAILURES_TO_REMOVE) {
@@ -128,7 +128,7 @@
      * @param vm the upstream
      * @param nowMillis the time, in milliseconds
      */
-    public synchronized void sent(VmId vm, long nowMillis) {
+    public synchronized void recordSend(VmId vm, long nowMillis) {
         Record record = records.get(vm);
         if (record != null && record.outUntil != 0 && nowMillis >= record.outUntil) {
             record.outUntil = nowMillis + record.nextOut;
--- a/src/main/java/org/standlink/policy/Plan.java
+++ b/src/main/java/org/standlink/policy/PlanningResult.java
@@ -22,13 +22,13 @@
 /**
  * The outcome of one round of planning.
  *
- * <p>{@code Plan} is thread-safe and immutable.
+ * <p>{@code PlanningResult} is thread-safe and immutable.
  *
  * @param placements where tasks go
  * @param waiting why the others wait
  * @param evictions tasks to checkpoint and stop, to make room for urgent ones
  */
-public record Plan(
+public record PlanningResult(
         Map<TaskId, PlacementDecision> placements,
         Map<TaskId, String> waiting,
         Set<TaskId> evictions) {}
--- a/src/main/java/org/standlink/policy/QuotaLedger.java
+++ b/src/main/java/org/standlink/policy/QuotaUsage.java
@@ -23,9 +23,9 @@
 /**
  * What each team holds of its quota during one round of planning.
  *
- * <p>{@code QuotaLedger} is mutable and not thread-safe; each round of planning makes its own.
+ * <p>{@code QuotaUsage} is mutable and not thread-safe; each round of planning makes its own.
  */
-public final class QuotaLedger {
+public final class QuotaUsage {
 
     /** The quotas. */
     private final Map<TeamId, Resources> quotas;
@@ -38,7 +38,7 @@
      *
      * @param quotas the quotas; a team without one has no limit
      */
-    public QuotaLedger(Map<TeamId, Resources> quotas) {
+    public QuotaUsage(Map<TeamId, Resources> quotas) {
         this.quotas = Map.copyOf(quotas);
     }
 
@@ -61,7 +61,7 @@
      * @param amount what it wants
      * @return null if it may, else the reason why not
      */
-    public WaitingReason refuse(TeamId team, Resources amount) {
+    public WaitingReason findViolation(TeamId team, Resources amount) {
         Resources quota = quotas.get(team);
         if (quota == null || quota.equals(Resources.NONE)) {
             return null;
@@ -79,7 +79,7 @@
      * @param team the team
      * @return the share, 0 without a quota
      */
-    public double getShare(TeamId team) {
+    public double getDominantShare(TeamId team) {
         Resources quota = quotas.get(team);
         Resources now = held.getOrDefault(team, Resources.NONE);
         if (quota == null) {
--- a/src/main/java/org/standlink/policy/ReliefPolicy.java
+++ b/src/main/java/org/standlink/policy/ReliefPolicy.java
@@ -27,5 +27,5 @@
      * @param beside the tasks on the same VM
      * @return what to do, in order; empty for nothing
      */
-    List<ReliefAction> relieve(ServiceMeasure measure, List<RunningTask> beside);
+    List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside);
 }
--- a/src/main/java/org/standlink/policy/RetryBudget.java
+++ b/src/main/java/org/standlink/policy/RetryBudget.java
@@ -41,7 +41,7 @@
     }
 
     /** Notes a request. */
-    public synchronized void requested() {
+    public synchronized void recordRequest() {
         saved = Math.min(MOST_SAVED, saved + share);
     }
 
--- a/src/main/java/org/standlink/policy/ServiceMeasure.java
+++ b/src/main/java/org/standlink/policy/ServiceMeasurement.java
@@ -20,10 +20,10 @@
 /**
  * A measurement of a service on one VM, which may be late.
  *
- * <p>{@code ServiceMeasure} is thread-safe and immutable.
+ * <p>{@code ServiceMeasurement} is thread-safe and immutable.
  *
  * @param worker the VM
  * @param load the service and its load then
  * @param latencyPercent its tail latency, in percent of its target
  */
-public record ServiceMeasure(VmId worker, ServiceLoad load, double latencyPercent) {}
+public record ServiceMeasurement(VmId worker, ServiceLoad load, double latencyPercent) {}
--- a/src/main/java/org/standlink/policy/TaskPlanner.java
+++ b/src/main/java/org/standlink/policy/TaskPlanner.java
@@ -41,10 +41,10 @@
 public final class TaskPlanner {
 
     /** The most tasks assigned in one round, which bounds the record in the log. */
-    public static final int MOST_PLACEMENTS = 64;
+    public static final int MAX_PLACEMENTS = 64;
 
     /** The most waiting tasks looked at in one round, which bounds its time. */
-    public static final int MOST_CONSIDERED = 2000;
+    public static final int MAX_CONSIDERED = 2000;
 
     /** What goes first: what is being stopped anyway, what loses nothing, what is large. */
     private static final Comparator<RunningTask> ORDER_OF_EVICTION =
@@ -83,21 +83,21 @@
      * @param quotas what the teams hold; changed by the planning
      * @return the plan
      */
-    public Plan plan(
+    public PlanningResult plan(
             List<TaskDemand> waiting,
             List<WorkerView> workers,
             List<RunningTask> running,
-            QuotaLedger quotas) {
+            QuotaUsage quotas) {
         Round round = new Round(workers, running, quotas);
-        waiting.stream().sorted(order(quotas)).limit(MOST_CONSIDERED).forEach(round::consider);
-        return new Plan(round.placements, round.waiting, round.evictions);
+        waiting.stream().sorted(order(quotas)).limit(MAX_CONSIDERED).forEach(round::consider);
+        return new PlanningResult(round.placements, round.waiting, round.evictions);
     }
 
-    private static Comparator<TaskDemand> order(QuotaLedger quotas) {
+    private static Comparator<TaskDemand> order(QuotaUsage quotas) {
         return Comparator.comparing((TaskDemand demand) -> !demand.urgent())
                 .thenComparingInt(demand -> demand.hoursLeft() < 0 ? 24 : demand.hoursLeft())
                 .thenComparingInt(demand -> -demand.priority())
-                .thenComparingDouble(demand -> quotas.getShare(demand.team()))
+                .thenComparingDouble(demand -> quotas.getDominantShare(demand.team()))
                 .thenComparing(TaskDemand::task);
     }
 
@@ -112,7 +112,7 @@
         private final List<RunningTask> running;
 
         /** What the teams hold. */
-        private final QuotaLedger quotas;
+        private final QuotaUsage quotas;
 
         /** Where tasks go. */
         private final Map<TaskId, PlacementDecision> placements = new LinkedHashMap<>();
@@ -126,19 +126,19 @@
         /** Why a task of a class and size found no room in this round. */
         private final Map<Object, String> refused = new HashMap<>();
 
-        private Round(List<WorkerView> workers, List<RunningTask> running, QuotaLedger quotas) {
+        private Round(List<WorkerView> workers, List<RunningTask> running, QuotaUsage quotas) {
             this.workers = workers;
             this.running = running;
             this.quotas = quotas;
         }
 
         private void consider(TaskDemand demand) {
-            if (placements.size() >= MOST_PLACEMENTS) {
+            if (placements.size() >= MAX_PLACEMENTS) {
                 waiting.put(demand.task(), WaitingReason.NO_ROOM.toString());
                 return;
             }
             Resources size = sizes.estimate(demand.batchClass(), demand.declared());
-            WaitingReason overQuota = quotas.refuse(demand.team(), size);
+            WaitingReason overQuota = quotas.findViolation(demand.team(), size);
             if (overQuota != null) {
                 waiting.put(demand.task(), overQuota.toString());
                 return;
@@ -162,7 +162,7 @@
         private void accept(TaskDemand demand, PlacementDecision decision) {
             placements.put(demand.task(), decision);
             quotas.add(demand.team(), decision.resources());
-            workerOf(decision.worker()).add(demand.batchClass(), decision.resources());
+            workerOf(decision.worker()).addTask(demand.batchClass(), decision.resources());
         }
 
         private void makeRoom(TaskDemand demand, String reason, Resources size) {
@@ -186,7 +186,7 @@
             if (shortest == null) {
                 return false;
             }
-            shortest.addBacklog();
+            shortest.addQueued();
             quotas.add(demand.team(), size);
             placements.put(demand.task(), PlacementDecision.ofPlaced(shortest.getVm(), size));
             return true;
@@ -217,7 +217,7 @@
         private boolean isPossible(TaskDemand demand, WorkerView worker, Resources size) {
             return worker.isUsable()
                     && AbstractPlacement.isPermitted(demand, worker)
-                    && size.fitsIn(worker.getRoom());
+                    && size.fitsIn(worker.getAllocatable());
         }
 
         /** Chooses the tasks that must go so that a size fits; null if that is not enough. */
--- a/src/main/java/org/standlink/policy/ThresholdRelief.java
+++ b/src/main/java/org/standlink/policy/ThresholdRelief.java
@@ -29,7 +29,7 @@
     private static final double TARGET = 100;
 
     @Override
-    public List<ReliefAction> relieve(ServiceMeasure measure, List<RunningTask> beside) {
+    public List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside) {
         if (measure.latencyPercent() <= TARGET) {
             return List.of();
         }
--- a/src/main/java/org/standlink/policy/WorkerHealth.java
+++ b/src/main/java/org/standlink/policy/WorkerHealthPolicy.java
@@ -31,9 +31,9 @@
  * when it has failed on several different workers that were not failing other jobs. A task avoids
  * the workers on which it failed.
  *
- * <p>{@code WorkerHealth} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; its owner guards it.
  */
-public final class WorkerHealth {
+public final class WorkerHealthPolicy {
 
     /** How many failures in a row set a worker aside. */
     private static final int FAILURES_TO_SET_ASIDE = 3;
@@ -78,7 +78,7 @@
      * @param worker the worker
      * @param task the task
      */
-    public void succeeded(VmId worker, TaskId task) {
+    public void recordSuccess(VmId worker, TaskId task) {
         workers.remove(worker);
         failedJobs.remove(task.getJob());
         failedTasks.remove(task);
@@ -91,7 +91,7 @@
      * @param task the task
      * @param nowMillis the time, in milliseconds
      */
-    public void failed(VmId worker, TaskId task, long nowMillis) {
+    public void recordFailure(VmId worker, TaskId task, long nowMillis) {
         Record record = workers.computeIfAbsent(worker, key -> new Record());
         record.failures++;
         record.jobs.add(task.getJob());
@@ -113,7 +113,7 @@
      *
      * @param worker the worker
      */
-    public void assigned(VmId worker) {
+    public void recordAssignment(VmId worker) {
         Record record = workers.get(worker);
         if (record != null && isFailing(record)) {
             record.probing = true;
@@ -142,7 +142,7 @@
      * @param job the job
      * @return true if it failed on several healthy workers
      */
-    public boolean isHeldBack(JobId job) {
+    public boolean isSuspended(JobId job) {
         return failedJobs.getOrDefault(job, Set.of()).size() >= WORKERS_TO_HOLD_BACK;
     }
 
@@ -152,7 +152,7 @@
      * @param task the task
      * @return the workers on which it failed
      */
-    public Set<VmId> getAvoided(TaskId task) {
+    public Set<VmId> getAvoidedWorkers(TaskId task) {
         return failedTasks.getOrDefault(task, Set.of());
     }
 
--- a/src/main/java/org/standlink/policy/WorkerView.java
+++ b/src/main/java/org/standlink/policy/WorkerView.java
@@ -98,7 +98,7 @@
      * @param batchClass its class
      * @param granted what it is granted
      */
-    public void add(String batchClass, Resources granted) {
+    public void addTask(String batchClass, Resources granted) {
         free = free.minus(granted);
         classes.add(batchClass);
         expected = null;
@@ -111,7 +111,7 @@
      * @param model estimates it; the same model must be used during a round of planning
      * @return the tail latency, in percent of the target
      */
-    double getExpected(int index, InterferenceModel model) {
+    double getExpectedLatency(int index, InterferenceModel model) {
         if (expected == null) {
             expected = new double[services.size()];
             for (int i = 0; i < expected.length; i++) {
@@ -122,7 +122,7 @@
     }
 
     /** Notes a task that waits there for room. */
-    public void addBacklog() {
+    public void addQueued() {
         backlog++;
     }
 
@@ -168,7 +168,7 @@
      *
      * @return the room when no task is there
      */
-    public Resources getRoom() {
+    public Resources getAllocatable() {
         return room;
     }
 
@@ -195,7 +195,7 @@
      *
      * @return one entry for each task
      */
-    public List<String> getClasses() {
+    public List<String> getBatchClasses() {
         return classes;
     }
 
--- a/src/main/java/org/standlink/runner/AgentLease.java
+++ b/src/main/java/org/standlink/runner/AgentLease.java
@@ -22,7 +22,7 @@
 import org.standlink.Epoch;
 import org.standlink.Fence;
 import org.standlink.LeaseGeneration;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * What the leader has granted an agent: until when each worker may keep its runs, and the fence of
@@ -39,7 +39,7 @@
     private Fence granted = Fence.NONE;
 
     /** Until when each worker may keep its runs, on the agent's clock, in milliseconds. */
-    private final Map<WorkerLife, Long> ends = new HashMap<>();
+    private final Map<WorkerIncarnation, Long> ends = new HashMap<>();
 
     /** By how much the agent's clock has fallen behind since it started, in milliseconds. */
     private long behindMillis;
@@ -87,7 +87,7 @@
      * @param mark the mark of the time at which the report was sent
      * @param millis for how long from then, in milliseconds
      */
-    void prolong(Collection<WorkerLife> named, long mark, long millis) {
+    void extend(Collection<WorkerIncarnation> named, long mark, long millis) {
         long until = mark + millis - behindMillis;
         named.forEach(worker -> ends.merge(worker, until, Math::max));
     }
@@ -97,7 +97,7 @@
      *
      * @param millis for how long, in milliseconds
      */
-    void fallBehind(long millis) {
+    void compensateClockLag(long millis) {
         behindMillis += millis;
         ends.replaceAll((worker, end) -> end - millis);
     }
@@ -117,7 +117,7 @@
      *
      * @param worker the life
      */
-    void forget(WorkerLife worker) {
+    void remove(WorkerIncarnation worker) {
         ends.remove(worker);
     }
 
@@ -127,7 +127,7 @@
      * @param worker the worker
      * @return the time on the agent's clock, in milliseconds; 0 if it was never granted
      */
-    long getEnd(WorkerLife worker) {
+    long getEnd(WorkerIncarnation worker) {
         return ends.getOrDefault(worker, 0L);
     }
 
--- a/src/main/java/org/standlink/runner/AgentNode.java
+++ b/src/main/java/org/standlink/runner/AgentNode.java
@@ -24,14 +24,14 @@
 import org.standlink.Epoch;
 import org.standlink.Fence;
 import org.standlink.Incarnation;
-import org.standlink.election.LeaderCalls;
+import org.standlink.election.LeaderClient;
 import org.standlink.election.LeaderObserver;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.job.WorkerDescription;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.wire.AgentGrant;
@@ -73,7 +73,7 @@
     private final Incarnation self;
 
     /** The leader. */
-    private final LeaderCalls leader;
+    private final LeaderClient leader;
 
     /** The clock. */
     private final MonotonicClock clock;
@@ -85,13 +85,13 @@
     private final LeaderObserver observer;
 
     /** What the leader believes of images. */
-    private final HarmTable harm = new HarmTable();
+    private final InterferenceTable harm = new InterferenceTable();
 
     /** What the leader has granted. */
     private final AgentLease lease = new AgentLease(this::epoch);
 
     /** The workers beside this agent. */
-    private final AgentWorkers workers;
+    private final WorkerIncarnations workers;
 
     /** The number of the last report. */
     private long lastReport;
@@ -125,8 +125,8 @@
             String node,
             String address,
             Incarnation self,
-            LeaderCalls leader,
-            WorkerCalls calls,
+            LeaderClient leader,
+            WorkerClient calls,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             LeaderObserver observer,
@@ -139,7 +139,7 @@
         this.loop = loop;
         this.observer = observer;
         this.workers =
-                new AgentWorkers(
+                new WorkerIncarnations(
                         new EvacuationGuard(calls, evacuated),
                         clock,
                         loop,
@@ -155,13 +155,13 @@
 
     // -----------------------------------------------------------------------
     @Override
-    public void heartbeat(WorkerDescription worker, long sequence) {
-        loop.execute(() -> workers.heartbeat(worker, sequence));
+    public void heartbeatReceived(WorkerDescription worker, long sequence) {
+        loop.execute(() -> workers.heartbeatReceived(worker, sequence));
     }
 
     @Override
-    public void left(WorkerId worker) {
-        loop.execute(() -> workers.left(worker));
+    public void workerLeft(WorkerId worker) {
+        loop.execute(() -> workers.workerLeft(worker));
     }
 
     /**
@@ -189,9 +189,9 @@
             LOG.info("old-orders").with("fence", told).with("known", lease.getFence()).write();
             return;
         }
-        WorkerSupervisor supervisor = workers.find(orders.worker());
+        WorkerSupervisor supervisor = workers.findSupervisor(orders.worker());
         if (supervisor != null) {
-            supervisor.order(orders);
+            supervisor.applyOrders(orders);
         }
     }
 
@@ -199,7 +199,7 @@
     private void adopt(Fence told) {
         if (lease.adopt(told)) {
             LOG.info("fence-raised").with("fence", told).write();
-            workers.list().forEach(WorkerSupervisor::fenceRaised);
+            workers.getSupervisors().forEach(WorkerSupervisor::fenceRaised);
             // The leader heeds only reports that name what it has told.
             changed();
         }
@@ -221,7 +221,7 @@
 
     private void beat() {
         long now = clock.nowMillis();
-        long pause = ReportPace.betweenReports(lease.getEnds(), now);
+        long pause = ReportInterval.getIntervalMillis(lease.getEnds(), now);
         if (!reporting && now - reportedAt >= pause) {
             report();
         }
@@ -243,12 +243,12 @@
         changed = false;
         reportedAt = clock.nowMillis();
         long sentAt = lease.markTime(reportedAt);
-        workers.list().forEach(WorkerSupervisor::voidIfLapsed);
-        Map<WorkerLife, WorkerReport> sent = new LinkedHashMap<>();
-        for (WorkerSupervisor supervisor : workers.list()) {
+        workers.getSupervisors().forEach(WorkerSupervisor::dropOrdersIfLapsed);
+        Map<WorkerIncarnation, WorkerReport> sent = new LinkedHashMap<>();
+        for (WorkerSupervisor supervisor : workers.getSupervisors()) {
             // What never answered may be a late heartbeat of a life that is over.
             if (supervisor.isConfirmed()) {
-                sent.put(supervisor.getWorker().life(), supervisor.report());
+                sent.put(supervisor.getDescription().incarnation(), supervisor.createReport());
             }
         }
         Fence fence = lease.getFence();
@@ -260,7 +260,8 @@
                         ++lastReport,
                         fence.getEpoch(),
                         fence.getGeneration(),
-                        workers.list().stream().anyMatch(WorkerSupervisor::isFenceRefused),
+                        workers.getSupervisors().stream()
+                                .anyMatch(WorkerSupervisor::isFenceRefused),
                         List.copyOf(sent.values()),
                         workers.listEnded());
         Guarded.thenOn(
@@ -271,16 +272,19 @@
     }
 
     private void reported(
-            Message answer, Throwable failure, Map<WorkerLife, WorkerReport> sent, long sentAt) {
+            Message answer,
+            Throwable failure,
+            Map<WorkerIncarnation, WorkerReport> sent,
+            long sentAt) {
         reporting = false;
         if (answer instanceof LeaderNotice notice) {
             boolean other = notice.epoch().compareTo(epoch()) > 0;
             leader.offer(notice, "another process");
             if (!other) {
-                observer.leaderGone();
+                observer.leaderAbsent();
             }
-        } else if (LeaderCalls.isRefused(failure)) {
-            observer.leaderGone();
+        } else if (LeaderClient.isConnectionRefused(failure)) {
+            observer.leaderAbsent();
         }
         boolean granted =
                 answer instanceof AgentGrant grant && grant.epoch().compareTo(epoch()) >= 0;
@@ -296,18 +300,19 @@
             // First, so that no order of an older generation gets the lease that this one grants.
             adopt(Fence.of(grant.epoch(), grant.generation()));
             observer.leaderAnswered(grant.storeSilentMillis());
-            harm.tell(grant.harm());
+            harm.putAll(grant.harm());
             if (grant.leaseMillis() > 0) {
-                lease.prolong(sent.keySet(), sentAt, grant.leaseMillis());
+                lease.extend(sent.keySet(), sentAt, grant.leaseMillis());
                 sent.forEach(this::reported);
             }
         }
         if (failure != null) {
-            loop.schedule(this::reportAgain, ReportPace.RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::reportAgain, ReportInterval.RETRY_MILLIS, TimeUnit.MILLISECONDS);
         } else if (changed) {
             loop.schedule(this::reportIfChanged, GATHER_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (ReportPace.isReadingItsState(answer)) {
-            loop.schedule(this::reportAgain, ReportPace.READING_MILLIS, TimeUnit.MILLISECONDS);
+        } else if (ReportInterval.isLoadingState(answer)) {
+            loop.schedule(
+                    this::reportAgain, ReportInterval.LOADING_STATE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -317,10 +322,10 @@
         }
     }
 
-    private void reported(WorkerLife id, WorkerReport report) {
-        WorkerSupervisor supervisor = workers.find(id);
+    private void reported(WorkerIncarnation id, WorkerReport report) {
+        WorkerSupervisor supervisor = workers.findSupervisor(id);
         if (supervisor != null) {
-            supervisor.reported(report);
+            supervisor.reportAcknowledged(report);
         }
     }
 }
--- a/src/main/java/org/standlink/runner/EndedLives.java
+++ b/src/main/java/org/standlink/runner/EndedIncarnations.java
@@ -21,14 +21,14 @@
 import java.util.Map;
 import java.util.Set;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * The lives of workers that are over, as far as anybody may still speak of them.
  *
- * <p>{@code EndedLives} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code EndedIncarnations} is mutable and not thread-safe; the agent's loop owns it.
  */
-final class EndedLives {
+final class EndedIncarnations {
 
     /**
      * How long a life that is over is remembered, in milliseconds. A later heartbeat of it makes
@@ -40,7 +40,7 @@
     private static final int MOST_REMEMBERED = 64;
 
     /** When each was found to be over, on the agent's clock, the oldest first. */
-    private final Map<WorkerLife, Long> lives = new LinkedHashMap<>();
+    private final Map<WorkerIncarnation, Long> lives = new LinkedHashMap<>();
 
     /** The ids under which another life has answered that has not said what it is. */
     private final Set<WorkerId> awaited = new HashSet<>();
@@ -52,7 +52,7 @@
      * @param now the time on the agent's clock, in milliseconds
      * @return false if that was known
      */
-    boolean add(WorkerLife life, long now) {
+    boolean add(WorkerIncarnation life, long now) {
         lives.values().removeIf(at -> now - at > REMEMBERED_MILLIS);
         boolean added = lives.putIfAbsent(life, now) == null;
         if (lives.size() > MOST_REMEMBERED) {
@@ -67,7 +67,7 @@
      * @param life the life
      * @return true if so
      */
-    boolean contains(WorkerLife life) {
+    boolean contains(WorkerIncarnation life) {
         return lives.containsKey(life);
     }
 
@@ -77,8 +77,9 @@
      * @param id the id of the worker
      * @return true if so
      */
-    boolean knowsBirthOf(WorkerId id) {
-        return lives.keySet().stream().anyMatch(life -> life.isKnown() && life.getId().equals(id));
+    boolean hasKnownStartTime(WorkerId id) {
+        return lives.keySet().stream()
+                .anyMatch(life -> life.hasStartTime() && life.getId().equals(id));
     }
 
     /**
@@ -87,7 +88,7 @@
      *
      * @param id the id
      */
-    void await(WorkerId id) {
+    void awaitIdentification(WorkerId id) {
         awaited.add(id);
     }
 
@@ -96,7 +97,7 @@
      *
      * @param id the id
      */
-    void arrived(WorkerId id) {
+    void identified(WorkerId id) {
         awaited.remove(id);
     }
 
@@ -105,7 +106,7 @@
      *
      * @return the lives
      */
-    List<WorkerLife> list() {
+    List<WorkerIncarnation> list() {
         return lives.keySet().stream().filter(life -> !awaited.contains(life.getId())).toList();
     }
 }
--- a/src/main/java/org/standlink/runner/EvacuationGuard.java
+++ b/src/main/java/org/standlink/runner/EvacuationGuard.java
@@ -29,14 +29,14 @@
  *
  * <p>{@code EvacuationGuard} is as thread-safe as the calls it passes on.
  */
-final class EvacuationGuard implements WorkerCalls {
+final class EvacuationGuard implements WorkerClient {
 
     /** The answer to a start that was not passed on. */
     private static final CallResult NOT_CALLED =
             new CallResult(CallResult.Kind.EVACUATED, CallResult.NO_CLOCK, "hall evacuated");
 
     /** The calls. */
-    private final WorkerCalls calls;
+    private final WorkerClient calls;
 
     /** The halls that this process knows to be evacuated. */
     private final Supplier<EvacuatedHalls> evacuated;
@@ -47,7 +47,7 @@
      * @param calls the calls that are passed on
      * @param evacuated the halls that this process knows to be evacuated
      */
-    EvacuationGuard(WorkerCalls calls, Supplier<EvacuatedHalls> evacuated) {
+    EvacuationGuard(WorkerClient calls, Supplier<EvacuatedHalls> evacuated) {
         this.calls = calls;
         this.evacuated = evacuated;
     }
--- a/src/main/java/org/standlink/runner/LifeObserver.java
+++ b/src/main/java/org/standlink/runner/IncarnationListener.java
@@ -15,7 +15,7 @@
  */
 package org.standlink.runner;
 
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * Is told what the answers of workers show: which life is there, and how time has gone on.
@@ -24,14 +24,14 @@
  *
  * <p>Implementations are called on the agent's loop.
  */
-interface LifeObserver {
+interface IncarnationListener {
 
     /**
      * Takes note that a life has answered, so that all others at its address are over.
      *
      * @param worker the life
      */
-    void confirmed(WorkerLife worker);
+    void confirmed(WorkerIncarnation worker);
 
     /**
      * Takes note that another life has answered in place of this one, which is over.
@@ -39,14 +39,14 @@
      * @param worker the life that is over
      * @param by the life that has answered, null if it has not told its own
      */
-    void replaced(WorkerLife worker, WorkerLife by);
+    void replaced(WorkerIncarnation worker, WorkerIncarnation by);
 
     /**
      * Takes note that a worker has left.
      *
      * @param worker the life that is over
      */
-    void departed(WorkerLife worker);
+    void departed(WorkerIncarnation worker);
 
     /**
      * Takes note that the clock of this process has fallen behind a worker's, as it does while its
@@ -55,5 +55,5 @@
      * @param worker the life that has answered
      * @param millis by how much, in milliseconds
      */
-    void clockStoodStill(WorkerLife worker, long millis);
+    void clockFellBehind(WorkerIncarnation worker, long millis);
 }
--- a/src/main/java/org/standlink/runner/LifeWatch.java
+++ b/src/main/java/org/standlink/runner/IncarnationTracker.java
@@ -15,15 +15,15 @@
  */
 package org.standlink.runner;
 
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.EventLog;
 
 /**
  * Finds out from the answers of a worker whether one life of it is there, and whether it is over.
  *
- * <p>{@code LifeWatch} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code IncarnationTracker} is mutable and not thread-safe; the agent's loop owns it.
  */
-final class LifeWatch {
+final class IncarnationTracker {
 
     /**
      * How long a worker that has left may still answer, in milliseconds; one that answers calls
@@ -35,10 +35,10 @@
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
 
     /** The life. */
-    private final WorkerLife life;
+    private final WorkerIncarnation life;
 
     /** Is told what is found out. */
-    private final LifeObserver observer;
+    private final IncarnationListener observer;
 
     /** Whether this life has ever answered. */
     private boolean confirmed;
@@ -52,7 +52,7 @@
      * @param life the life
      * @param observer is told what is found out
      */
-    LifeWatch(WorkerLife life, LifeObserver observer) {
+    IncarnationTracker(WorkerIncarnation life, IncarnationListener observer) {
         this.life = life;
         this.observer = observer;
     }
@@ -72,13 +72,13 @@
      * @param result the answer
      * @return true if this life is over
      */
-    boolean isOver(RenewalResult result) {
+    boolean checkReplaced(RenewalResult result) {
         boolean other =
                 result.isDone()
-                        ? !life.equals(result.life())
+                        ? !life.equals(result.incarnation())
                         : result.result().kind() == CallResult.Kind.OTHER_LIFE;
         if (other) {
-            observer.replaced(life, result.life());
+            observer.replaced(life, result.incarnation());
         }
         return other;
     }
@@ -88,7 +88,7 @@
      *
      * @param sentAt when it was called, on the agent's clock, in milliseconds
      */
-    void answered(long sentAt) {
+    void answerReceived(long sentAt) {
         if (sentAt > leftAt + LEAVE_MILLIS) {
             leftAt = -1;
         }
@@ -99,7 +99,7 @@
     }
 
     /** Takes note that a call was not answered; a worker that has left is over then. */
-    void unanswered() {
+    void callUnanswered() {
         if (leftAt >= 0) {
             observer.departed(life);
         }
@@ -113,14 +113,14 @@
      * @param reachable whether it answered the last call
      * @param now the time on the agent's clock, in milliseconds
      */
-    void left(boolean draining, boolean reachable, long now) {
+    void departureReceived(boolean draining, boolean reachable, long now) {
         if (!draining) {
             LOG.info("left-without-draining").with("worker", life).write();
             return;
         }
         leftAt = now;
         if (!reachable) {
-            unanswered();
+            callUnanswered();
         }
     }
 }
--- a/src/main/java/org/standlink/runner/RenewalSeries.java
+++ b/src/main/java/org/standlink/runner/LeaseRenewalLoop.java
@@ -26,9 +26,9 @@
  * The renewals of a worker's lease, each of which leads to the next. They go on whatever one of
  * them throws: without them all that the worker runs would end.
  *
- * <p>{@code RenewalSeries} is not thread-safe; the agent's loop owns it.
+ * <p>{@code LeaseRenewalLoop} is not thread-safe; the agent's loop owns it.
  */
-final class RenewalSeries {
+final class LeaseRenewalLoop {
 
     /** The name of the work in the log. */
     private static final String NAME = "renewal";
@@ -49,7 +49,7 @@
      * @param pauseMillis the pause after a renewal that failed, in milliseconds
      * @param renew renews the lease once
      */
-    RenewalSeries(ScheduledExecutorService loop, long pauseMillis, Runnable renew) {
+    LeaseRenewalLoop(ScheduledExecutorService loop, long pauseMillis, Runnable renew) {
         this.loop = loop;
         this.pauseMillis = pauseMillis;
         this.renew = renew;
@@ -60,7 +60,7 @@
      *
      * @param millis after how long, in milliseconds
      */
-    void later(long millis) {
+    void schedule(long millis) {
         loop.schedule(guarded(renew), millis, TimeUnit.MILLISECONDS);
     }
 
@@ -79,7 +79,7 @@
 
     // -----------------------------------------------------------------------
     private Runnable guarded(Runnable work) {
-        return Guarded.work(NAME, work, () -> later(pauseMillis));
+        return Guarded.work(NAME, work, () -> schedule(pauseMillis));
     }
 
     private static void take(
--- a/src/main/java/org/standlink/runner/RenewalCalls.java
+++ b/src/main/java/org/standlink/runner/LeaseRenewer.java
@@ -25,9 +25,9 @@
  * <p>A worker that did not answer may have started again under its id, so it is told nothing that
  * holds for its former life only: it would forget ends of its own by numbers recorded before.
  *
- * <p>{@code RenewalCalls} is not thread-safe; the agent's loop owns it.
+ * <p>{@code LeaseRenewer} is not thread-safe; the agent's loop owns it.
  */
-final class RenewalCalls {
+final class LeaseRenewer {
 
     /** Tells a worker to keep its runs no longer than it was told before. */
     private static final long NOT_LONGER = -1;
@@ -39,7 +39,7 @@
     private final WorkerLeaseClock leaseClock;
 
     /** What the worker said of its runs. */
-    private final RunLists lists;
+    private final RunListTracker lists;
 
     /** Tells until when runs may go on, on the agent's clock. */
     private final Supplier<Long> leaseEnd;
@@ -52,10 +52,10 @@
      * @param lists what the worker said of its runs
      * @param leaseEnd tells until when runs may go on, on the agent's clock
      */
-    RenewalCalls(
+    LeaseRenewer(
             WorkerContext context,
             WorkerLeaseClock leaseClock,
-            RunLists lists,
+            RunListTracker lists,
             Supplier<Long> leaseEnd) {
         this.context = context;
         this.leaseClock = leaseClock;
@@ -74,7 +74,7 @@
     CompletableFuture<RenewalResult> renew(Fence fence, boolean reachable, long waitMillis) {
         long end = leaseEnd.get();
         boolean prolong = leaseClock.isKnown() && reachable && end > context.clock().nowMillis();
-        long until = prolong ? leaseClock.renew(end) : NOT_LONGER;
+        long until = prolong ? leaseClock.grantUntil(end) : NOT_LONGER;
         return call(until, fence, reachable, waitMillis);
     }
 
@@ -85,13 +85,14 @@
      * @param reachable whether the worker answered the last call
      * @return the answer
      */
-    CompletableFuture<RenewalResult> list(Fence fence, boolean reachable) {
+    CompletableFuture<RenewalResult> requestLists(Fence fence, boolean reachable) {
         return call(NOT_LONGER, fence, reachable, 0);
     }
 
     private CompletableFuture<RenewalResult> call(
             long until, Fence fence, boolean reachable, long waitMillis) {
-        long recordedEnd = reachable ? lists.getEndToForget() : 0;
-        return context.calls().renew(context.worker().get(), until, fence, recordedEnd, waitMillis);
+        long recordedEnd = reachable ? lists.getEndToAcknowledge() : 0;
+        return context.client()
+                .renew(context.worker().get(), until, fence, recordedEnd, waitMillis);
     }
 }
--- a/src/main/java/org/standlink/runner/LocalRun.java
+++ b/src/main/java/org/standlink/runner/LocalRun.java
@@ -65,7 +65,7 @@
     private long stoppedAt;
 
     /** The share of time for which it works, in percent; {@link #UNKNOWN_SHARE} if not known. */
-    private int share = ThrottlePolicy.FULL;
+    private int share = ThrottlePolicy.FULL_SHARE_PERCENT;
 
     /**
      * Constructor.
@@ -131,7 +131,7 @@
      *
      * @return true if so
      */
-    boolean isCalling() {
+    boolean isCallInProgress() {
         return calling;
     }
 
@@ -140,7 +140,7 @@
      *
      * @param under whether so
      */
-    void setCalling(boolean under) {
+    void setCallInProgress(boolean under) {
         calling = under;
     }
 
@@ -149,12 +149,12 @@
      *
      * @return true if so
      */
-    boolean isUncertain() {
+    boolean isStartOutcomeUnknown() {
         return uncertain;
     }
 
     /** Takes note that a call to start it was left without an answer. */
-    void setUncertain() {
+    void setStartOutcomeUnknown() {
         uncertain = true;
     }
 
@@ -163,7 +163,7 @@
      *
      * @return false if it has waited before
      */
-    boolean beginWaiting() {
+    boolean markStartDeferred() {
         boolean first = !waited;
         waited = true;
         return first;
@@ -174,7 +174,7 @@
      *
      * @param now the time on the agent's clock
      */
-    void setMaybeAtWork(long now) {
+    void setPossiblyRunning(long now) {
         maybeAtWorkSince = now;
     }
 
@@ -183,7 +183,7 @@
      *
      * @return true if so
      */
-    boolean isMaybeAtWork() {
+    boolean isPossiblyRunning() {
         return maybeAtWorkSince >= 0;
     }
 
@@ -192,7 +192,7 @@
      *
      * @param askedAt when the worker was asked, on the agent's clock
      */
-    void notListed(long askedAt) {
+    void markNotListed(long askedAt) {
         if (askedAt >= maybeAtWorkSince) {
             maybeAtWorkSince = -1;
         }
@@ -212,7 +212,7 @@
      *
      * @param now the time on the agent's clock
      */
-    void stopped(long now) {
+    void markStopped(long now) {
         phase = Phase.STOPPED;
         stoppedAt = now;
     }
--- a/src/main/java/org/standlink/runner/ReleasedRuns.java
+++ b/src/main/java/org/standlink/runner/ReleasedRuns.java
@@ -38,7 +38,7 @@
      *
      * @param refusal the refusal
      */
-    void refuse(StartRefusal refusal) {
+    void addRefused(StartRefusal refusal) {
         refused.add(refusal);
     }
 
@@ -47,7 +47,7 @@
      *
      * @param run the run
      */
-    void lose(RunId run) {
+    void addGone(RunId run) {
         gone.add(run);
     }
 
@@ -86,7 +86,7 @@
      * @param toldRefused the refusals
      * @param toldGone the runs that are gone
      */
-    void told(List<StartRefusal> toldRefused, List<RunId> toldGone) {
+    void removeReported(List<StartRefusal> toldRefused, List<RunId> toldGone) {
         refused.removeAll(toldRefused);
         gone.removeAll(toldGone);
     }
--- a/src/main/java/org/standlink/runner/RenewalResult.java
+++ b/src/main/java/org/standlink/runner/RenewalResult.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.standlink.job.RunEnd;
 import org.standlink.job.RunProgress;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * What a worker answered to a renewal.
@@ -26,12 +26,15 @@
  * <p>{@code RenewalResult} is thread-safe and immutable.
  *
  * @param result what became of the call; the rest means something only if it was done
- * @param life the life that answered, null if none did
+ * @param incarnation the life that answered, null if none did
  * @param running what runs
  * @param ended the ends that have not been recorded yet
  */
 public record RenewalResult(
-        CallResult result, WorkerLife life, List<RunProgress> running, List<RunEnd> ended) {
+        CallResult result,
+        WorkerIncarnation incarnation,
+        List<RunProgress> running,
+        List<RunEnd> ended) {
 
     /**
      * Makes the answer to a call that was not done.
--- a/src/main/java/org/standlink/runner/ReportPace.java
+++ b/src/main/java/org/standlink/runner/ReportInterval.java
@@ -24,10 +24,10 @@
  *
  * <p>This class has static methods only.
  */
-final class ReportPace {
+final class ReportInterval {
 
     /** The time between two reports without news, in milliseconds; leases last twelve of them. */
-    static final long HEARTBEAT_MILLIS = 500;
+    static final long REGULAR_MILLIS = 500;
 
     /**
      * The time between two reports while a lease is about to end, in milliseconds. The runs of a
@@ -50,7 +50,7 @@
      * The pause after a report to a leader that still reads its state, in milliseconds; without it,
      * the worker's tasks wait for the next heartbeat, 250 on average.
      */
-    static final long READING_MILLIS = 60;
+    static final long LOADING_STATE_MILLIS = 60;
 
     /**
      * How long a leader that grants no lease may have had no store to be taken for one that still
@@ -58,7 +58,7 @@
      */
     private static final long MOST_READING_MILLIS = 2000;
 
-    private ReportPace() {}
+    private ReportInterval() {}
 
     // -----------------------------------------------------------------------
     /**
@@ -68,12 +68,12 @@
      * @param now the time on the agent's clock, in milliseconds
      * @return the time in milliseconds
      */
-    static long betweenReports(Collection<Long> leaseEnds, long now) {
+    static long getIntervalMillis(Collection<Long> leaseEnds, long now) {
         boolean urgent =
                 leaseEnds.stream()
                         .mapToLong(end -> end - now)
                         .anyMatch(left -> left < BEFORE_END_MILLIS && left > -AFTER_END_MILLIS);
-        return urgent ? URGENT_MILLIS : HEARTBEAT_MILLIS;
+        return urgent ? URGENT_MILLIS : REGULAR_MILLIS;
     }
 
     /**
@@ -82,7 +82,7 @@
      * @param answer the answer, null if there was none
      * @return true if so, and it is worth reporting again soon
      */
-    static boolean isReadingItsState(Message answer) {
+    static boolean isLoadingState(Message answer) {
         return answer instanceof AgentGrant grant
                 && grant.leaseMillis() == 0
                 && grant.storeSilentMillis() < MOST_READING_MILLIS;
--- a/src/main/java/org/standlink/runner/WorkerLists.java
+++ b/src/main/java/org/standlink/runner/ReportedRuns.java
@@ -23,15 +23,15 @@
 /**
  * What a worker said last of its runs.
  *
- * <p>{@code WorkerLists} is thread-safe and immutable.
+ * <p>{@code ReportedRuns} is thread-safe and immutable.
  *
  * @param running what runs
  * @param ended the ends that have not been recorded
  */
-record WorkerLists(List<RunProgress> running, List<RunEnd> ended) {
+record ReportedRuns(List<RunProgress> running, List<RunEnd> ended) {
 
     /** Nothing. */
-    static final WorkerLists NONE = new WorkerLists(List.of(), List.of());
+    static final ReportedRuns NONE = new ReportedRuns(List.of(), List.of());
 
     /**
      * Checks whether a run is listed as running.
--- a/src/main/java/org/standlink/runner/HeardWorker.java
+++ b/src/main/java/org/standlink/runner/ReportedWorkerState.java
@@ -16,15 +16,15 @@
 package org.standlink.runner;
 
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.EventLog;
 
 /**
  * What one life of a worker said last of itself.
  *
- * <p>{@code HeardWorker} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code ReportedWorkerState} is mutable and not thread-safe; the agent's loop owns it.
  */
-final class HeardWorker {
+final class ReportedWorkerState {
 
     /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
@@ -40,7 +40,7 @@
      *
      * @param description what it said first
      */
-    HeardWorker(WorkerDescription description) {
+    ReportedWorkerState(WorkerDescription description) {
         this.description = description;
     }
 
@@ -54,7 +54,7 @@
      * @param reachable whether the worker answered the last call
      * @return true if it says for the first time that it leaves
      */
-    boolean hear(WorkerDescription told, long number, boolean reachable) {
+    boolean update(WorkerDescription told, long number, boolean reachable) {
         boolean elsewhere = !told.address().equals(description.address());
         if (number < lastHeartbeat || reachable && elsewhere) {
             return false;
@@ -64,7 +64,7 @@
         description = told;
         if (leaves) {
             LOG.info("worker-draining")
-                    .with("worker", told.life())
+                    .with("worker", told.incarnation())
                     .with("remaining-millis", told.remainingMillis())
                     .write();
         }
@@ -76,8 +76,8 @@
      *
      * @return the life
      */
-    WorkerLife getLife() {
-        return description.life();
+    WorkerIncarnation getIncarnation() {
+        return description.incarnation();
     }
 
     /**
--- a/src/main/java/org/standlink/runner/RunLists.java
+++ b/src/main/java/org/standlink/runner/RunListTracker.java
@@ -23,12 +23,12 @@
 /**
  * What one life of a worker said of its runs, and which of its ends have been recorded.
  *
- * <p>{@code RunLists} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code RunListTracker} is mutable and not thread-safe; the agent's loop owns it.
  */
-final class RunLists {
+final class RunListTracker {
 
     /** How many ends a worker lists at once; a longer list may leave one out. */
-    static final int MOST_ENDS = 500;
+    static final int MAX_LISTED_ENDS = 500;
 
     /** What runs, as the worker said last. */
     private List<RunProgress> running = List.of();
@@ -58,7 +58,7 @@
      * @param sentFence the fence under which it was asked
      * @return false if lists that were asked for under a higher fence are known already
      */
-    boolean take(RenewalResult result, Fence sentFence) {
+    boolean update(RenewalResult result, Fence sentFence) {
         if (known && askedUnder.isAfter(sentFence)) {
             return false;
         }
@@ -66,7 +66,7 @@
         firstListedEnd =
                 result.ended().stream().mapToLong(RunEnd::number).min().orElse(Long.MAX_VALUE);
         ended = unrecorded(result.ended());
-        whole = result.ended().size() < MOST_ENDS;
+        whole = result.ended().size() < MAX_LISTED_ENDS;
         askedUnder = sentFence;
         known = true;
         return true;
@@ -77,7 +77,7 @@
      *
      * @param reachable whether the worker answered the last call, so that its lists hold
      */
-    void forgetUnless(boolean reachable) {
+    void clearUnlessReachable(boolean reachable) {
         if (!reachable) {
             running = List.of();
             ended = List.of();
@@ -91,7 +91,7 @@
      * @param number the number of the last of them
      * @return false if that was known
      */
-    boolean record(long number) {
+    boolean advanceRecordedEnd(long number) {
         boolean newer = number > recordedEnd;
         if (newer) {
             recordedEnd = number;
@@ -112,7 +112,7 @@
      * @param fence the fence
      * @return true if so
      */
-    boolean isListedUnder(Fence fence) {
+    boolean isCompleteUnder(Fence fence) {
         return known && whole && askedUnder.equals(fence);
     }
 
@@ -159,7 +159,7 @@
      *
      * @return the number of the last recorded end, 0 if the worker lists none that is recorded
      */
-    long getEndToForget() {
+    long getEndToAcknowledge() {
         return firstListedEnd <= recordedEnd ? recordedEnd : 0;
     }
 }
--- a/src/main/java/org/standlink/runner/RunShares.java
+++ b/src/main/java/org/standlink/runner/RunShareUpdater.java
@@ -21,22 +21,22 @@
 /**
  * Tells a worker for which share of time its best-effort runs may work.
  *
- * <p>{@code RunShares} is not thread-safe; the agent's loop owns it.
+ * <p>{@code RunShareUpdater} is not thread-safe; the agent's loop owns it.
  */
-final class RunShares {
+final class RunShareUpdater {
 
     /** What calls of the worker need. */
     private final WorkerContext context;
 
     /** Tells the share of an image, in percent. */
-    private ToIntFunction<String> byImage = image -> ThrottlePolicy.FULL;
+    private ToIntFunction<String> byImage = image -> ThrottlePolicy.FULL_SHARE_PERCENT;
 
     /**
      * Constructor.
      *
      * @param context what calls of the worker need
      */
-    RunShares(WorkerContext context) {
+    RunShareUpdater(WorkerContext context) {
         this.context = context;
     }
 
@@ -45,7 +45,7 @@
      *
      * @param shares tells the share of an image, in percent
      */
-    void set(ToIntFunction<String> shares) {
+    void setShares(ToIntFunction<String> shares) {
         byImage = shares;
     }
 
@@ -64,13 +64,13 @@
                 run.getPhase() == LocalRun.Phase.RUNNING
                         && run.getOrder().bestEffort()
                         && run.getShare() != wanted
-                        && !run.isCalling();
+                        && !run.isCallInProgress();
         if (!changes) {
             return;
         }
-        run.setCalling(true);
+        run.setCallInProgress(true);
         CompletableFuture<CallResult> answer =
-                context.calls()
+                context.client()
                         .throttle(
                                 context.worker().get(),
                                 run.getRun(),
@@ -80,7 +80,7 @@
                 "throttle",
                 answer,
                 result -> {
-                    run.setCalling(false);
+                    run.setCallInProgress(false);
                     if (result.kind() == CallResult.Kind.DONE) {
                         run.setShare(wanted);
                     }
--- a/src/main/java/org/standlink/runner/RunTable.java
+++ b/src/main/java/org/standlink/runner/RunTable.java
@@ -79,10 +79,10 @@
     private final ReleasedRuns released = new ReleasedRuns();
 
     /** What the worker said last. */
-    private WorkerLists lists = WorkerLists.NONE;
+    private ReportedRuns lists = ReportedRuns.NONE;
 
     /** Tells the worker the shares of best-effort runs. */
-    private final RunShares shares;
+    private final RunShareUpdater shares;
 
     /** The fence under which a stop was refused, as the worker has seen a higher one; or null. */
     private Fence refusedFence;
@@ -107,7 +107,7 @@
         this.leaseClock = leaseClock;
         this.leaseEnd = leaseEnd;
         this.whenChanged = whenChanged;
-        this.shares = new RunShares(context);
+        this.shares = new RunShareUpdater(context);
     }
 
     /** Forgets all runs; calls under way have no effect here any more. */
@@ -119,13 +119,13 @@
     /** Forgets the runs that have not begun or are being stopped; the leader tells them anew. */
     void dropAllButRunning() {
         runs.values().stream()
-                .filter(run -> run.isCalling() || run.isUncertain())
+                .filter(run -> run.isCallInProgress() || run.isStartOutcomeUnknown())
                 .forEach(run -> unsure.add(run.getRun()));
         runs.values().removeIf(run -> run.getPhase() != LocalRun.Phase.RUNNING);
     }
 
     /** Takes note that the worker has seen the fence in force, so that it refuses older calls. */
-    void fenceSeen() {
+    void fenceAccepted() {
         unsure.clear();
     }
 
@@ -162,11 +162,11 @@
         }
         LocalRun run = new LocalRun(order.run(), order, LocalRun.Phase.STARTING);
         if (unsure.contains(order.run())) {
-            run.setUncertain();
+            run.setStartOutcomeUnknown();
         }
         runs.put(order.run(), run);
         if (toldAnew) {
-            run.setMaybeAtWork(context.clock().nowMillis());
+            run.setPossiblyRunning(context.clock().nowMillis());
         }
         if (lists.isRunning(order.run())) {
             // It was started by an earlier process of this agent, which may have throttled it.
@@ -195,25 +195,25 @@
 
     // -----------------------------------------------------------------------
     private void callStart(LocalRun run) {
-        if (run.isCalling() || run.getPhase() != LocalRun.Phase.STARTING || isDropped(run)) {
+        if (run.isCallInProgress() || run.getPhase() != LocalRun.Phase.STARTING || isDropped(run)) {
             return;
         }
         String obstacle = findObstacle();
         if (!obstacle.isEmpty()) {
-            if (run.beginWaiting()) {
+            if (run.markStartDeferred()) {
                 LOG.info("start-waits")
                         .with("run", run.getRun())
-                        .with("worker", context.worker().get().life())
+                        .with("worker", context.worker().get().incarnation())
                         .with("for", obstacle)
                         .write();
             }
-            context.later(PAUSE_MILLIS, () -> callStart(run));
+            context.schedule(PAUSE_MILLIS, () -> callStart(run));
             return;
         }
-        run.setCalling(true);
-        long until = leaseClock.renew(leaseEnd.get());
+        run.setCallInProgress(true);
+        long until = leaseClock.grantUntil(leaseEnd.get());
         CompletableFuture<CallResult> answer =
-                context.calls()
+                context.client()
                         .start(
                                 context.worker().get(),
                                 run.getOrder(),
@@ -234,10 +234,10 @@
     }
 
     private void started(LocalRun run, CallResult result) {
-        run.setCalling(false);
-        leaseClock.answered(result.clockMillis(), context.clock().nowMillis());
+        run.setCallInProgress(false);
+        leaseClock.answerReceived(result.clockMillis(), context.clock().nowMillis());
         if (result.kind() != CallResult.Kind.DONE) {
-            context.log("start", run.getRun(), result);
+            context.logResult("start", run.getRun(), result);
         }
         if (isDropped(run)) {
             return;
@@ -252,10 +252,10 @@
                 applyShare(run);
             }
             case UNKNOWN -> {
-                run.setUncertain();
-                context.later(PAUSE_MILLIS, () -> callStart(run));
+                run.setStartOutcomeUnknown();
+                context.schedule(PAUSE_MILLIS, () -> callStart(run));
             }
-            case LEASE_PAST -> context.later(PAUSE_MILLIS, () -> callStart(run));
+            case LEASE_PAST -> context.schedule(PAUSE_MILLIS, () -> callStart(run));
             case NO_ROOM, UNWELL, INVALID -> refused(run, result);
             case EVACUATED -> evacuated(run, result);
             case SUPERSEDED -> superseded(run);
@@ -268,17 +268,17 @@
      * still be carried out, so the run is only over once it is stopped.
      */
     private void refused(LocalRun run, CallResult result) {
-        if (run.isUncertain()) {
+        if (run.isStartOutcomeUnknown()) {
             stop(run.getRun());
             return;
         }
-        if (run.isMaybeAtWork() && result.kind() != CallResult.Kind.NO_ROOM) {
+        if (run.isPossiblyRunning() && result.kind() != CallResult.Kind.NO_ROOM) {
             // An unwell worker refuses also what it runs; its next list tells.
-            context.later(PAUSE_MILLIS, () -> callStart(run));
+            context.schedule(PAUSE_MILLIS, () -> callStart(run));
             return;
         }
         runs.remove(run.getRun());
-        released.refuse(
+        released.addRefused(
                 new StartRefusal(run.getRun(), result.detail(), result.isWorkerToBeAvoided()));
         whenChanged.run();
     }
@@ -300,7 +300,7 @@
     }
 
     private void lose(RunId run) {
-        released.lose(run);
+        released.addGone(run);
         whenChanged.run();
     }
 
@@ -310,23 +310,23 @@
     }
 
     private void callStop(LocalRun run) {
-        if (run.isCalling() || run.getPhase() != LocalRun.Phase.STOPPING || isDropped(run)) {
+        if (run.isCallInProgress() || run.getPhase() != LocalRun.Phase.STOPPING || isDropped(run)) {
             return;
         }
         Fence present = context.fence().get();
         if (!reachable.getAsBoolean() || present.equals(refusedFence)) {
-            context.later(PAUSE_MILLIS, () -> callStop(run));
+            context.schedule(PAUSE_MILLIS, () -> callStop(run));
             return;
         }
-        run.setCalling(true);
+        run.setCallInProgress(true);
         CompletableFuture<CallResult> answer =
-                context.calls().stop(context.worker().get(), run.getRun(), present);
+                context.client().stop(context.worker().get(), run.getRun(), present);
         context.whenAnswered("stop", answer, result -> stopped(run, result, present));
     }
 
     private void stopped(LocalRun run, CallResult result, Fence sentFence) {
-        run.setCalling(false);
-        context.log("stop", run.getRun(), result);
+        run.setCallInProgress(false);
+        context.logResult("stop", run.getRun(), result);
         if (isDropped(run)) {
             return;
         }
@@ -335,9 +335,9 @@
             refusedFence = sentFence;
         }
         switch (result.kind()) {
-            case DONE -> run.stopped(context.clock().nowMillis());
+            case DONE -> run.markStopped(context.clock().nowMillis());
             case OTHER_LIFE -> runs.remove(run.getRun());
-            default -> context.later(PAUSE_MILLIS, () -> callStop(run));
+            default -> context.schedule(PAUSE_MILLIS, () -> callStop(run));
         }
     }
 
@@ -348,24 +348,24 @@
      * @param nowEnded the ends that have not been recorded
      * @param sentAt when the worker was asked
      */
-    void settle(List<RunProgress> nowRunning, List<RunEnd> nowEnded, long sentAt) {
-        lists = new WorkerLists(nowRunning, nowEnded);
+    void reconcile(List<RunProgress> nowRunning, List<RunEnd> nowEnded, long sentAt) {
+        lists = new ReportedRuns(nowRunning, nowEnded);
         for (RunEnd end : nowEnded) {
             runs.remove(end.run());
         }
         runs.values().stream()
                 .filter(run -> !lists.isRunning(run.getRun()))
-                .forEach(run -> run.notListed(sentAt));
+                .forEach(run -> run.markNotListed(sentAt));
         for (RunProgress progress : nowRunning) {
             LocalRun run = runs.get(progress.run());
             if (run != null && run.getPhase() == LocalRun.Phase.STARTING) {
                 run.setPhase(LocalRun.Phase.RUNNING);
             }
         }
-        if (nowEnded.size() >= RunLists.MOST_ENDS) {
+        if (nowEnded.size() >= RunListTracker.MAX_LISTED_ENDS) {
             return;
         }
-        superseded.takeGone(lists, sentAt).forEach(this::lose);
+        superseded.removeGone(lists, sentAt).forEach(this::lose);
         for (LocalRun run : List.copyOf(runs.values())) {
             boolean over =
                     run.getPhase() == LocalRun.Phase.STOPPED
@@ -388,7 +388,7 @@
      * @param byImage tells the share of an image, in percent
      */
     void throttle(ToIntFunction<String> byImage) {
-        shares.set(byImage);
+        shares.setShares(byImage);
         runs.values().forEach(this::applyShare);
     }
 
--- a/src/main/java/org/standlink/runner/SupersededRuns.java
+++ b/src/main/java/org/standlink/runner/SupersededRuns.java
@@ -55,7 +55,7 @@
      * @param askedAt when it was asked, on the agent's clock, in milliseconds
      * @return the runs
      */
-    List<RunId> takeGone(WorkerLists lists, long askedAt) {
+    List<RunId> removeGone(ReportedRuns lists, long askedAt) {
         turnedAwayAt.keySet().removeIf(run -> lists.hasEnded(run) || lists.isRunning(run));
         List<RunId> gone = new ArrayList<>();
         turnedAwayAt.forEach(
--- a/src/main/java/org/standlink/runner/ThrottlePolicy.java
+++ b/src/main/java/org/standlink/runner/ThrottlePolicy.java
@@ -19,7 +19,7 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 
 /**
  * Decides how much best-effort runs may work beside serving ones, image by image: at once less when
@@ -31,7 +31,7 @@
 final class ThrottlePolicy {
 
     /** The full share, in percent. */
-    static final int FULL = 100;
+    static final int FULL_SHARE_PERCENT = 100;
 
     /** The smallest share beside a tail that is too long, in percent. */
     private static final int LEAST = 5;
@@ -103,7 +103,7 @@
     private static final int SMALL_RAISE = 1;
 
     /** The beliefs. */
-    private final HarmTable harm;
+    private final InterferenceTable harm;
 
     /** The share of each best-effort image. */
     private final Map<String, Integer> shares = new HashMap<>();
@@ -122,7 +122,7 @@
      *
      * @param harm the beliefs
      */
-    ThrottlePolicy(HarmTable harm) {
+    ThrottlePolicy(InterferenceTable harm) {
         this.harm = harm;
     }
 
@@ -133,7 +133,7 @@
      * @param bestEffort the best-effort images there
      * @param now the time, in milliseconds
      */
-    void decide(Map<String, Double> tails, Set<String> bestEffort, long now) {
+    void updateShares(Map<String, Double> tails, Set<String> bestEffort, long now) {
         serving = new HashSet<>(tails.keySet());
         noteOver(tails, now);
         shares.keySet().retainAll(bestEffort);
@@ -165,10 +165,10 @@
             return share;
         }
         double belief = harmOf(image);
-        if (belief >= HarmTable.HARMFUL) {
+        if (belief >= InterferenceTable.HIGH_INTERFERENCE) {
             return FIRST_HARMFUL;
         }
-        return belief >= HarmTable.HARMLESS ? FIRST_UNKNOWN : FULL;
+        return belief >= InterferenceTable.LOW_INTERFERENCE ? FIRST_UNKNOWN : FULL_SHARE_PERCENT;
     }
 
     // -----------------------------------------------------------------------
@@ -196,7 +196,7 @@
     }
 
     private boolean isSuspect(String servingImage, String image) {
-        return harm.get(servingImage, image) >= HarmTable.HARMLESS;
+        return harm.get(servingImage, image) >= InterferenceTable.LOW_INTERFERENCE;
     }
 
     private boolean isAnySuspect(String servingImage, Set<String> bestEffort) {
@@ -219,7 +219,7 @@
         }
         if (worst < LOW) {
             int raised = (int) (share * factor(worst));
-            return Math.min(FULL, Math.max(share + LEAST_RAISE, raised));
+            return Math.min(FULL_SHARE_PERCENT, Math.max(share + LEAST_RAISE, raised));
         }
         return share < SMALL ? share + SMALL_RAISE : share;
     }
--- a/src/main/java/org/standlink/runner/WorkerCalls.java
+++ b/src/main/java/org/standlink/runner/WorkerClient.java
@@ -28,7 +28,7 @@
  *
  * <p>Implementations must be thread-safe.
  */
-public interface WorkerCalls {
+public interface WorkerClient {
 
     /**
      * Starts a run; repeating the call does no harm.
--- a/src/main/java/org/standlink/runner/WorkerContext.java
+++ b/src/main/java/org/standlink/runner/WorkerContext.java
@@ -33,14 +33,14 @@
  * <p>{@code WorkerContext} is immutable; what it holds belongs to the agent's loop.
  *
  * @param worker tells what the worker said of itself
- * @param calls the calls of workers
+ * @param client the calls of workers
  * @param clock the clock
  * @param loop the agent's loop
  * @param fence tells the fence of the orders in force
  */
 record WorkerContext(
         Supplier<WorkerDescription> worker,
-        WorkerCalls calls,
+        WorkerClient client,
         MonotonicClock clock,
         ScheduledExecutorService loop,
         Supplier<Fence> fence) {
@@ -70,7 +70,7 @@
      * @param millis after how long, in milliseconds
      * @param work what is done
      */
-    void later(long millis, Runnable work) {
+    void schedule(long millis, Runnable work) {
         loop.schedule(work, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -81,10 +81,10 @@
      * @param run the run that it was about
      * @param result the answer
      */
-    void log(String call, RunId run, CallResult result) {
+    void logResult(String call, RunId run, CallResult result) {
         LOG.info("worker-" + call)
                 .with("run", run)
-                .with("worker", worker.get().life())
+                .with("worker", worker.get().incarnation())
                 .with("fence", fence.get())
                 .with("result", result.kind())
                 .with("detail", result.detail())
--- a/src/main/java/org/standlink/runner/AgentWorkers.java
+++ b/src/main/java/org/standlink/runner/WorkerIncarnations.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 import org.standlink.job.WorkerDescription;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 
 /**
@@ -33,9 +33,9 @@
  * <p>A heartbeat or a departure may come late, so neither tells which life is the present one; an
  * answered call does.
  *
- * <p>{@code AgentWorkers} is not thread-safe; the agent's loop owns it.
+ * <p>{@code WorkerIncarnations} is not thread-safe; the agent's loop owns it.
  */
-final class AgentWorkers implements LifeObserver {
+final class WorkerIncarnations implements IncarnationListener {
 
     /** By how much the clock must fall behind at once for a line, in milliseconds. */
     private static final long TOLD_MILLIS = 500;
@@ -44,7 +44,7 @@
     private static final EventLog LOG = EventLog.of(AgentNode.class);
 
     /** The calls of workers. */
-    private final WorkerCalls calls;
+    private final WorkerClient calls;
 
     /** The clock. */
     private final MonotonicClock clock;
@@ -56,16 +56,16 @@
     private final AgentLease lease;
 
     /** What the leader believes of images. */
-    private final HarmTable harm;
+    private final InterferenceTable harm;
 
     /** Is told when there is something to report. */
     private final Runnable whenChanged;
 
     /** The lives that may be there. */
-    private final Map<WorkerLife, WorkerSupervisor> workers = new LinkedHashMap<>();
+    private final Map<WorkerIncarnation, WorkerSupervisor> workers = new LinkedHashMap<>();
 
     /** The lives that are over. */
-    private final EndedLives ended = new EndedLives();
+    private final EndedIncarnations ended = new EndedIncarnations();
 
     /**
      * Constructor.
@@ -77,12 +77,12 @@
      * @param harm what the leader believes of images
      * @param whenChanged is told when there is something to report
      */
-    AgentWorkers(
-            WorkerCalls calls,
+    WorkerIncarnations(
+            WorkerClient calls,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             AgentLease lease,
-            HarmTable harm,
+            InterferenceTable harm,
             Runnable whenChanged) {
         this.calls = calls;
         this.clock = clock;
@@ -98,7 +98,7 @@
      * @param life the life
      * @return its supervisor, null if it is not there
      */
-    WorkerSupervisor find(WorkerLife life) {
+    WorkerSupervisor findSupervisor(WorkerIncarnation life) {
         return workers.get(life);
     }
 
@@ -107,7 +107,7 @@
      *
      * @return the supervisors
      */
-    Collection<WorkerSupervisor> list() {
+    Collection<WorkerSupervisor> getSupervisors() {
         return List.copyOf(workers.values());
     }
 
@@ -116,7 +116,7 @@
      *
      * @return the lives
      */
-    List<WorkerLife> listEnded() {
+    List<WorkerIncarnation> listEnded() {
         return ended.list();
     }
 
@@ -127,17 +127,17 @@
      * @param worker what the worker said of itself
      * @param sequence the number of the heartbeat in that life
      */
-    void heartbeat(WorkerDescription worker, long sequence) {
-        if (ended.contains(worker.life()) || lacksBirth(worker.life())) {
+    void heartbeatReceived(WorkerDescription worker, long sequence) {
+        if (ended.contains(worker.incarnation()) || lacksBirth(worker.incarnation())) {
             return;
         }
-        WorkerSupervisor present = workers.get(worker.life());
+        WorkerSupervisor present = workers.get(worker.incarnation());
         if (present != null) {
-            present.heartbeat(worker, sequence);
+            present.heartbeatReceived(worker, sequence);
             return;
         }
         LOG.info("worker-found")
-                .with("worker", worker.life())
+                .with("worker", worker.incarnation())
                 .with("service", worker.service())
                 .with("address", worker.address())
                 .with("millicores", worker.capacity().milliCores())
@@ -149,22 +149,22 @@
                         calls,
                         clock,
                         loop,
-                        () -> lease.getEnd(worker.life()),
+                        () -> lease.getEnd(worker.incarnation()),
                         lease::getFence,
                         whenChanged,
                         this,
                         harm);
-        workers.put(worker.life(), made);
-        made.heartbeat(worker, sequence);
+        workers.put(worker.incarnation(), made);
+        made.heartbeatReceived(worker, sequence);
         made.start();
     }
 
     /** A worker that has told births tells one in each heartbeat; without, it names no life. */
-    private boolean lacksBirth(WorkerLife told) {
+    private boolean lacksBirth(WorkerIncarnation told) {
         boolean lacks =
-                !told.isKnown()
-                        && (ended.knowsBirthOf(told.getId())
-                                || workers.keySet().stream().anyMatch(told::isOtherLifeOf));
+                !told.hasStartTime()
+                        && (ended.hasKnownStartTime(told.getId())
+                                || workers.keySet().stream().anyMatch(told::isOtherIncarnationOf));
         if (lacks) {
             LOG.info("heartbeat-without-birth").with("worker", told).write();
         }
@@ -176,55 +176,57 @@
      *
      * @param worker its id
      */
-    void left(WorkerId worker) {
+    void workerLeft(WorkerId worker) {
         List.copyOf(workers.values()).stream()
-                .filter(supervisor -> supervisor.getWorker().life().getId().equals(worker))
-                .forEach(WorkerSupervisor::left);
+                .filter(
+                        supervisor ->
+                                supervisor.getDescription().incarnation().getId().equals(worker))
+                .forEach(WorkerSupervisor::workerLeft);
     }
 
     @Override
-    public void confirmed(WorkerLife worker) {
-        ended.arrived(worker.getId());
-        String address = workers.get(worker).getWorker().address();
+    public void confirmed(WorkerIncarnation worker) {
+        ended.identified(worker.getId());
+        String address = workers.get(worker).getDescription().address();
         workers.values().stream()
-                .map(WorkerSupervisor::getWorker)
-                .filter(other -> !other.life().equals(worker))
+                .map(WorkerSupervisor::getDescription)
+                .filter(other -> !other.incarnation().equals(worker))
                 .filter(
                         other ->
                                 other.address().equals(address)
-                                        || other.life().isOtherLifeOf(worker))
-                .map(WorkerDescription::life)
+                                        || other.incarnation().isOtherIncarnationOf(worker))
+                .map(WorkerDescription::incarnation)
                 .toList()
                 .forEach(old -> over(old, "replaced"));
     }
 
     @Override
-    public void replaced(WorkerLife worker, WorkerLife by) {
+    public void replaced(WorkerIncarnation worker, WorkerIncarnation by) {
         boolean unheard = !workers.containsKey(by) || !workers.get(by).isConfirmed();
         if (by != null && unheard) {
-            ended.await(by.getId());
+            ended.awaitIdentification(by.getId());
         }
         over(worker, by == null ? "another life answers" : by + " answers");
     }
 
     @Override
-    public void departed(WorkerLife worker) {
+    public void departed(WorkerIncarnation worker) {
         over(worker, "left");
     }
 
     @Override
-    public void clockStoodStill(WorkerLife worker, long millis) {
+    public void clockFellBehind(WorkerIncarnation worker, long millis) {
         if (millis >= TOLD_MILLIS) {
             LOG.info("clock-stood-still").with("worker", worker).with("millis", millis).write();
         }
-        lease.fallBehind(millis);
+        lease.compensateClockLag(millis);
     }
 
-    private void over(WorkerLife worker, String reason) {
+    private void over(WorkerIncarnation worker, String reason) {
         WorkerSupervisor supervisor = workers.remove(worker);
         if (supervisor != null) {
             supervisor.close();
-            lease.forget(worker);
+            lease.remove(worker);
         }
         if (ended.add(worker, clock.nowMillis())) {
             LOG.info("worker-over").with("worker", worker).with("reason", reason).write();
--- a/src/main/java/org/standlink/runner/WorkerLeaseClock.java
+++ b/src/main/java/org/standlink/runner/WorkerLeaseClock.java
@@ -75,7 +75,7 @@
      * @param clockMillis the worker's clock, negative if it told none
      * @param now when the answer came
      */
-    void answered(long clockMillis, long now) {
+    void answerReceived(long clockMillis, long now) {
         if (clockMillis >= 0) {
             compare(clockMillis - now, now);
             workerMillis = clockMillis;
@@ -107,7 +107,7 @@
      * @param end until when the runs may go on, on the agent's clock
      * @return until when on the worker's clock
      */
-    long renew(long end) {
+    long grantUntil(long end) {
         grantedUntil = Math.max(grantedUntil, end);
         return workerMillis + (long) Math.max(0, (end - answeredAt) / DRIFT);
     }
@@ -118,7 +118,7 @@
      * @param now the time on the agent's clock
      * @return true if so
      */
-    boolean isOver(long now) {
+    boolean isExpired(long now) {
         return now > grantedUntil + KILL_MILLIS;
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerListener.java
+++ b/src/main/java/org/standlink/runner/WorkerListener.java
@@ -31,12 +31,12 @@
      * @param worker what it said of itself
      * @param sequence rises with each heartbeat of one life, so that a late one can be known
      */
-    void heartbeat(WorkerDescription worker, long sequence);
+    void heartbeatReceived(WorkerDescription worker, long sequence);
 
     /**
      * A worker has said that it has left; which life of it, its message does not tell.
      *
      * @param worker its id
      */
-    void left(WorkerId worker);
+    void workerLeft(WorkerId worker);
 }
--- a/src/main/java/org/standlink/runner/WorkerSupervisor.java
+++ b/src/main/java/org/standlink/runner/WorkerSupervisor.java
@@ -21,7 +21,7 @@
 import org.standlink.cell.CellTimes;
 import org.standlink.job.WorkerDescription;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.wire.RunOrders;
@@ -48,20 +48,17 @@
     /** How long recorded ends are waited for before the next renewal, in milliseconds. */
     private static final long RECORD_MILLIS = 100;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
 
     /** The calls that renew the worker's lease. */
-    private final RenewalCalls renewalCalls;
+    private final LeaseRenewer renewalCalls;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** The agent's loop. */
     private final ScheduledExecutorService loop;
 
     /** The series of renewals. */
-    private final RenewalSeries renewals;
+    private final LeaseRenewalLoop renewals;
 
     /** Tells until when runs may go on, on the agent's clock. */
     private final Supplier<Long> leaseEnd;
@@ -73,7 +70,7 @@
     private final Runnable whenChanged;
 
     /** Finds out whether this life is there, and whether it is over. */
-    private final LifeWatch watch;
+    private final IncarnationTracker watch;
 
     /** The runs that the leader has spoken of. */
     private final RunTable runs;
@@ -85,10 +82,10 @@
     private final WorkerThrottle throttle;
 
     /** What the worker said of itself. */
-    private final HeardWorker heard;
+    private final ReportedWorkerState heard;
 
     /** What the worker said of its runs. */
-    private final RunLists lists = new RunLists();
+    private final RunListTracker lists = new RunListTracker();
 
     /** Whether orders to start have come under the fence in force. */
     private boolean startsTold;
@@ -123,30 +120,30 @@
      */
     WorkerSupervisor(
             WorkerDescription worker,
-            WorkerCalls calls,
+            WorkerClient calls,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             Supplier<Long> leaseEnd,
             Supplier<Fence> fence,
             Runnable whenChanged,
-            LifeObserver observer,
-            HarmTable harm) {
-        this.heard = new HeardWorker(worker);
+            IncarnationListener observer,
+            InterferenceTable harm) {
+        this.heard = new ReportedWorkerState(worker);
         this.clock = clock;
         this.loop = loop;
-        this.renewals = new RenewalSeries(loop, PAUSE_MILLIS, () -> renew(0));
+        this.renewals = new LeaseRenewalLoop(loop, PAUSE_MILLIS, () -> renew(0));
         this.leaseEnd = leaseEnd;
         this.fence = fence;
         this.whenChanged = whenChanged;
-        this.watch = new LifeWatch(worker.life(), observer);
+        this.watch = new IncarnationTracker(worker.incarnation(), observer);
         this.throttle = new WorkerThrottle(harm);
         // An earlier process of the agent may have told the worker to keep its runs until then.
         this.leaseClock =
                 new WorkerLeaseClock(
-                        clock.nowMillis() + CellTimes.LONGEST_LEASE_MILLIS,
-                        millis -> observer.clockStoodStill(worker.life(), millis));
+                        clock.nowMillis() + CellTimes.MAX_LEASE_MILLIS,
+                        millis -> observer.clockFellBehind(worker.incarnation(), millis));
         WorkerContext context = new WorkerContext(heard::getDescription, calls, clock, loop, fence);
-        this.renewalCalls = new RenewalCalls(context, leaseClock, lists, this::getLeaseEnd);
+        this.renewalCalls = new LeaseRenewer(context, leaseClock, lists, this::getLeaseEnd);
         this.runs =
                 new RunTable(context, () -> reachable, leaseClock, this::getLeaseEnd, whenChanged);
     }
@@ -168,8 +165,8 @@
      * @param told the description
      * @param number the number of the heartbeat
      */
-    void heartbeat(WorkerDescription told, long number) {
-        if (heard.hear(told, number, reachable)) {
+    void heartbeatReceived(WorkerDescription told, long number) {
+        if (heard.update(told, number, reachable)) {
             whenChanged.run();
         }
     }
@@ -179,10 +176,10 @@
      *
      * @param orders the orders, under the fence in force
      */
-    void order(RunOrders orders) {
+    void applyOrders(RunOrders orders) {
         orders.stops().forEach(runs::stop);
         if (lapseUntold) {
-            orders.starts().forEach(order -> runs.getReleased().lose(order.run()));
+            orders.starts().forEach(order -> runs.getReleased().addGone(order.run()));
         } else {
             // The first that are told under a fence are all that should run, also since before.
             boolean toldAnew = !startsTold;
@@ -190,9 +187,9 @@
             orders.starts().forEach(order -> runs.start(order, toldAnew));
         }
         long before = lists.getRecordedEnd();
-        if (lists.record(orders.recordedEnd())) {
+        if (lists.advanceRecordedEnd(orders.recordedEnd())) {
             LOG.info("ends-recorded")
-                    .with("worker", heard.getLife())
+                    .with("worker", heard.getIncarnation())
                     .with("before", before)
                     .with("number", orders.recordedEnd())
                     .with("epoch", orders.epoch())
@@ -216,21 +213,21 @@
      * Takes note that the worker, or an earlier life under its id, has said that it has left. That
      * it was the present one shows when it does not answer any more.
      */
-    void left() {
-        watch.left(heard.getDescription().draining(), reachable, clock.nowMillis());
+    void workerLeft() {
+        watch.departureReceived(heard.getDescription().draining(), reachable, clock.nowMillis());
     }
 
     /**
      * Voids all orders once the worker's lease is over. The report that says so makes the leader
      * give the runs to others, so that none may be started any more, even if its answer is lost.
      */
-    void voidIfLapsed() {
+    void dropOrdersIfLapsed() {
         if (isLapsed() && !lapseNoted) {
             lapseNoted = true;
             lapseUntold = true;
             runs.dropAllButRunning();
             LOG.info("orders-void")
-                    .with("worker", heard.getLife())
+                    .with("worker", heard.getIncarnation())
                     .with("fence", fence.get())
                     .write();
         }
@@ -251,7 +248,7 @@
      *
      * @return the report
      */
-    WorkerReport report() {
+    WorkerReport createReport() {
         return new WorkerReport(
                 heard.getDescription(),
                 reachable,
@@ -262,7 +259,7 @@
                 runs.getReleased().getRefused(),
                 runs.getReleased().getGone(),
                 throttle.listThrottled(),
-                lists.isListedUnder(fence.get()));
+                lists.isCompleteUnder(fence.get()));
     }
 
     /**
@@ -270,12 +267,12 @@
      *
      * @param sent the report
      */
-    void reported(WorkerReport sent) {
-        runs.getReleased().told(sent.refused(), sent.gone());
+    void reportAcknowledged(WorkerReport sent) {
+        runs.getReleased().removeReported(sent.refused(), sent.gone());
         if (sent.lapsed()) {
             lapseUntold = false;
             runs.clear();
-            lists.forgetUnless(reachable);
+            lists.clearUnlessReachable(reachable);
         }
     }
 
@@ -293,13 +290,13 @@
      *
      * @return what it said of itself
      */
-    WorkerDescription getWorker() {
+    WorkerDescription getDescription() {
         return heard.getDescription();
     }
 
     // -----------------------------------------------------------------------
     private boolean isLapsed() {
-        return watch.isConfirmed() && !reachable && leaseClock.isOver(clock.nowMillis());
+        return watch.isConfirmed() && !reachable && leaseClock.isExpired(clock.nowMillis());
     }
 
     /** Tells until when runs may go on; a lapse that the leader does not know of ends a lease. */
@@ -313,7 +310,7 @@
         }
         if (isFenceRefused()) {
             // Whoever has been replaced stays silent until it knows the higher fence.
-            renewals.later(PAUSE_MILLIS);
+            renewals.schedule(PAUSE_MILLIS);
             return;
         }
         long sentAt = clock.nowMillis();
@@ -329,17 +326,20 @@
         long sentAt = clock.nowMillis();
         Guarded.thenOn(
                 "worker-list",
-                renewalCalls.list(present, reachable),
+                renewalCalls.requestLists(present, reachable),
                 loop,
                 (result, failure) -> {
-                    if (failure == null && !closed && result.isDone() && !watch.isOver(result)) {
+                    if (failure == null
+                            && !closed
+                            && result.isDone()
+                            && !watch.checkReplaced(result)) {
                         takeLists(result, present, sentAt);
                     }
                 });
     }
 
     private void held(RenewalResult result, Fence sentFence, long sentAt) {
-        if (closed || watch.isOver(result)) {
+        if (closed || watch.checkReplaced(result)) {
             return;
         }
         boolean fenced = result.result().kind() == CallResult.Kind.FENCED;
@@ -351,49 +351,49 @@
         if (fenced && !sentFence.equals(refusedFence)) {
             refusedFence = sentFence;
             LOG.info("fence-refused")
-                    .with("worker", heard.getLife())
+                    .with("worker", heard.getIncarnation())
                     .with("fence", sentFence)
                     .write();
         }
-        leaseClock.answered(result.result().clockMillis(), clock.nowMillis());
+        leaseClock.answerReceived(result.result().clockMillis(), clock.nowMillis());
         boolean answers = result.isDone();
         if (answers != reachable) {
             reachable = answers;
             LOG.info(answers ? "worker-regained" : "worker-lost")
-                    .with("worker", heard.getLife())
+                    .with("worker", heard.getIncarnation())
                     .with("detail", result.result().detail())
                     .write();
             // At once, so that nothing more is given to a worker that is gone.
             whenChanged.run();
         }
         if (!answers) {
-            watch.unanswered();
-            renewals.later(PAUSE_MILLIS);
+            watch.callUnanswered();
+            renewals.schedule(PAUSE_MILLIS);
             return;
         }
         lapseNoted = false;
-        watch.answered(sentAt);
+        watch.answerReceived(sentAt);
         takeLists(result, sentFence, sentAt);
         if (lists.getEnded().isEmpty()) {
             renew(WAIT_MILLIS);
         } else {
-            renewals.later(RECORD_MILLIS);
+            renewals.schedule(RECORD_MILLIS);
         }
     }
 
     private void takeLists(RenewalResult result, Fence sentFence, long sentAt) {
-        boolean listedBefore = lists.isListedUnder(fence.get());
+        boolean listedBefore = lists.isCompleteUnder(fence.get());
         boolean news = !lists.isKnown() || !result.ended().isEmpty();
-        if (!lists.take(result, sentFence)) {
+        if (!lists.update(result, sentFence)) {
             // A call under a higher fence has overtaken this one, and its lists are newer.
             return;
         }
         if (sentFence.equals(fence.get())) {
-            runs.fenceSeen();
+            runs.fenceAccepted();
         }
-        runs.settle(lists.getRunning(), lists.getEnded(), sentAt);
-        throttle.apply(heard.getLife(), lists.getRunning(), runs, clock.nowMillis());
-        if (news || listedBefore != lists.isListedUnder(fence.get())) {
+        runs.reconcile(lists.getRunning(), lists.getEnded(), sentAt);
+        throttle.apply(heard.getIncarnation(), lists.getRunning(), runs, clock.nowMillis());
+        if (news || listedBefore != lists.isCompleteUnder(fence.get())) {
             whenChanged.run();
         }
     }
--- a/src/main/java/org/standlink/runner/WorkerThrottle.java
+++ b/src/main/java/org/standlink/runner/WorkerThrottle.java
@@ -22,8 +22,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.standlink.job.RunProgress;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.wire.ImageShare;
 import org.standlink.wire.StartOrder;
@@ -64,7 +64,7 @@
      *
      * @param harm what is believed of images
      */
-    WorkerThrottle(HarmTable harm) {
+    WorkerThrottle(InterferenceTable harm) {
         this.policy = new ThrottlePolicy(harm);
     }
 
@@ -76,7 +76,7 @@
      * @param runs the runs that the leader has spoken of
      * @param now the time, in milliseconds
      */
-    void apply(WorkerLife worker, List<RunProgress> running, RunTable runs, long now) {
+    void apply(WorkerIncarnation worker, List<RunProgress> running, RunTable runs, long now) {
         if (now - decidedAt < DECIDE_MILLIS) {
             return;
         }
@@ -86,13 +86,14 @@
         for (RunProgress progress : running) {
             StartOrder order = runs.findOrder(progress.run());
             if (order != null && order.targetMillis() > 0) {
-                tails.merge(order.image(), progress.figure() / order.targetMillis(), Math::max);
+                tails.merge(
+                        order.image(), progress.measurement() / order.targetMillis(), Math::max);
             } else if (order != null && order.bestEffort()) {
-                used.merge(order.image(), progress.figure(), Long::sum);
+                used.merge(order.image(), progress.measurement(), Long::sum);
             }
         }
         bestEffort = Set.copyOf(used.keySet());
-        policy.decide(tails, bestEffort, now);
+        policy.updateShares(tails, bestEffort, now);
         runs.throttle(policy::getShare);
         tell(worker, tails, used, now);
     }
@@ -105,12 +106,12 @@
     List<ImageShare> listThrottled() {
         return bestEffort.stream()
                 .map(image -> new ImageShare(image, policy.getShare(image)))
-                .filter(share -> share.percent() < ThrottlePolicy.FULL)
+                .filter(share -> share.percent() < ThrottlePolicy.FULL_SHARE_PERCENT)
                 .toList();
     }
 
     private void tell(
-            WorkerLife worker, Map<String, Double> tails, Map<String, Long> used, long now) {
+            WorkerIncarnation worker, Map<String, Double> tails, Map<String, Long> used, long now) {
         if (now - toldAt < TELL_MILLIS || tails.isEmpty() && used.isEmpty()) {
             return;
         }
--- a/src/main/java/org/standlink/wire/AgentGrant.java
+++ b/src/main/java/org/standlink/wire/AgentGrant.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.standlink.Epoch;
 import org.standlink.LeaseGeneration;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 
 /**
  * The answer to an agent's heartbeat.
@@ -37,5 +37,5 @@
         LeaseGeneration generation,
         long leaseMillis,
         long storeSilentMillis,
-        List<HarmTable.Entry> harm)
+        List<InterferenceTable.Entry> harm)
         implements Message {}
--- a/src/main/java/org/standlink/wire/AgentReport.java
+++ b/src/main/java/org/standlink/wire/AgentReport.java
@@ -19,7 +19,7 @@
 import org.standlink.Epoch;
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * The heartbeat of an agent: it asks for a lease and tells of its workers.
@@ -46,5 +46,5 @@
         LeaseGeneration generation,
         boolean refused,
         List<WorkerReport> workers,
-        List<WorkerLife> dead)
+        List<WorkerIncarnation> dead)
         implements Message {}
--- a/src/main/java/org/standlink/wire/RunOrders.java
+++ b/src/main/java/org/standlink/wire/RunOrders.java
@@ -19,7 +19,7 @@
 import org.standlink.Epoch;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.RunId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /**
  * Orders of the leader to an agent, for one life of a worker.
@@ -36,7 +36,7 @@
 public record RunOrders(
         Epoch epoch,
         LeaseGeneration generation,
-        WorkerLife worker,
+        WorkerIncarnation worker,
         List<StartOrder> starts,
         List<RunId> stops,
         long recordedEnd)
--- a/src/test/java/org/standlink/cell/CellFixtures.java
+++ b/src/test/java/org/standlink/cell/CellFixtures.java
@@ -29,7 +29,7 @@
 import org.standlink.job.QueueDefinition;
 import org.standlink.job.StepDefinition;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.KeyedStore;
 
 /** Jobs, workers and a configuration for tests. */
@@ -109,19 +109,19 @@
     }
 
     /** A leader that has read its state. */
-    static CellLeader lead(long epoch, KeyedStore store, FakeClock clock, FakeLoop loop) {
-        return lead(epoch, store, clock, loop, () -> CONFIGURATION);
+    static JobCellLeader startLeader(long epoch, KeyedStore store, FakeClock clock, FakeLoop loop) {
+        return startLeader(epoch, store, clock, loop, () -> CONFIGURATION);
     }
 
     /** A leader that has read its state, and this of the operator's configuration. */
-    static CellLeader lead(
+    static JobCellLeader startLeader(
             long epoch,
             KeyedStore store,
             FakeClock clock,
             FakeLoop loop,
             Supplier<Configuration> configuration) {
-        CellLeader leader =
-                new CellLeader(
+        JobCellLeader leader =
+                new JobCellLeader(
                         Epoch.of(epoch),
                         store,
                         new CellTimes(6000, 120_000),
@@ -138,7 +138,7 @@
 
     static WorkerDescription worker(String id, int cores) {
         return new WorkerDescription(
-                WorkerLife.parse(id + "@1000"),
+                WorkerIncarnation.parse(id + "@1000"),
                 "s",
                 "10.0.0.1:" + id.hashCode(),
                 new Resources(cores * 1000L, 10_000, 0),
--- a/src/test/java/org/standlink/cell/TestAgentBoard.java
+++ b/src/test/java/org/standlink/cell/TestAgentRegistry.java
@@ -29,13 +29,13 @@
 import org.standlink.wire.AgentReport;
 
 /** Tests when the generation of an agent's lease rises, and which reports count. */
-public class TestAgentBoard {
+public class TestAgentRegistry {
 
     private static final Incarnation AGENT = Incarnation.of(1);
     private static final Incarnation OTHER = Incarnation.of(2);
 
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
-    private final AgentBoard agents = new AgentBoard(Epoch.of(1), workers);
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
+    private final AgentRegistry agents = new AgentRegistry(Epoch.of(1), workers);
 
     private static AgentReport report(
             Incarnation agent, long sequence, LeaseGeneration generation, boolean refused) {
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void aReportThatALaterOneHasOvertakenIsPassedOver() {
+    public void outOfOrderReportIsIgnored() {
         assertTrue(accept(AGENT, 2));
         assertFalse(accept(AGENT, 1));
         assertFalse(accept(AGENT, 2));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void aReportCountsOnceItNamesWhatItsSenderWasTold() {
+    public void reportCountsOnceItNamesTheCurrentGeneration() {
         AgentReport first = report(AGENT, 1, LeaseGeneration.NONE, false);
         agents.accept(first, 0);
         assertFalse(agents.isCurrent(first));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void aProcessThatALaterOneHasReplacedIsPassedOver() {
+    public void reportOfAReplacedProcessIsIgnored() {
         accept(AGENT, 1);
         LeaseGeneration told = agents.getGeneration(AGENT);
         accept(OTHER, 1);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void aLateReportOfAnEarlierProcessDoesNotReplaceTheOneThatWasJustHeard() {
+    public void delayedReportOfAnEarlierProcessDoesNotReplaceTheCurrentOne() {
         accept(AGENT, 1);
         LeaseGeneration told = agents.getGeneration(AGENT);
         accept(OTHER, 1);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void anAgentWhoseWorkerHasSeenMoreGetsAHigherGenerationOnce() {
+    public void refusedGenerationIsRaisedOnce() {
         accept(AGENT, 1);
         LeaseGeneration first = agents.getGeneration(AGENT);
         agents.accept(report(AGENT, 2, first, true), 0);
@@ -127,22 +127,22 @@
     }
 
     @Test
-    public void aNewGenerationHasTheAgentToldAllAnew() {
+    public void newGenerationCausesAllOrdersToBeResent() {
         accept(AGENT, 1);
-        WorkerEntry worker = workers.get(CellFixtures.worker("i-1", 8).life(), 6000);
+        WorkerEntry worker = workers.getOrAdd(CellFixtures.worker("i-1", 8).incarnation(), 6000);
         worker.setAgent(AGENT);
-        worker.setToldGeneration(agents.getGeneration(AGENT));
+        worker.setSyncedGeneration(agents.getGeneration(AGENT));
         agents.raiseGeneration(OTHER, "test");
-        assertEquals(agents.getGeneration(AGENT), worker.getToldGeneration());
+        assertEquals(agents.getGeneration(AGENT), worker.getSyncedGeneration());
         agents.raiseGeneration(AGENT, "test");
-        assertEquals(LeaseGeneration.NONE, worker.getToldGeneration());
+        assertEquals(LeaseGeneration.NONE, worker.getSyncedGeneration());
     }
 
     @Test
-    public void anAgentThatIsSilentForLongIsForgotten() {
+    public void unresponsiveAgentIsForgotten() {
         accept(AGENT, 5);
         LeaseGeneration first = agents.getGeneration(AGENT);
-        agents.forgetSilent(60_001);
+        agents.removeUnresponsive(60_001);
         assertEquals(LeaseGeneration.NONE, agents.getGeneration(AGENT));
         accept(AGENT, 6);
         assertTrue(agents.getGeneration(AGENT).isAfter(first));
--- a/src/test/java/org/standlink/cell/TestReportDesk.java
+++ b/src/test/java/org/standlink/cell/TestAgentReportHandler.java
@@ -37,8 +37,8 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.Topic;
 import org.standlink.wire.AgentReport;
@@ -46,48 +46,49 @@
 import org.standlink.wire.WorkerReport;
 
 /** Tests what reports of agents do to the state, and what agents are told and when. */
-public class TestReportDesk {
+public class TestAgentReportHandler {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
+    private final JobRegistry board = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
             new CommitQueue(
                     store,
                     Epoch.of(1),
                     List.of(board, workers),
-                    new StoreContact(clock, clock::nowMillis),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final OrderDesk orders = new OrderDesk(Epoch.of(1), board, workers, commits);
-    private final AgentBoard agents = new AgentBoard(Epoch.of(1), workers);
-    private final ReportDesk reports =
-            new ReportDesk(
+    private final OrderDispatcher orders =
+            new OrderDispatcher(Epoch.of(1), board, workers, commits);
+    private final AgentRegistry agents = new AgentRegistry(Epoch.of(1), workers);
+    private final AgentReportHandler reports =
+            new AgentReportHandler(
                     board,
                     workers,
                     agents,
                     orders,
                     job -> 2,
                     clock,
-                    new FigureDesk(board, clock, new HarmTable()),
-                    new MoveCost());
+                    new InterferenceLearner(board, clock, new InterferenceTable()),
+                    new MoveCostEstimator());
     private List<TaskEntry> tasks;
     private final FakeChannel channel = new FakeChannel();
     private long sequence;
 
     @BeforeEach
     public void assign() {
-        tasks = board.add(CellFixtures.job("a", 2)).readyTasks(0);
+        tasks = board.add(CellFixtures.job("a", 2)).listReadyTasks(0);
         for (TaskEntry task : tasks) {
-            task.assign(WORKER.life());
-            workers.place(task, clock.nowMillis() + 6000);
+            task.assign(WORKER.incarnation());
+            workers.addTask(task, clock.nowMillis() + 6000);
         }
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
     }
 
@@ -109,11 +110,11 @@
 
     /** Hands over a report under the generation that its sender was told. */
     private void handle(
-            ReportDesk desk,
-            AgentBoard known,
+            AgentReportHandler desk,
+            AgentRegistry known,
             long agentRun,
             List<WorkerReport> parts,
-            List<WorkerLife> dead) {
+            List<WorkerIncarnation> dead) {
         if (known.getGeneration(Incarnation.of(agentRun)).equals(LeaseGeneration.NONE)) {
             known.accept(agentReport(known, agentRun, List.of(), List.of()), clock.nowMillis());
         }
@@ -123,7 +124,10 @@
     }
 
     private AgentReport agentReport(
-            AgentBoard known, long agentRun, List<WorkerReport> parts, List<WorkerLife> dead) {
+            AgentRegistry known,
+            long agentRun,
+            List<WorkerReport> parts,
+            List<WorkerIncarnation> dead) {
         Incarnation agent = Incarnation.of(agentRun);
         return new AgentReport(
                 "node",
@@ -142,18 +146,18 @@
     }
 
     @Test
-    public void anEndIsOnlyTakenAsRecordedOnceItsOwnRecordWasKept() {
+    public void endIsAcknowledgedOnlyOnceItsRecordIsPersisted() {
         report(false, List.of(), done(1));
-        commits.pump();
+        commits.startAppend();
         report(false, List.of(), done(1), done(2));
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(0);
-        WorkerEntry worker = workers.find(WORKER.life());
-        assertEquals(2, worker.getEnds().getHandled());
-        assertEquals(1, worker.getEnds().getRecorded());
+        WorkerEntry worker = workers.find(WORKER.incarnation());
+        assertEquals(2, worker.getEnds().getLastHandled());
+        assertEquals(1, worker.getEnds().getLastRecorded());
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(500);
-        assertEquals(2, worker.getEnds().getRecorded());
+        assertEquals(2, worker.getEnds().getLastRecorded());
     }
 
     @Test
@@ -161,70 +165,70 @@
         report(true, List.of());
         assertNull(tasks.get(0).getWorker());
         assertNull(tasks.get(1).getWorker());
-        assertTrue(workers.find(WORKER.life()).listTasks().isEmpty());
+        assertTrue(workers.find(WORKER.incarnation()).listTasks().isEmpty());
     }
 
     /** Seen: a worker that does not guard its room was given its whole room beside such a run. */
     @Test
-    public void aRunThatIsNotPlacedHereTakesRoomUntilItIsGone() {
-        TaskEntry elsewhere = board.add(CellFixtures.job("b", 1)).readyTasks(0).get(0);
-        elsewhere.assign(WorkerLife.parse("i-9@1000"));
+    public void unexpectedRunOccupiesCapacityUntilItEnds() {
+        TaskEntry elsewhere = board.add(CellFixtures.job("b", 1)).listReadyTasks(0).get(0);
+        elsewhere.assign(WorkerIncarnation.parse("i-9@1000"));
         report(false, progress());
-        WorkerEntry worker = workers.find(WORKER.life());
-        Resources free = worker.free();
+        WorkerEntry worker = workers.find(WORKER.incarnation());
+        Resources free = worker.getFreeCapacity();
         List<RunProgress> running = new ArrayList<>(progress());
         running.add(new RunProgress(elsewhere.getRun(), "", 10, 0));
         report(false, running);
-        assertEquals(free.minus(elsewhere.getStep().room()), worker.free());
+        assertEquals(free.minus(elsewhere.getStep().requiredCapacity()), worker.getFreeCapacity());
         report(false, progress());
-        assertEquals(free, worker.free());
+        assertEquals(free, worker.getFreeCapacity());
     }
 
     @Test
-    public void aRunOfAJobThatIsNotKnownMayTakeAllRoom() {
+    public void runOfAnUnknownJobOccupiesAllCapacity() {
         report(false, progress());
-        WorkerEntry worker = workers.find(WORKER.life());
+        WorkerEntry worker = workers.find(WORKER.incarnation());
         List<RunProgress> running = new ArrayList<>(progress());
         running.add(new RunProgress(new RunId(TaskName.parse("z.0.0.0"), 1), "", 10, 0));
         report(false, running);
-        assertTrue(worker.free().milliCores() <= 0);
+        assertTrue(worker.getFreeCapacity().milliCores() <= 0);
     }
 
     @Test
-    public void aRunThatStandsStillIsStoppedOnce() {
+    public void stallIsDetectedOnce() {
         RunProgress still = new RunProgress(tasks.get(0).getRun(), "", 30, 0);
         for (int i = 0; i < 40; i++) {
             RunProgress moving = new RunProgress(tasks.get(1).getRun(), "", i, 0);
             report(false, List.of(still, moving));
             clock.advance(100);
         }
-        assertTrue(tasks.get(0).isStalled(clock.nowMillis(), 3000));
-        assertEquals(false, tasks.get(0).isStalled(clock.nowMillis(), 3000));
-        assertEquals(false, tasks.get(1).isStalled(clock.nowMillis(), 3000));
+        assertTrue(tasks.get(0).detectStall(clock.nowMillis(), 3000));
+        assertEquals(false, tasks.get(0).detectStall(clock.nowMillis(), 3000));
+        assertEquals(false, tasks.get(1).detectStall(clock.nowMillis(), 3000));
     }
 
     @Test
-    public void aNewLifeAtTheAddressOfAnotherOneEndsItAlsoForANewLeader() {
+    public void newIncarnationAtTheSameAddressEndsTheFormerOneForANewLeader() {
         report(false, List.of());
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
-        WorkerBoard restored = new WorkerBoard(() -> EvacuatedHalls.NONE);
+        WorkerRegistry restored = new WorkerRegistry(() -> EvacuatedHalls.NONE);
         restored.restore(store.records(Topic.CELL), clock.nowMillis() + 9000);
-        tasks.forEach(task -> restored.place(task, 0));
-        AgentBoard nextAgents = new AgentBoard(Epoch.of(1), restored);
-        ReportDesk next =
-                new ReportDesk(
+        tasks.forEach(task -> restored.addTask(task, 0));
+        AgentRegistry nextAgents = new AgentRegistry(Epoch.of(1), restored);
+        AgentReportHandler next =
+                new AgentReportHandler(
                         board,
                         restored,
                         nextAgents,
                         orders,
                         job -> 2,
                         clock,
-                        new FigureDesk(board, clock, new HarmTable()),
-                        new MoveCost());
+                        new InterferenceLearner(board, clock, new InterferenceTable()),
+                        new MoveCostEstimator());
         WorkerDescription other =
                 new WorkerDescription(
-                        WorkerLife.parse("i-2@1000"),
+                        WorkerIncarnation.parse("i-2@1000"),
                         "s",
                         WORKER.address(),
                         WORKER.capacity(),
@@ -238,12 +242,12 @@
                         List.of(), true);
         handle(next, nextAgents, 2, List.of(part), List.of());
         assertNull(tasks.get(0).getWorker());
-        assertNull(restored.find(WORKER.life()));
+        assertNull(restored.find(WORKER.incarnation()));
     }
 
     @Test
-    public void aWorkerWhoseLifeIsOverKeepsNothing() {
-        WorkerLife id = WORKER.life();
+    public void runsOfAnEndedIncarnationAreReleased() {
+        WorkerIncarnation id = WORKER.incarnation();
         handle(reports, agents, 1, List.of(), List.of(id));
         assertNull(tasks.get(0).getWorker());
         assertNull(workers.find(id));
@@ -254,13 +258,13 @@
     }
 
     private boolean isAtWork() {
-        return tasks.get(0).isAtWork();
+        return tasks.get(0).isRunning();
     }
 
     private void reportRoom(int cores, List<RunProgress> running) {
         WorkerDescription smaller =
                 new WorkerDescription(
-                        WORKER.life(),
+                        WORKER.incarnation(),
                         WORKER.service(),
                         WORKER.address(),
                         new Resources(cores * 1000L, 10_000, 0),
@@ -276,7 +280,7 @@
     }
 
     @Test
-    public void whatARoomThatShrinksHoldsNoMoreIsTakenBackUnlessItIsAtWork() {
+    public void reducedCapacityStopsRunsThatHaveNotStarted() {
         RunProgress first = new RunProgress(tasks.get(0).getRun(), "", 10, 0);
         reportRoom(1, List.of(first));
         assertEquals(false, tasks.get(0).isStopping());
@@ -284,7 +288,7 @@
     }
 
     @Test
-    public void ofOrdersThatARoomStillHoldsNoneIsTakenBack() {
+    public void ordersWithinTheCapacityAreNotWithdrawn() {
         reportRoom(2, List.of());
         assertEquals(false, tasks.get(0).isStopping());
         assertEquals(false, tasks.get(1).isStopping());
@@ -294,32 +298,32 @@
     }
 
     @Test
-    public void aRunThatStandsStillIsStopped() {
+    public void stalledRunIsStopped() {
         report(false, progress());
         clock.advance(2000);
         report(false, progress());
-        reports.stopStalled();
+        reports.stopStalledRuns();
         assertEquals(false, isAtWork());
     }
 
     @Test
-    public void aRunIsNotTakenToStandStillBecauseItsAgentIsSilent() {
+    public void runOfAnUnresponsiveAgentIsNotStalled() {
         report(false, progress());
         clock.advance(5000);
-        reports.stopStalled();
+        reports.stopStalledRuns();
         assertEquals(true, isAtWork());
     }
 
     @Test
-    public void aThrottledRunIsNotTakenToStandStill() {
+    public void throttledRunIsNotStalled() {
         report(false, progress());
         clock.advance(5000);
         report(false, progress());
         String image = tasks.get(0).getStep().image();
-        workers.find(WORKER.life())
-                .getFigures()
-                .throttled(List.of(new ImageShare(image, 0)), clock.nowMillis());
-        reports.stopStalled();
+        workers.find(WORKER.incarnation())
+                .getMetrics()
+                .updateThrottled(List.of(new ImageShare(image, 0)), clock.nowMillis());
+        reports.stopStalledRuns();
         assertEquals(true, isAtWork());
     }
 }
--- a/src/test/java/org/standlink/cell/TestCommitQueue.java
+++ b/src/test/java/org/standlink/cell/TestCommitQueue.java
@@ -35,14 +35,14 @@
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final JobBoard board = new JobBoard();
+    private final JobRegistry board = new JobRegistry();
     private final List<String> seen = new ArrayList<>();
     private final CommitQueue queue =
             new CommitQueue(
                     store,
                     Epoch.of(2),
                     List.of(board),
-                    new StoreContact(clock, clock::nowMillis),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> seen.add("fenced"));
@@ -52,7 +52,7 @@
         store.setMode(FakeKeyedStore.Mode.DOWN);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(2000);
         assertTrue(seen.isEmpty());
         assertTrue(queue.isStalled());
@@ -67,7 +67,7 @@
         store.setMode(FakeKeyedStore.Mode.LOST);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(1000);
         assertTrue(seen.isEmpty());
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -77,11 +77,11 @@
     }
 
     @Test
-    public void anAppendOfWhichNothingIsHeardIsSentAgain() {
+    public void unansweredAppendIsSentAgain() {
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(100);
         assertTrue(seen.isEmpty());
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -102,7 +102,7 @@
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(50);
         store.dropHistory();
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -111,12 +111,12 @@
     }
 
     @Test
-    public void asLongAsNothingIsHeardOnlySomeCallsAreUnderWay() {
+    public void callsInFlightAreBoundedWhileTheStoreDoesNotAnswer() {
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
-        queue.pump();
+        queue.startAppend();
         loop.advance(5000);
-        assertEquals(CommitQueue.MOST_CALLS, store.getAppends());
+        assertEquals(CommitQueue.MAX_CONCURRENT_CALLS, store.getAppends());
     }
 
     /**
@@ -124,41 +124,41 @@
      * way were sent at once, and the next one only when all had timed out.
      */
     @Test
-    public void aStoreThatReturnsAfterALongSilenceIsFoundByTheNextCall() {
+    public void nextCallReachesAStoreThatRecoversFromALongOutage() {
         store.failSilentCallsAfter(1000, loop);
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         for (int silence = 0; silence < 3; silence++) {
             // Three moments of the same second.
             loop.advance(1330);
             assertTrue(seen.isEmpty());
         }
         store.setMode(FakeKeyedStore.Mode.UP);
-        loop.advance(CommitQueue.AGAIN_MILLIS + 1);
+        loop.advance(CommitQueue.RETRY_INTERVAL_MILLIS + 1);
         assertEquals(List.of("effect"), seen);
         assertEquals(2, store.records(Topic.CELL).size());
     }
 
     @Test
-    public void aStoreThatReturnsWhileAllCallsAreUnderWayIsFoundByTheNextCall() {
+    public void nextCallReachesAStoreThatRecoversWhileAllCallsAreInFlight() {
         store.failSilentCallsAfter(1000, loop);
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(650);
         store.setMode(FakeKeyedStore.Mode.UP);
-        loop.advance(CommitQueue.AGAIN_MILLIS + 1);
+        loop.advance(CommitQueue.RETRY_INTERVAL_MILLIS + 1);
         assertEquals(List.of("effect"), seen);
     }
 
     @Test
-    public void aStoreThatRefusesIsAskedAtAPace() {
+    public void callsToARefusingStoreAreLimitedInRate() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         board.add(CellFixtures.job("a", 1));
-        queue.pump();
+        queue.startAppend();
         loop.advance(1000);
         assertTrue(store.getAppends() <= 11, () -> store.getAppends() + " calls in a second");
     }
@@ -169,11 +169,11 @@
      * of the calls that may be under way unanswered, each refusal led to the next call at once.
      */
     @Test
-    public void aStoreThatRefusesAfterASilenceIsAskedAtAPace() {
+    public void callsToAStoreThatRefusesAfterAnOutageAreLimitedInRate() {
         store.failSilentCallsAfter(1000, loop);
         store.setMode(FakeKeyedStore.Mode.SILENT);
         board.add(CellFixtures.job("a", 1));
-        queue.pump();
+        queue.startAppend();
         loop.advance(950);
         store.setMode(FakeKeyedStore.Mode.DOWN);
         store.refuseAfter(1, loop);
@@ -184,53 +184,53 @@
     }
 
     @Test
-    public void callersAreToldOnlyWhatWasKept() {
+    public void callersSeeOnlyPersistedState() {
         JobEntry job = board.add(CellFixtures.job("a", 1));
-        queue.pump();
+        queue.startAppend();
         loop.advance(0);
         store.setMode(FakeKeyedStore.Mode.DOWN);
         job.cancel();
         board.markChanged(job);
-        queue.pump();
+        queue.startAppend();
         loop.advance(1000);
         assertEquals(JobState.CANCELLED, job.getState());
-        assertEquals(JobState.QUEUED, job.getKeptState());
+        assertEquals(JobState.QUEUED, job.getPersistedState());
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(200);
-        assertEquals(JobState.CANCELLED, job.getKeptState());
+        assertEquals(JobState.CANCELLED, job.getPersistedState());
     }
 
     @Test
-    public void aNewerEpochEndsIt() {
+    public void newerEpochEndsTheQueue() {
         store.fence(Topic.CELL, Epoch.of(3));
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("effect"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(1000);
         assertEquals(List.of("fenced"), seen);
         assertTrue(store.records(Topic.CELL).isEmpty());
     }
 
     @Test
-    public void aRecordIsWrittenWhenNothingElseWas() {
+    public void heartbeatRecordIsWrittenWhenNothingElseIs() {
         clock.advance(CommitQueue.HEARTBEAT_MILLIS - 1);
-        queue.pump();
+        queue.startAppend();
         loop.advance(0);
         assertEquals(0, store.records(Topic.CELL).size());
         clock.advance(1);
-        queue.pump();
+        queue.startAppend();
         loop.advance(0);
         assertEquals(1, store.records(Topic.CELL).size());
     }
 
     @Test
-    public void whatComesDuringAnAppendGoesIntoTheNextOne() {
+    public void changesDuringAnAppendGoIntoTheNextOne() {
         board.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> seen.add("a"));
-        queue.pump();
+        queue.startAppend();
         board.add(CellFixtures.job("b", 1));
         queue.afterCommit(() -> seen.add("b"));
-        queue.pump();
+        queue.startAppend();
         assertTrue(seen.isEmpty());
         loop.advance(0);
         assertEquals(List.of("a", "b"), seen);
--- a/src/test/java/org/standlink/cell/TestCrashDesk.java
+++ b/src/test/java/org/standlink/cell/TestCrashDetector.java
@@ -23,27 +23,27 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 
 /** Tests which tasks a crash is counted under, and where suspected ones begin. */
-public class TestCrashDesk {
+public class TestCrashDetector {
 
     private static final long PROVEN_MILLIS = 1500;
 
     private final FakeClock clock = new FakeClock();
-    private final CrashDesk desk = new CrashDesk(clock);
-    private final JobBoard board = new JobBoard();
+    private final CrashDetector desk = new CrashDetector(clock);
+    private final JobRegistry board = new JobRegistry();
     private int lives;
     private int jobs;
 
     /** A life of the worker at one address. */
     private WorkerEntry life(boolean draining) {
-        WorkerEntry worker = new WorkerEntry(WorkerLife.parse("i-" + ++lives), 0);
+        WorkerEntry worker = new WorkerEntry(WorkerIncarnation.parse("i-" + ++lives), 0);
         WorkerDescription told = CellFixtures.worker("i-1", 8);
-        worker.heard(
+        worker.receiveReport(
                 new WorkerDescription(
-                        worker.getLife(),
+                        worker.getIncarnation(),
                         told.service(),
                         told.address(),
                         told.capacity(),
@@ -58,35 +58,35 @@
     }
 
     private TaskEntry task() {
-        return board.add(CellFixtures.job(Integer.toString(++jobs), 1)).readyTasks(0).get(0);
+        return board.add(CellFixtures.job(Integer.toString(++jobs), 1)).listReadyTasks(0).get(0);
     }
 
     private void begin(TaskEntry task, WorkerEntry worker) {
-        task.assign(worker.getLife());
-        worker.add(task);
+        task.assign(worker.getIncarnation());
+        worker.addTask(task);
     }
 
     private void prove(TaskEntry task) {
-        task.getTrial().seenAtWork(clock.nowMillis());
+        task.getTrial().recordRunning(clock.nowMillis());
         clock.advance(PROVEN_MILLIS);
-        task.getTrial().seenAtWork(clock.nowMillis());
+        task.getTrial().recordRunning(clock.nowMillis());
     }
 
     private static int crashes(TaskEntry task) {
-        return task.getTrial().getCrashes().getCrashes();
+        return task.getTrial().getCrashes().getStartupCrashes();
     }
 
     private static int perMille(TaskEntry task) {
-        return task.getTrial().getCrashes().getPerMille();
+        return task.getTrial().getCrashes().getSuspicionPerMille();
     }
 
     private void crash(WorkerEntry worker) {
-        desk.crashed(worker);
-        List.copyOf(worker.listTasks()).forEach(worker::remove);
+        desk.recordCrash(worker);
+        List.copyOf(worker.listTasks()).forEach(worker::removeTask);
     }
 
     @Test
-    public void theSuspicionIsDividedAmongAllThatHadJustBegun() {
+    public void suspicionIsDividedAmongRecentlyStartedTasks() {
         WorkerEntry worker = life(false);
         TaskEntry one = task();
         TaskEntry other = task();
@@ -103,7 +103,7 @@
     }
 
     @Test
-    public void theTaskThatWasThereEachTimeIsGivenUpAndClearsTheOthers() {
+    public void taskPresentAtEachCrashFailsPermanentlyAndClearsTheOthers() {
         TaskEntry cause = task();
         TaskEntry last = null;
         for (int i = 0; i < 4; i++) {
@@ -113,14 +113,14 @@
             begin(last, worker);
             crash(worker);
         }
-        assertTrue(cause.isSpent(2));
-        assertFalse(last.isSpent(2));
+        assertTrue(cause.hasFailedPermanently(2));
+        assertFalse(last.hasFailedPermanently(2));
         assertEquals(0, perMille(last));
         assertEquals(1, crashes(last));
     }
 
     @Test
-    public void aWorkerThatLeavesHasNotCrashed() {
+    public void drainingWorkerHasNotCrashed() {
         WorkerEntry worker = life(true);
         TaskEntry task = task();
         begin(task, worker);
@@ -129,56 +129,56 @@
     }
 
     @Test
-    public void aCrashToldAfterTheLeaseCountsOnceAnotherLifeAnswers() {
+    public void crashAfterTheLeaseCountsOnceAnotherIncarnationAnswers() {
         WorkerEntry worker = life(false);
         TaskEntry task = task();
         begin(task, worker);
-        desk.silent(worker);
-        worker.remove(task);
+        desk.recordLeaseExpiry(worker);
+        worker.removeTask(task);
         assertEquals(0, crashes(task));
-        assertEquals(List.of(task), desk.answers(life(false)));
+        assertEquals(List.of(task), desk.recordContact(life(false)));
         assertEquals(1, crashes(task));
-        assertEquals(List.of(), desk.answers(life(false)));
+        assertEquals(List.of(), desk.recordContact(life(false)));
     }
 
     @Test
-    public void aSilenceThatEndsIsNoCrash() {
+    public void unresponsiveWorkerThatAnswersAgainHasNotCrashed() {
         WorkerEntry worker = life(false);
         TaskEntry task = task();
         begin(task, worker);
-        desk.silent(worker);
-        assertEquals(List.of(), desk.answers(worker));
-        assertEquals(List.of(), desk.over(worker.getLife()));
+        desk.recordLeaseExpiry(worker);
+        assertEquals(List.of(), desk.recordContact(worker));
+        assertEquals(List.of(), desk.recordEnd(worker.getIncarnation()));
         assertEquals(0, crashes(task));
     }
 
     @Test
-    public void withThreeCrashesATaskWaitsUntilTheNextOneIsCertain() {
+    public void taskWithThreeCrashesWaitsWhileAnotherIsUnresolved() {
         TaskEntry task = task();
         WorkerEntry worker = life(false);
         begin(task, worker);
         task.getTrial().setCrashes(CrashHistory.of(3, 0, 100));
-        desk.silent(worker);
-        worker.remove(task);
+        desk.recordLeaseExpiry(worker);
+        worker.removeTask(task);
         task.release();
         JobEntry job = board.find(task.getName().job());
-        assertEquals(List.of(), job.readyTasks(0));
+        assertEquals(List.of(), job.listReadyTasks(0));
         clock.advance(60_001);
-        desk.forgetOld();
-        assertEquals(List.of(task), job.readyTasks(0));
+        desk.removeExpired();
+        assertEquals(List.of(task), job.listReadyTasks(0));
     }
 
     @Test
-    public void aSuspectedTaskBeginsApartFromWhatHasJustBegun() {
-        Placement placement = new LeastAskedPlacement(new HarmTable());
+    public void suspectedTaskIsIsolatedFromRecentlyStartedTasks() {
+        Placement placement = new LeastRequestedPlacement(new InterferenceTable());
         WorkerEntry busy = life(false);
         TaskEntry innocent = task();
         begin(innocent, busy);
         TaskEntry suspect = task();
         suspect.getTrial().setCrashes(CrashHistory.of(2, 0, 500));
         assertEquals(null, placement.choose(suspect, List.of(busy)));
-        assertEquals(null, placement.chooseAnyway(suspect, List.of(busy)));
-        assertEquals(busy, placement.chooseInNeed(suspect, List.of(busy)));
+        assertEquals(null, placement.chooseAllowingInterference(suspect, List.of(busy)));
+        assertEquals(busy, placement.chooseAllowingCrashRisk(suspect, List.of(busy)));
         prove(innocent);
         assertEquals(busy, placement.choose(suspect, List.of(busy)));
         begin(suspect, busy);
@@ -186,8 +186,8 @@
     }
 
     @Test
-    public void suspectedTasksSpread() {
-        Placement placement = new LeastAskedPlacement(new HarmTable());
+    public void suspectedTasksAreSpreadOverWorkers() {
+        Placement placement = new LeastRequestedPlacement(new InterferenceTable());
         WorkerEntry one = life(false);
         WorkerEntry other = life(false);
         TaskEntry first = task();
@@ -201,10 +201,10 @@
     }
 
     @Test
-    public void theCountOutlivesALeader() {
+    public void newLeaderRestoresTheCrashHistory() {
         TaskEntry task = task();
         task.getTrial().setCrashes(CrashHistory.of(2, 1, 345));
-        JobBoard next = new JobBoard();
+        JobRegistry next = new JobRegistry();
         next.restore(board.takeChanges());
         TaskEntry read = next.findTask(task.getName());
         assertEquals(task.getTrial().getCrashes(), read.getTrial().getCrashes());
--- a/src/test/java/org/standlink/cell/TestCrashHistory.java
+++ b/src/test/java/org/standlink/cell/TestCrashHistory.java
@@ -27,71 +27,73 @@
     private static CrashHistory crashed(int times, double likelihood) {
         CrashHistory history = CrashHistory.NONE;
         for (int i = 0; i < times; i++) {
-            history = history.withCrash(likelihood);
+            history = history.withStartupCrash(likelihood);
         }
         return history;
     }
 
     @Test
-    public void aTaskOfWhichNothingIsKnownIsNoSuspect() {
-        assertFalse(CrashHistory.NONE.isSuspect());
-        assertFalse(CrashHistory.NONE.isToBeApart());
+    public void taskWithoutHistoryIsNotSuspected() {
+        assertFalse(CrashHistory.NONE.isSuspected());
+        assertFalse(CrashHistory.NONE.requiresIsolation());
         assertTrue(CrashHistory.NONE.getWeight() > 0);
     }
 
     @Test
-    public void twoCrashesGiveNoTaskUp() {
-        assertFalse(crashed(2, 1).isGivenUp());
-        assertTrue(crashed(3, 1).isGivenUp());
+    public void taskFailsPermanentlyAtTheThirdCertainCrash() {
+        assertFalse(crashed(2, 1).isFailedPermanently());
+        assertTrue(crashed(3, 1).isFailedPermanently());
     }
 
     @Test
-    public void withoutCertaintyTheFifthCrashGivesUp() {
-        assertFalse(crashed(4, 0.5).isGivenUp());
-        assertTrue(crashed(5, 0).isGivenUp());
+    public void taskFailsPermanentlyAtTheFifthUncertainCrash() {
+        assertFalse(crashed(4, 0.5).isFailedPermanently());
+        assertTrue(crashed(5, 0).isFailedPermanently());
     }
 
     @Test
-    public void theFifthLateCrashGivesUp() {
+    public void taskFailsPermanentlyAtTheFifthLateCrash() {
         CrashHistory history = CrashHistory.NONE;
         for (int i = 0; i < 4; i++) {
             history = history.withLateCrash();
         }
-        assertFalse(history.isGivenUp());
-        assertTrue(history.withLateCrash().isGivenUp());
+        assertFalse(history.isFailedPermanently());
+        assertTrue(history.withLateCrash().isFailedPermanently());
     }
 
     @Test
-    public void aRunThatWasAtWorkForAWhileClearsItsStartAndNoLateCrash() {
-        CrashHistory history = crashed(4, 0.9).withLateCrash().proven();
-        assertEquals(0, history.getCrashes());
+    public void provenRunClearsStartCrashesButNotLateCrashes() {
+        CrashHistory history = crashed(4, 0.9).withLateCrash().withProvenStart();
+        assertEquals(0, history.getStartupCrashes());
         assertEquals(1, history.getLateCrashes());
-        assertFalse(history.isSuspect());
+        assertFalse(history.isSuspected());
     }
 
     @Test
-    public void aCrashThatAnotherTaskCausedStillCounts() {
+    public void crashCausedByAnotherTaskStillCounts() {
         CrashHistory history = crashed(2, 0.5).withoutSuspicion();
-        assertEquals(2, history.getCrashes());
-        assertFalse(history.isSuspect());
+        assertEquals(2, history.getStartupCrashes());
+        assertFalse(history.isSuspected());
     }
 
     @Test
-    public void afterSeveralCrashesATaskWaitsToBeTriedApart() {
-        assertTrue(crashed(1, 0.3).isToBeApart());
-        assertFalse(crashed(1, 0.3).isToWait());
-        assertTrue(crashed(2, 0.3).isToWait());
-        assertTrue(crashed(3, 0).isToWait());
+    public void taskWaitsForIsolationAfterSeveralCrashes() {
+        assertTrue(crashed(1, 0.3).requiresIsolation());
+        assertFalse(crashed(1, 0.3).mustWaitForIsolation());
+        assertTrue(crashed(2, 0.3).mustWaitForIsolation());
+        assertTrue(crashed(3, 0).mustWaitForIsolation());
     }
 
     @Test
-    public void whatIsKeptIsReadBackAndBoundedIfItIsNot() {
+    public void storedHistoryIsReadBackAndBounded() {
         CrashHistory history = crashed(2, 0.123).withLateCrash();
         assertEquals(
                 history,
                 CrashHistory.of(
-                        history.getCrashes(), history.getLateCrashes(), history.getPerMille()));
+                        history.getStartupCrashes(),
+                        history.getLateCrashes(),
+                        history.getSuspicionPerMille()));
         assertEquals(CrashHistory.NONE, CrashHistory.of(-1, -1, -1));
-        assertEquals(1000, CrashHistory.of(1, 0, 5000).getPerMille());
+        assertEquals(1000, CrashHistory.of(1, 0, 5000).getSuspicionPerMille());
     }
 }
--- a/src/test/java/org/standlink/cell/TestBeliefKeeper.java
+++ b/src/test/java/org/standlink/cell/TestInterferencePersistence.java
@@ -22,30 +22,30 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.store.KeyedRecord;
 
 /** Tests that a new leader takes over what has been learned of images. */
-public class TestBeliefKeeper {
+public class TestInterferencePersistence {
 
     private final FakeClock clock = new FakeClock();
-    private final HarmTable harm = new HarmTable();
-    private final BeliefKeeper keeper = new BeliefKeeper(harm, clock);
+    private final InterferenceTable harm = new InterferenceTable();
+    private final InterferencePersistence keeper = new InterferencePersistence(harm, clock);
 
     @Test
-    public void aNewLeaderBelievesWhatTheOldOneDid() {
-        harm.tell(List.of(new HarmTable.Entry("s", "b", 0.9)));
+    public void newLeaderRestoresTheEstimates() {
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.9)));
         clock.advance(5000);
         List<KeyedRecord> kept = keeper.takeChanges();
-        HarmTable other = new HarmTable();
-        new BeliefKeeper(other, clock).restore(kept);
+        InterferenceTable other = new InterferenceTable();
+        new InterferencePersistence(other, clock).restore(kept);
         assertEquals(0.9, other.get("s", "b"), 0.01);
-        assertEquals(HarmTable.UNKNOWN, other.get("s", "c"));
+        assertEquals(InterferenceTable.INITIAL_ESTIMATE, other.get("s", "c"));
     }
 
     @Test
-    public void beliefsCauseNoAppendAndAreWrittenNowAndThenOnly() {
-        harm.tell(List.of(new HarmTable.Entry("s", "b", 0.9)));
+    public void estimatesCauseNoAppendAndAreWrittenAtIntervals() {
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.9)));
         assertFalse(keeper.hasChanges());
         assertTrue(keeper.takeChanges().isEmpty());
         clock.advance(5000);
--- a/src/test/java/org/standlink/cell/TestCellLeader.java
+++ b/src/test/java/org/standlink/cell/TestJobCellLeader.java
@@ -57,7 +57,7 @@
  * jobs that it did not know without asking the store whether it still leads. Proof: each test lets
  * one of the two happen, or tells why it does not.
  */
-public class TestCellLeader {
+public class TestJobCellLeader {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
     private static final JobId JOB = JobId.parse("a");
@@ -69,7 +69,7 @@
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
-    private CellLeader leader;
+    private JobCellLeader leader;
     private long call;
     private final Map<Long, Fence> fences = new HashMap<>();
     private long sequence;
@@ -79,12 +79,12 @@
         leader = lead(1);
     }
 
-    private CellLeader lead(long epoch) {
-        return CellFixtures.lead(epoch, store, clock, loop);
+    private JobCellLeader lead(long epoch) {
+        return CellFixtures.startLeader(epoch, store, clock, loop);
     }
 
     /** Asks the leader and lets 50 ms pass; null if it has not answered by then. */
-    private JobAnswer ask(CellLeader asked, Message question) {
+    private JobAnswer ask(JobCellLeader asked, Message question) {
         call++;
         asked.handle(entry, call, question);
         loop.advance(50);
@@ -178,12 +178,12 @@
     }
 
     @Test
-    public void aStopThatASilentChannelLostIsSentOverTheNextOne() {
+    public void stopLostOnASilentChannelIsSentOverTheNextOne() {
         loseStop(FakeChannel.Mode.SILENT);
     }
 
     @Test
-    public void aStopThatAClosedChannelRefusedIsSentOverTheNextOne() {
+    public void stopRefusedByAClosedChannelIsSentOverTheNextOne() {
         loseStop(FakeChannel.Mode.CLOSED);
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Test
-    public void aNewAgentOfTheSameWorkerIsToldTheStops() {
+    public void newAgentOfTheSameWorkerReceivesTheStops() {
         begin();
         agent.setMode(FakeChannel.Mode.SILENT);
         cancel();
@@ -219,24 +219,24 @@
      * but not yet the configuration; it took the queue for one that was not configured any more.
      */
     @Test
-    public void aLeaderThatHasNotReadTheConfigurationTakesNoTaskForSpent() {
+    public void noTaskFailsPermanentlyBeforeTheConfigurationIsRead() {
         begin();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.FAILED, ""));
         RunId second = new RunId(RUN.task(), 2);
         assertTrue(agent.starts().contains(second));
-        leader = CellFixtures.lead(2, store, clock, loop, () -> Configuration.NONE);
+        leader = CellFixtures.startLeader(2, store, clock, loop, () -> Configuration.NONE);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of(), new RunEnd(2, second, RunEndKind.STOPPED, ""));
         assertEquals(JobState.RUNNING, ask(leader, new JobQuery(JOB, "q")).state());
     }
 
     @Test
-    public void aTaskThatWasSpentBeforeTheConfigurationWasReadIsNotStartedAfterwards() {
+    public void taskOutOfAttemptsBeforeTheConfigurationWasReadIsNotStartedAfterwards() {
         begin();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.FAILED, ""));
         RunId second = new RunId(RUN.task(), 2);
         AtomicReference<Configuration> read = new AtomicReference<>(Configuration.NONE);
-        leader = CellFixtures.lead(2, store, clock, loop, read::get);
+        leader = CellFixtures.startLeader(2, store, clock, loop, read::get);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of(), new RunEnd(2, second, RunEndKind.FAILED, ""));
         read.set(CellFixtures.CONFIGURATION);
@@ -247,7 +247,7 @@
     }
 
     @Test
-    public void aNewLeaderStopsWhatTheOneBeforeCancelled() {
+    public void newLeaderStopsRunsThatThePreviousOneCancelled() {
         begin();
         agent.setMode(FakeChannel.Mode.SILENT);
         cancel();
@@ -258,7 +258,7 @@
     }
 
     @Test
-    public void aRunThatBeginsLateIsStoppedAlsoIfNothingOfItsJobIsLeft() {
+    public void lateRunOfACancelledJobIsStoppedAfterTheJobEnded() {
         begin();
         cancel();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.STOPPED, ""));
@@ -274,7 +274,7 @@
     }
 
     @Test
-    public void aJobCancelledWhileItIsBeingKeptIsStoppedAfterItsStart() {
+    public void jobCancelledWhileItIsBeingPersistedIsStoppedAfterItsStart() {
         report(agent, 1, List.of());
         store.setMode(FakeKeyedStore.Mode.DOWN);
         leader.handle(entry, 1, submission());
@@ -293,29 +293,29 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void aLeaderWhosePlaceIsTakenDoesNotDenyAJob() {
-        CellLeader next = lead(2);
+    public void replacedLeaderDoesNotDenyAJob() {
+        JobCellLeader next = lead(2);
         assertEquals(JobAnswer.Result.DONE, ask(next, submission()).result());
         JobAnswer old = ask(leader, new CancelJob(JOB, "q"));
         assertNull(old, () -> "a caller takes this for a cancel: " + old);
     }
 
     @Test
-    public void aLeaderThatCannotAskTheStoreDoesNotDenyAJob() {
+    public void cancelIsNotDeniedWhileTheStoreIsUnavailable() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(2000);
         assertEquals(JobAnswer.Result.NOT_DONE, cancel());
     }
 
     @Test
-    public void aLeaderThatCannotAskTheStoreDoesNotSayThatAJobIsUnknown() {
+    public void queryIsNotDeniedWhileTheStoreIsUnavailable() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(2000);
         assertEquals(JobAnswer.Result.NOT_DONE, ask(leader, new JobQuery(JOB, "q")).result());
     }
 
     @Test
-    public void aJobThatWasCancelledBeforeItCameNeverRuns() {
+    public void jobCancelledBeforeItsSubmissionNeverRuns() {
         report(agent, 1, List.of());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
         assertEquals(JobState.CANCELLED, ask(leader, submission()).state());
@@ -325,7 +325,7 @@
     }
 
     @Test
-    public void aNewLeaderKnowsWhatWasCancelledBeforeItCame() {
+    public void newLeaderKnowsOfCancelsBeforeTheSubmission() {
         cancel();
         leader = lead(2);
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, ask(leader, new JobQuery(JOB, "q")).result());
@@ -336,7 +336,7 @@
     }
 
     @Test
-    public void aJobThatNeverCameIsNotShown() {
+    public void cancelledJobThatWasNeverSubmittedIsNotFound() {
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, ask(leader, new JobQuery(JOB, "q")).result());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
--- a/src/test/java/org/standlink/cell/TestJobBoard.java
+++ b/src/test/java/org/standlink/cell/TestJobRegistry.java
@@ -27,55 +27,55 @@
 import org.standlink.job.JobState;
 import org.standlink.job.RunEnd;
 import org.standlink.job.RunEndKind;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.KeyedRecord;
 
 /** Tests the state of jobs, and that a new leader reads what an old one kept. */
-public class TestJobBoard {
+public class TestJobRegistry {
 
-    private static final WorkerLife ONE = WorkerLife.parse("one@1000");
+    private static final WorkerIncarnation ONE = WorkerIncarnation.parse("one@1000");
 
-    private final JobBoard board = new JobBoard();
+    private final JobRegistry board = new JobRegistry();
 
     private static void run(TaskEntry task, RunEndKind kind) {
         task.assign(ONE);
-        task.end(ONE, new RunEnd(1, task.getRun(), kind, ""));
+        task.recordEnd(ONE, new RunEnd(1, task.getRun(), kind, ""));
     }
 
     @Test
     public void aStepWaitsForAllTasksOfTheStepsBeforeIt() {
         JobEntry job = board.add(CellFixtures.job("a", 2, 1));
-        assertEquals(2, job.readyTasks(0).size());
-        run(job.readyTasks(0).get(0), RunEndKind.DONE);
-        assertEquals(1, job.readyTasks(0).size());
-        run(job.readyTasks(0).get(0), RunEndKind.DONE);
-        assertEquals(1, job.readyTasks(0).get(0).getName().step());
-        run(job.readyTasks(0).get(0), RunEndKind.DONE);
-        job.refresh(2);
+        assertEquals(2, job.listReadyTasks(0).size());
+        run(job.listReadyTasks(0).get(0), RunEndKind.DONE);
+        assertEquals(1, job.listReadyTasks(0).size());
+        run(job.listReadyTasks(0).get(0), RunEndKind.DONE);
+        assertEquals(1, job.listReadyTasks(0).get(0).getName().step());
+        run(job.listReadyTasks(0).get(0), RunEndKind.DONE);
+        job.updateState(2);
         assertEquals(JobState.COMPLETED, job.getState());
     }
 
     @Test
     public void aTaskMayFailAsOftenAsItsQueueAllows() {
         JobEntry job = board.add(CellFixtures.job("a", 1));
-        run(job.readyTasks(0).get(0), RunEndKind.FAILED);
-        job.refresh(2);
+        run(job.listReadyTasks(0).get(0), RunEndKind.FAILED);
+        job.updateState(2);
         assertEquals(JobState.RUNNING, job.getState());
-        run(job.readyTasks(0).get(0), RunEndKind.FAILED);
-        job.refresh(2);
+        run(job.listReadyTasks(0).get(0), RunEndKind.FAILED);
+        job.updateState(2);
         assertEquals(JobState.FAILED, job.getState());
-        assertTrue(job.readyTasks(0).isEmpty());
+        assertTrue(job.listReadyTasks(0).isEmpty());
     }
 
     @Test
     public void aPerpetualTaskIsStartedAgainHoweverItEnds() {
         JobEntry job = board.add(CellFixtures.of("a", CellFixtures.step(1, List.of(), 0, true)));
         for (int i = 0; i < 9; i++) {
-            run(job.readyTasks(0).get(0), RunEndKind.FAILED);
-            job.refresh(2);
+            run(job.listReadyTasks(0).get(0), RunEndKind.FAILED);
+            job.updateState(2);
         }
         assertEquals(JobState.RUNNING, job.getState());
-        assertEquals(1, job.readyTasks(0).size());
+        assertEquals(1, job.listReadyTasks(0).size());
     }
 
     @Test
@@ -83,47 +83,47 @@
         JobDefinition once = CellFixtures.job("a", 1);
         JobEntry job =
                 board.add(new JobDefinition(once.id(), "q", "text", once.steps(), 10_000, 3000, 2));
-        assertTrue(job.readyTasks(9_999).isEmpty());
-        assertEquals(1, job.readyTasks(10_000).size());
-        assertEquals(1, job.readyTasks(12_999).size());
-        assertEquals(2, job.readyTasks(13_000).size());
+        assertTrue(job.listReadyTasks(9_999).isEmpty());
+        assertEquals(1, job.listReadyTasks(10_000).size());
+        assertEquals(1, job.listReadyTasks(12_999).size());
+        assertEquals(2, job.listReadyTasks(13_000).size());
     }
 
     @Test
-    public void aNewLeaderReadsWhatWasKept() {
+    public void newLeaderRestoresPersistedJobs() {
         JobEntry job = board.add(CellFixtures.job("a", 2));
         board.add(CellFixtures.job("b", 1));
         List<KeyedRecord> kept = new ArrayList<>(board.takeChanges());
-        job.readyTasks(0).get(0).assign(ONE);
-        job.refresh(2);
+        job.listReadyTasks(0).get(0).assign(ONE);
+        job.updateState(2);
         board.markChanged(job);
         kept.addAll(board.takeChanges());
-        JobBoard other = new JobBoard();
+        JobRegistry other = new JobRegistry();
         other.restore(kept);
         JobEntry restored = other.find(JobId.parse("a"));
         assertEquals(JobState.RUNNING, restored.getState());
-        assertEquals(1, restored.readyTasks(0).size());
+        assertEquals(1, restored.listReadyTasks(0).size());
         assertEquals(
                 ONE, other.findTask(restored.allTasks().toList().get(0).getName()).getWorker());
         assertEquals(3, other.add(CellFixtures.job("c", 1)).getOrder());
     }
 
     @Test
-    public void aRemovedJobIsGoneForANewLeader() {
+    public void removedJobIsUnknownToANewLeader() {
         JobEntry job = board.add(CellFixtures.job("a", 1));
         List<KeyedRecord> kept = new ArrayList<>(board.takeChanges());
         board.remove(job);
         kept.addAll(board.takeChanges());
-        JobBoard other = new JobBoard();
+        JobRegistry other = new JobRegistry();
         other.restore(kept);
         assertNull(other.find(JobId.parse("a")));
     }
 
     @Test
-    public void ofAJobWithNothingLeftToDoOnlyItsStateIsKept() {
+    public void onlyTheStateOfAFinishedJobIsPersisted() {
         JobEntry job = board.add(CellFixtures.job("a", 1));
         List<KeyedRecord> kept = new ArrayList<>(board.takeChanges());
-        TaskEntry task = job.readyTasks(0).get(0);
+        TaskEntry task = job.listReadyTasks(0).get(0);
         task.assign(ONE);
         job.cancel();
         board.markChanged(job);
@@ -133,11 +133,11 @@
         task.release();
         board.markChanged(job);
         kept.addAll(board.takeChanges());
-        JobBoard other = new JobBoard();
+        JobRegistry other = new JobRegistry();
         other.restore(kept);
         JobEntry restored = other.find(JobId.parse("a"));
         assertEquals(JobState.CANCELLED, restored.getState());
-        assertEquals(JobState.CANCELLED, restored.getKeptState());
+        assertEquals(JobState.CANCELLED, restored.getPersistedState());
         assertEquals("q", restored.getDefinition().queue());
         assertEquals(0, restored.allTasks().count());
         assertEquals(2, other.add(CellFixtures.job("b", 1)).getOrder());
--- a/src/test/java/org/standlink/cell/TestStateThatGoesBack.java
+++ b/src/test/java/org/standlink/cell/TestLateAppends.java
@@ -24,7 +24,7 @@
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
 import org.standlink.FakeLoop;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.Topic;
 
@@ -44,49 +44,49 @@
  * <p>Proof: a store that looks at numbers and epochs when a call comes, and at the end of the topic
  * when it is done.
  */
-public class TestStateThatGoesBack {
+public class TestLateAppends {
 
-    private static final WorkerLife WORKER = WorkerLife.parse("i-1@1000");
+    private static final WorkerIncarnation WORKER = WorkerIncarnation.parse("i-1@1000");
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final JobBoard board = new JobBoard();
+    private final JobRegistry board = new JobRegistry();
     private final List<String> seen = new ArrayList<>();
     private final CommitQueue queue = queue(2, board);
 
-    private CommitQueue queue(long epoch, JobBoard source) {
+    private CommitQueue queue(long epoch, JobRegistry source) {
         return new CommitQueue(
                 store,
                 Epoch.of(epoch),
                 List.of(source),
-                new StoreContact(clock, clock::nowMillis),
+                new LeaderAuthority(clock, clock::nowMillis),
                 loop,
                 loop,
                 () -> seen.add("ended " + epoch));
     }
 
     private TaskEntry addTask() {
-        return board.add(CellFixtures.job("a", 1)).readyTasks(0).get(0);
+        return board.add(CellFixtures.job("a", 1)).listReadyTasks(0).get(0);
     }
 
     private TaskEntry readTask(TaskEntry task) {
-        JobBoard read = new JobBoard();
+        JobRegistry read = new JobRegistry();
         read.restore(store.readNewest(Topic.CELL).join().records());
         return read.findTask(task.getName());
     }
 
     @Test
-    public void aCopyOfAnAppendThatIsDoneLateBringsNoOlderStateBack() {
+    public void delayedCopyOfAnAppendRestoresNoOlderState() {
         TaskEntry task = addTask();
         store.setMode(FakeKeyedStore.Mode.LATE);
-        queue.pump();
+        queue.startAppend();
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(200);
         task.assign(WORKER);
         board.markChanged(board.find(task.getName().job()));
         queue.afterCommit(() -> seen.add("kept"));
-        queue.pump();
+        queue.startAppend();
         loop.advance(200);
         assertEquals(List.of("kept"), seen);
         store.doLateAppends();
@@ -94,11 +94,11 @@
     }
 
     @Test
-    public void anAppendThatIsAnsweredBeforeItIsDoneTakesEffectOnceItIs() {
+    public void appendAnsweredBeforeItIsExecutedTakesEffectOnceItIs() {
         addTask();
         queue.afterCommit(() -> seen.add("kept"));
         store.setMode(FakeKeyedStore.Mode.LATE);
-        queue.pump();
+        queue.startAppend();
         store.setMode(FakeKeyedStore.Mode.ANSWERED_BEFORE);
         loop.advance(1000);
         assertEquals(List.of(), seen);
@@ -114,30 +114,30 @@
     }
 
     @Test
-    public void anAppendOfAnEarlierLeaderThatIsDoneLateEndsTheNextOne() {
+    public void delayedAppendOfAnEarlierLeaderEndsTheNextLeader() {
         addTask();
         store.setMode(FakeKeyedStore.Mode.LATE);
-        queue.pump();
+        queue.startAppend();
         store.setMode(FakeKeyedStore.Mode.UP);
         store.fence(Topic.CELL, Epoch.of(3)).join();
-        JobBoard nextBoard = new JobBoard();
+        JobRegistry nextBoard = new JobRegistry();
         CommitQueue next = queue(3, nextBoard);
         store.doLateAppends();
         nextBoard.add(CellFixtures.job("b", 1));
         next.afterCommit(() -> seen.add("kept"));
-        next.pump();
+        next.startAppend();
         loop.advance(1000);
         assertTrue(seen.contains("ended 3"), seen::toString);
         assertTrue(!seen.contains("kept"), seen::toString);
     }
 
     @Test
-    public void anAppendOfWhichAReadShowsOnlyThePartThatFitsHasBeenDone() {
+    public void appendShownInPartByAReadHasBeenExecuted() {
         store.setMostRead(1);
         addTask();
         queue.afterCommit(() -> seen.add("kept"));
         store.setMode(FakeKeyedStore.Mode.LOST);
-        queue.pump();
+        queue.startAppend();
         loop.advance(50);
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(200);
--- a/src/test/java/org/standlink/cell/TestLeaderSeat.java
+++ b/src/test/java/org/standlink/cell/TestLeadershipManager.java
@@ -35,7 +35,7 @@
 import org.standlink.wire.SubmitJob;
 
 /** Tests that a process whose leader has failed gives up the place, so that another takes it. */
-public class TestLeaderSeat {
+public class TestLeadershipManager {
 
     private static final Claim CLAIM = new Claim(Epoch.of(1), "10.0.0.1:1", Incarnation.of(1));
 
@@ -45,8 +45,8 @@
     private final FakeChannel entry = new FakeChannel();
     private final LeaderLink link = new LeaderLink(loop, (from, call, message) -> {}, clock);
     private boolean broken;
-    private final LeaderSeat seat =
-            new LeaderSeat(
+    private final LeadershipManager seat =
+            new LeadershipManager(
                     store,
                     new CellTimes(6000, 120_000),
                     this::readClock,
@@ -64,7 +64,7 @@
 
     private void lead() {
         store.records(Topic.CLAIMS).add(CLAIM.toRecord());
-        seat.claimed(CLAIM);
+        seat.applyClaim(CLAIM);
         loop.advance(50);
         seat.handle(entry, 1, new SubmitJob(CellFixtures.job("a", 1)));
         loop.advance(50);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void theClaimOfALeaderThatHasFailedIsVacated() {
+    public void claimOfAFailedLeaderIsVacated() {
         lead();
         failFor(500);
         assertEquals(Epoch.of(1), newestClaim().epoch());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void aClaimThatCouldNotBeVacatedIsVacatedOnceTheStoreIsBack() {
+    public void claimIsVacatedOnceTheStoreIsAvailableAgain() {
         lead();
         store.setMode(FakeKeyedStore.Mode.DOWN);
         failFor(500);
@@ -106,14 +106,14 @@
     }
 
     @Test
-    public void theClaimOfTheNextLeaderIsLeftAlone() {
+    public void claimOfTheNextLeaderIsNotVacated() {
         lead();
         store.setMode(FakeKeyedStore.Mode.DOWN);
         failFor(500);
         store.setMode(FakeKeyedStore.Mode.UP);
         Claim next = new Claim(Epoch.of(2), "10.0.0.2:1", Incarnation.of(2));
         store.records(Topic.CLAIMS).add(next.toRecord());
-        seat.claimed(next);
+        seat.applyClaim(next);
         loop.advance(3000);
         assertEquals(next, newestClaim());
     }
--- a/src/test/java/org/standlink/cell/TestMoveDesk.java
+++ b/src/test/java/org/standlink/cell/TestMovePlanner.java
@@ -29,19 +29,19 @@
 import org.standlink.job.RunEnd;
 import org.standlink.job.RunEndKind;
 import org.standlink.job.RunId;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.wire.ImageShare;
 
 /** Tests when a throttled run is moved, and where it goes. */
-public class TestMoveDesk {
+public class TestMovePlanner {
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
-    private final HarmTable harm = new HarmTable();
-    private final Placement placement = new LeastAskedPlacement(harm);
+    private final JobRegistry board = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
+    private final InterferenceTable harm = new InterferenceTable();
+    private final Placement placement = new LeastRequestedPlacement(harm);
     private final Scheduler scheduler = new Scheduler(board, workers, placement);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final CommitQueue commits =
@@ -49,22 +49,24 @@
                     store,
                     Epoch.of(1),
                     List.of(board, workers),
-                    new StoreContact(clock, clock::nowMillis),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final OrderDesk orders = new OrderDesk(Epoch.of(1), board, workers, commits);
-    private final MoveCost cost = new MoveCost();
-    private final MoveDesk moves = new MoveDesk(workers, placement, orders, commits, cost);
+    private final OrderDispatcher orders =
+            new OrderDispatcher(Epoch.of(1), board, workers, commits);
+    private final MoveCostEstimator cost = new MoveCostEstimator();
+    private final MovePlanner moves = new MovePlanner(workers, placement, orders, commits, cost);
 
     private WorkerEntry serving;
     private TaskEntry task;
 
     private WorkerEntry worker(String id, int cores) {
         WorkerEntry worker =
-                workers.get(CellFixtures.worker(id, cores).life(), clock.nowMillis() + 60_000);
-        worker.heard(CellFixtures.worker(id, cores), null, true, clock.nowMillis());
-        worker.setToldGeneration(LeaseGeneration.of(1));
+                workers.getOrAdd(
+                        CellFixtures.worker(id, cores).incarnation(), clock.nowMillis() + 60_000);
+        worker.receiveReport(CellFixtures.worker(id, cores), null, true, clock.nowMillis());
+        worker.setSyncedGeneration(LeaseGeneration.of(1));
         return worker;
     }
 
@@ -77,31 +79,32 @@
         List<TaskEntry> placed =
                 scheduler.schedule(CellFixtures.CONFIGURATION, clock.nowMillis(), 0);
         task = placed.stream().filter(one -> one.getStep().bestEffort()).findFirst().orElseThrow();
-        task.getProgress().progress(10, clock.nowMillis());
-        serving.getFigures().setWorstTail(1.2);
+        task.getProgress().update(10, clock.nowMillis());
+        serving.getMetrics().setMaxTailRatio(1.2);
         tellShare(5);
     }
 
     private void tellShare(int percent) {
-        serving.getFigures().throttled(List.of(new ImageShare("b", percent)), clock.nowMillis());
+        serving.getMetrics()
+                .updateThrottled(List.of(new ImageShare("b", percent)), clock.nowMillis());
     }
 
     private boolean isStopped() {
-        return !task.isAtWork();
+        return !task.isRunning();
     }
 
     @Test
-    public void aRunThatIsHeldBackGoesWhereItHarmsNobody() {
+    public void throttledRunMovesToAWorkerWithoutInterference() {
         WorkerEntry free = worker("i-2", 4);
         clock.advance(1000);
         worker("i-2", 4);
-        moves.move(clock.nowMillis());
+        moves.moveThrottledRuns(clock.nowMillis());
         assertTrue(isStopped());
         RunId run = task.getRun();
-        task.end(serving.getLife(), new RunEnd(1, run, RunEndKind.STOPPED, "half"));
-        workers.vacate(task, serving.getLife());
+        task.recordEnd(serving.getIncarnation(), new RunEnd(1, run, RunEndKind.STOPPED, "half"));
+        workers.removeTask(task, serving.getIncarnation());
         scheduler.schedule(CellFixtures.CONFIGURATION, clock.nowMillis(), 0);
-        assertEquals(free.getLife(), task.getWorker());
+        assertEquals(free.getIncarnation(), task.getWorker());
         assertEquals("half", task.getCheckpoint());
         assertEquals(0, task.getFailures());
     }
@@ -113,17 +116,17 @@
      * had to wait for the store. Proof: the same run moves once the store is back.
      */
     @Test
-    public void nothingIsMovedWhileTheStoreIsSilent() {
+    public void nothingIsMovedWhileTheStoreIsUnavailable() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
-        commits.pump();
-        loop.advance(CommitQueue.STALLED_MILLIS + 300);
+        commits.startAppend();
+        loop.advance(CommitQueue.STALL_TIMEOUT_MILLIS + 300);
         worker("i-2", 4);
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(600);
         worker("i-2", 4);
-        moves.move(clock.nowMillis());
+        moves.moveThrottledRuns(clock.nowMillis());
         assertTrue(isStopped());
     }
 
@@ -133,87 +136,88 @@
      * moves, each with 600 ms of restoring, and 45 of the 78 slowest tasks of steps had moved.
      */
     @Test
-    public void aRunThatIsNearlyDoneStaysWhereItIsHeldBack() {
+    public void throttledRunThatIsNearlyDoneIsNotMoved() {
         worker("i-2", 4);
         clock.advance(1000);
         worker("i-2", 4);
-        task.getProgress().progress(70, clock.nowMillis());
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        task.getProgress().update(70, clock.nowMillis());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
     }
 
     @Test
-    public void movesThatWereSeenToCostMuchAreMadeForMoreOnly() {
+    public void observedMoveCostRaisesTheRequiredGain() {
         worker("i-2", 4);
         clock.advance(1000);
         worker("i-2", 4);
-        task.getProgress().progress(20, clock.nowMillis());
+        task.getProgress().update(20, clock.nowMillis());
         for (int i = 0; i < 30; i++) {
-            cost.learn(6000, clock.nowMillis());
+            cost.addSample(6000, clock.nowMillis());
         }
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
         for (int i = 0; i < 30; i++) {
-            cost.learn(500, clock.nowMillis());
+            cost.addSample(500, clock.nowMillis());
         }
         clock.advance(500);
         worker("i-2", 4);
-        moves.move(clock.nowMillis());
+        moves.moveThrottledRuns(clock.nowMillis());
         assertTrue(isStopped());
     }
 
     @Test
-    public void movesThatCostMuchDuringAnOutageDoNotEndAllMoves() {
+    public void moveCostOfAnOutageExpires() {
         for (int i = 0; i < 30; i++) {
-            cost.learn(20_000, clock.nowMillis());
+            cost.addSample(20_000, clock.nowMillis());
         }
-        double dear = cost.getMillis(clock.nowMillis());
+        double dear = cost.estimateMillis(clock.nowMillis());
         assertTrue(dear > 15_000);
-        assertEquals(1000, cost.getMillis(clock.nowMillis() + 600_000), 1);
+        assertEquals(1000, cost.estimateMillis(clock.nowMillis() + 600_000), 1);
     }
 
     @Test
-    public void aMoveCostsTheTimeUntilTheTaskIsFurtherThanItWas() {
-        task.beginMoveAway(clock.nowMillis());
+    public void moveCostCountsUntilProgressExceedsThatBeforeTheMove() {
+        task.beginMoveFromThrottled(clock.nowMillis());
         clock.advance(300);
-        task.getProgress().progress(11, clock.nowMillis());
+        task.getProgress().update(11, clock.nowMillis());
         assertTrue(
-                task.takeMoveMillis(clock.nowMillis()) < 0, "the last run goes on until it stops");
+                task.takeMoveDurationMillis(clock.nowMillis()) < 0,
+                "the last run goes on until it stops");
         task.release();
-        task.assign(serving.getLife());
+        task.assign(serving.getIncarnation());
         clock.advance(500);
-        task.getProgress().progress(10, clock.nowMillis());
-        assertTrue(task.takeMoveMillis(clock.nowMillis()) < 0, "work is done again");
+        task.getProgress().update(10, clock.nowMillis());
+        assertTrue(task.takeMoveDurationMillis(clock.nowMillis()) < 0, "work is done again");
         clock.advance(200);
-        task.getProgress().progress(12, clock.nowMillis());
-        assertEquals(1000, task.takeMoveMillis(clock.nowMillis()));
-        assertTrue(task.takeMoveMillis(clock.nowMillis()) < 0, "once only");
+        task.getProgress().update(12, clock.nowMillis());
+        assertEquals(1000, task.takeMoveDurationMillis(clock.nowMillis()));
+        assertTrue(task.takeMoveDurationMillis(clock.nowMillis()) < 0, "once only");
     }
 
     @Test
-    public void oneRoughFigureMovesNothing() {
+    public void singleMeasurementMovesNothing() {
         worker("i-2", 4);
         clock.advance(300);
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
         tellShare(100);
         clock.advance(1000);
         tellShare(5);
         worker("i-2", 4);
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
     }
 
     @Test
-    public void itStaysWhereNoOtherWorkerIsBetter() {
+    public void runStaysIfNoOtherWorkerIsBetter() {
         WorkerEntry other = worker("i-2", 8);
         board.add(CellFixtures.of("s2", CellFixtures.serving("s", 6)));
         scheduler.schedule(CellFixtures.CONFIGURATION, clock.nowMillis(), 0);
-        harm.tell(List.of(new HarmTable.Entry("s", "b", 0.9)));
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.9)));
         clock.advance(1000);
         worker("i-2", 8);
         assertEquals(1, other.listTasks().size());
-        moves.move(clock.nowMillis());
-        assertTrue(task.isAtWork());
+        moves.moveThrottledRuns(clock.nowMillis());
+        assertTrue(task.isRunning());
     }
 }
