--- a/src/test/java/org/standlink/cell/TestOrderDesk.java
+++ b/src/test/java/org/standlink/cell/TestOrderDispatcher.java
@@ -27,7 +27,7 @@
 import org.standlink.store.FakeKeyedStore;
 
 /** Tests that no order runs ahead of the record of what it orders. */
-public class TestOrderDesk {
+public class TestOrderDispatcher {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
@@ -35,37 +35,38 @@
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel agent = new FakeChannel();
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
+    private final JobRegistry board = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
             new CommitQueue(
                     store,
                     Epoch.of(1),
                     List.of(board),
-                    new StoreContact(clock, clock::nowMillis),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final OrderDesk orders = new OrderDesk(Epoch.of(1), board, workers, commits);
+    private final OrderDispatcher orders =
+            new OrderDispatcher(Epoch.of(1), board, workers, commits);
 
     /** Hands the same job in, whose only task goes to the worker. */
     private JobEntry handIn() {
-        workers.get(WORKER.life(), 10_000).heard(WORKER, agent, true, 0);
+        workers.getOrAdd(WORKER.incarnation(), 10_000).receiveReport(WORKER, agent, true, 0);
         JobEntry job = board.add(CellFixtures.job("b", 1));
         TaskEntry task = job.allTasks().findFirst().orElseThrow();
-        task.assign(WORKER.life());
-        workers.place(task, 10_000);
+        task.assign(WORKER.incarnation());
+        workers.addTask(task, 10_000);
         return job;
     }
 
     @Test
-    public void anOrderOfARefusedJobDoesNotRunAheadOfTheRecordOfTheJobInItsPlace() {
+    public void orderOfARefusedJobIsNotSentBeforeTheRecordOfItsResubmission() {
         JobEntry refused = handIn();
         orders.startAfterCommit(refused.allTasks().toList());
         board.withdraw(refused);
         board.add(CellFixtures.job("other", 1));
         // This append carries the other job alone; the order of the refused one waits for it.
-        commits.pump();
+        commits.startAppend();
         handIn();
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(0);
@@ -73,11 +74,11 @@
     }
 
     @Test
-    public void anOrderIsSentOnceItsRecordIsKept() {
+    public void orderIsSentOnceItsRecordIsPersisted() {
         JobEntry job = handIn();
         orders.startAfterCommit(job.allTasks().toList());
         assertEquals(List.of(), agent.starts());
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
         assertEquals(1, agent.starts().size());
     }
--- a/src/test/java/org/standlink/cell/TestWhatIsToldIsKept.java
+++ b/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
@@ -64,14 +64,14 @@
  * what had changed since.
  *
  * <p>Cause: a throw between taking changes and keeping them lost the changes, but not what waited
- * for them. The lines that showed it: {@code NoClassDefFoundError ... at BeliefKeeper.takeChanges
- * ... at CommitQueue.pump} and {@code "lost":43}; in another play, a first append of six records
- * after 8.5 s without the store.
+ * for them. The lines that showed it: {@code NoClassDefFoundError ... at
+ * InterferencePersistence.takeChanges ... at CommitQueue.pump} and {@code "lost":43}; in another
+ * play, a first append of six records after 8.5 s without the store.
  *
  * <p>Proof: a leader whose clock throws once, at each of its readings in turn, which are spread
  * over all that a leader does; and a queue whose sources and effects throw at each of their calls.
  */
-public class TestWhatIsToldIsKept {
+public class TestReportedStateIsDurable {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
     private static final int JOBS = 6;
@@ -125,7 +125,7 @@
         private final Map<RunId, Long> ended = new LinkedHashMap<>();
         private final Map<Long, JobId> questions = new LinkedHashMap<>();
         private final ThrowingClock leaderClock;
-        private final CellLeader leader;
+        private final JobCellLeader leader;
         private Fence fence = Fence.NONE;
         private long call;
         private long sequence;
@@ -133,7 +133,7 @@
         Play(long reading, Supplier<Throwable> thrown) {
             leaderClock = new ThrowingClock(clock, thrown);
             leader =
-                    new CellLeader(
+                    new JobCellLeader(
                             Epoch.of(1),
                             store,
                             new CellTimes(6000, 120_000),
@@ -240,7 +240,7 @@
 
         /** Lists what was told and is not so at the next leader. */
         List<String> findForgotten() {
-            CellLeader next = CellFixtures.lead(2, store, clock, loop);
+            JobCellLeader next = CellFixtures.startLeader(2, store, clock, loop);
             List<String> forgotten = new ArrayList<>();
             for (Map.Entry<JobId, JobState> told : listTold().entrySet()) {
                 long asked = ++call;
@@ -257,7 +257,7 @@
         }
 
         private List<String> findForgottenEnds() {
-            JobBoard read = new JobBoard();
+            JobRegistry read = new JobRegistry();
             List<KeyedRecord> records = store.readNewest(Topic.CELL).join().records();
             read.restore(records);
             long recorded = agent.greatestRecordedEnd();
@@ -308,12 +308,12 @@
     }
 
     @Test
-    public void whateverExceptionIsThrownInALeader() {
+    public void reportedStateIsDurableWhateverExceptionIsThrown() {
         assertEquals(List.of(), playAll(() -> new IllegalStateException("on purpose")));
     }
 
     @Test
-    public void whateverErrorIsThrownInALeader() {
+    public void reportedStateIsDurableWhateverErrorIsThrown() {
         assertEquals(List.of(), playAll(() -> new NoClassDefFoundError("on purpose")));
     }
 }
--- a/src/test/java/org/standlink/cell/TestCallersWithoutTheStore.java
+++ b/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
@@ -54,10 +54,10 @@
  * jobs no append had carried, and did not say so. Proof: each test lets the store fall silent
  * between two submissions.
  */
-public class TestCallersWithoutTheStore {
+public class TestRequestsDuringStoreOutage {
 
     /** Longer than the store may be silent before new work is refused, in milliseconds. */
-    private static final long OUTAGE_MILLIS = CommitQueue.STALLED_MILLIS + 200;
+    private static final long OUTAGE_MILLIS = CommitQueue.STALL_TIMEOUT_MILLIS + 200;
 
     private static final RunId CARRIED = new RunId(TaskName.parse("a.0.0.0"), 1);
     private static final RunId WAITING = new RunId(TaskName.parse("b.0.0.0"), 1);
@@ -67,13 +67,13 @@
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
-    private CellLeader leader;
+    private JobCellLeader leader;
     private AgentGrant grant = new AgentGrant(Epoch.NONE, LeaseGeneration.NONE, 0, 0, List.of());
     private long sequence;
 
     @BeforeEach
     public void lead() {
-        leader = CellFixtures.lead(1, store, clock, loop);
+        leader = CellFixtures.startLeader(1, store, clock, loop);
         report();
         report();
     }
@@ -140,7 +140,7 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void whatNoAppendHasCarriedIsRefusedOnceTheStoreIsKnownToBeSilent() {
+    public void changeInNoAppendIsRefusedOnceTheStoreIsUnresponsive() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.LOST);
         loop.advance(OUTAGE_MILLIS);
         assertEquals(JobAnswer.Result.NOT_DONE, result(2));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    public void whatAnAppendHasCarriedIsAnsweredAsSoonAsTheStoreAnswers() {
+    public void changeInAnAppendIsAnsweredAsSoonAsTheStoreAnswers() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         loop.advance(OUTAGE_MILLIS);
         // The caller asks again under the same identifier.
@@ -165,7 +165,7 @@
     }
 
     @Test
-    public void aJobThatWasRefusedCanBeHandedInAgainAndRunsOnce() {
+    public void refusedJobCanBeSubmittedAgainAndRunsOnce() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         loop.advance(OUTAGE_MILLIS);
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    public void aRefusedJobLeavesNoRoomTaken() {
+    public void refusedJobOccupiesNoCapacity() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         loop.advance(OUTAGE_MILLIS);
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -191,7 +191,7 @@
     }
 
     @Test
-    public void aJobThatWasCancelledMeanwhileIsNotRefused() {
+    public void jobCancelledDuringTheOutageIsNotRefused() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         leader.handle(entry, 6, new CancelJob(JobId.parse("b"), "q"));
         loop.advance(OUTAGE_MILLIS);
@@ -202,7 +202,7 @@
     }
 
     @Test
-    public void aCancelThatComesWhileTheStoreIsKnownToBeSilentIsRefusedAndMayBeRepeated() {
+    public void cancelDuringTheOutageIsRefusedAndMayBeRepeated() {
         submit(1, "a");
         assertEquals(JobAnswer.Result.DONE, result(1));
         store.setMode(FakeKeyedStore.Mode.DOWN);
@@ -220,7 +220,7 @@
     }
 
     @Test
-    public void aRefusedJobIsNotShown() {
+    public void refusedJobIsNotFound() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         loop.advance(OUTAGE_MILLIS);
         store.setMode(FakeKeyedStore.Mode.UP);
@@ -232,7 +232,7 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void aReplacedLeaderSendsItsCallersOn() {
+    public void replacedLeaderRedirectsItsCallers() {
         loseStoreBetweenTwoJobs(FakeKeyedStore.Mode.DOWN);
         store.setMode(FakeKeyedStore.Mode.UP);
         store.fence(Topic.CELL, Epoch.of(2));
--- a/src/test/java/org/standlink/cell/TestScheduler.java
+++ b/src/test/java/org/standlink/cell/TestScheduler.java
@@ -27,8 +27,8 @@
 import org.standlink.job.RunEndKind;
 import org.standlink.job.StepDefinition;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 
 /** Tests which task gets which worker, and which has to wait. */
 public class TestScheduler {
@@ -36,46 +36,48 @@
     private static final long NOW = 1_000_000;
 
     private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> evacuated);
-    private final HarmTable harm = new HarmTable();
+    private final JobRegistry board = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> evacuated);
+    private final InterferenceTable harm = new InterferenceTable();
     private final Scheduler scheduler =
-            new Scheduler(board, workers, new LeastAskedPlacement(harm));
+            new Scheduler(board, workers, new LeastRequestedPlacement(harm));
 
     private WorkerEntry worker(String id, int cores) {
-        WorkerEntry worker = workers.get(CellFixtures.worker(id, cores).life(), NOW + 6000);
-        worker.heard(CellFixtures.worker(id, cores), null, true, NOW);
-        worker.setToldGeneration(LeaseGeneration.of(1));
+        WorkerEntry worker =
+                workers.getOrAdd(CellFixtures.worker(id, cores).incarnation(), NOW + 6000);
+        worker.receiveReport(CellFixtures.worker(id, cores), null, true, NOW);
+        worker.setSyncedGeneration(LeaseGeneration.of(1));
         return worker;
     }
 
     private JobEntry add(String id, StepDefinition... steps) {
         JobEntry job = board.add(CellFixtures.of(id, steps));
-        job.accept(NOW, 0);
+        job.markAccepted(NOW, 0);
         return job;
     }
 
     private List<TaskEntry> schedule(long now) {
-        workers.getWorkers().forEach(one -> one.heard(one.getDescription(), null, true, now));
+        workers.getWorkers()
+                .forEach(one -> one.receiveReport(one.getDescription(), null, true, now));
         return scheduler.schedule(CellFixtures.CONFIGURATION, now, 0);
     }
 
     @Test
-    public void noWorkerIsEverGivenMoreThanItHas() {
+    public void assignmentsNeverExceedTheCapacityOfAWorker() {
         worker("i-1", 4);
         worker("i-2", 4);
         add("a", CellFixtures.step(20, List.of(), 0, false));
         assertEquals(8, schedule(NOW).size());
-        workers.getWorkers().forEach(one -> assertEquals(0, one.free().milliCores()));
+        workers.getWorkers().forEach(one -> assertEquals(0, one.getFreeCapacity().milliCores()));
     }
 
     @Test
-    public void aTaskThatIsToBeginApartHoldsUpNoOtherAndWaitsForAWhileOnly() {
+    public void taskToIsolateDelaysNoOtherAndWaitsForALimitedTime() {
         worker("i-1", 8);
         add("a", CellFixtures.step(1, List.of(), 0, false));
         schedule(NOW);
         JobEntry job = add("b", CellFixtures.step(3, List.of(), 0, true));
-        TaskEntry suspect = job.readyTasks(0).get(0);
+        TaskEntry suspect = job.listReadyTasks(0).get(0);
         suspect.getTrial().setCrashes(CrashHistory.of(1, 0, 400));
         assertEquals(2, schedule(NOW + 10).size());
         assertEquals(List.of(), schedule(NOW + 500));
@@ -83,12 +85,12 @@
     }
 
     @Test
-    public void aTaskThatSeveralWorkersCrashedUnderWaitsLongerWhereThereIsRoom() {
+    public void taskWithSeveralCrashesWaitsLongerForIsolation() {
         worker("i-1", 8);
         add("a", CellFixtures.step(1, List.of(), 0, false));
         schedule(NOW);
         JobEntry job = add("b", CellFixtures.step(2, List.of(), 0, true));
-        TaskEntry suspect = job.readyTasks(0).get(0);
+        TaskEntry suspect = job.listReadyTasks(0).get(0);
         suspect.getTrial().setCrashes(CrashHistory.of(2, 0, 400));
         assertEquals(1, schedule(NOW + 10).size());
         assertEquals(List.of(), schedule(NOW + 1500));
@@ -96,14 +98,14 @@
     }
 
     @Test
-    public void nothingIsAssignedInAnEvacuatedHallUntilItIsTakenBack() {
+    public void nothingIsAssignedInAHallWhileItIsEvacuated() {
         WorkerEntry away = worker("i-1", 8);
         WorkerEntry here = worker("i-2", 2);
-        here.heard(in(here.getDescription(), "other"), null, true, NOW);
+        here.receiveReport(in(here.getDescription(), "other"), null, true, NOW);
         evacuated = EvacuatedHalls.of(List.of(away.getDescription().hall()));
         add("a", CellFixtures.step(4, List.of(), 0, false));
         assertEquals(2, schedule(NOW).size());
-        assertEquals(8000, away.free().milliCores());
+        assertEquals(8000, away.getFreeCapacity().milliCores());
         evacuated = EvacuatedHalls.NONE;
         assertEquals(2, schedule(NOW + 100).size());
     }
@@ -114,14 +116,14 @@
         evacuated = EvacuatedHalls.of(List.of(only.getDescription().hall()));
         add("a", CellFixtures.step(1, List.of(), 0, false));
         for (long after = 0; after < 20_000; after += 1000) {
-            only.prolong(NOW + after + 6000);
+            only.extendLease(NOW + after + 6000);
             assertEquals(List.of(), schedule(NOW + after));
         }
     }
 
     private static WorkerDescription in(WorkerDescription told, String hall) {
         return new WorkerDescription(
-                told.life(),
+                told.incarnation(),
                 told.service(),
                 told.address() + "0",
                 told.capacity(),
@@ -132,7 +134,7 @@
     }
 
     @Test
-    public void aStepIsSpreadAsItAsks() {
+    public void stepIsSpreadByItsLimitPerWorker() {
         worker("i-1", 8);
         worker("i-2", 8);
         add("a", CellFixtures.step(9, List.of(), 3, false));
@@ -140,16 +142,16 @@
     }
 
     @Test
-    public void aWorkerWhoseLeaseIsOverGetsNothingUntilItIsProlonged() {
+    public void workerWithAnExpiredLeaseGetsNothingUntilItsRenewal() {
         WorkerEntry worker = worker("i-1", 8);
         add("a", CellFixtures.step(1, List.of(), 0, false));
         assertTrue(schedule(NOW + 6000).isEmpty());
-        worker.prolong(NOW + 12_000);
+        worker.extendLease(NOW + 12_000);
         assertEquals(1, schedule(NOW + 6000).size());
     }
 
     @Test
-    public void aLeavingOrSilentWorkerGetsNothing() {
+    public void avoidedWorkerGetsNothing() {
         WorkerEntry leaving = worker("i-1", 8);
         leaving.getHealth().avoidUntil(NOW + 100);
         add("a", CellFixtures.step(1, List.of(), 0, false));
@@ -158,58 +160,58 @@
     }
 
     @Test
-    public void aBestEffortTaskAvoidsTheWorkerWhereItHarms() {
+    public void bestEffortTaskAvoidsWorkersWithInterference() {
         WorkerEntry sensitive = worker("i-1", 8);
         WorkerEntry other = worker("i-2", 8);
         add("s", CellFixtures.serving("s", 6));
         schedule(NOW);
         WorkerEntry with = sensitive.listTasks().isEmpty() ? other : sensitive;
-        harm.tell(List.of(new HarmTable.Entry("s", "bad", 0.9)));
-        harm.tell(List.of(new HarmTable.Entry("s", "good", 0.0)));
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "bad", 0.9)));
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "good", 0.0)));
         add("b", CellFixtures.bestEffort("bad", 2));
         add("g", CellFixtures.bestEffort("good", 2));
         List<TaskEntry> placed = schedule(NOW);
         assertEquals(2, placed.size());
-        assertTrue(!placed.get(0).getWorker().equals(with.getLife()));
-        assertEquals(with.getLife(), placed.get(1).getWorker());
+        assertTrue(!placed.get(0).getWorker().equals(with.getIncarnation()));
+        assertEquals(with.getIncarnation(), placed.get(1).getWorker());
     }
 
     @Test
-    public void aHarmfulTaskWaitsForAWorkerWhereItHarmsNobody() {
+    public void interferingTaskWaitsForAWorkerWithoutInterference() {
         worker("i-1", 8);
         add("s", CellFixtures.serving("s", 6));
         schedule(NOW);
         worker("i-2", 1);
-        harm.tell(List.of(new HarmTable.Entry("s", "bad", 0.9)));
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "bad", 0.9)));
         add("one", CellFixtures.bestEffort("bad", 1));
         add("two", CellFixtures.bestEffort("bad", 1));
         assertEquals(1, schedule(NOW).size());
     }
 
     @Test
-    public void theTaskGoesElsewhereAfterAFailure() {
+    public void failedTaskIsAssignedToAnotherWorker() {
         WorkerEntry one = worker("i-1", 8);
         WorkerEntry two = worker("i-2", 4);
         add("a", CellFixtures.step(1, List.of(), 0, false));
         TaskEntry task = schedule(NOW).get(0);
-        assertEquals(one.getLife(), task.getWorker());
-        task.end(one.getLife(), new RunEnd(1, task.getRun(), RunEndKind.FAILED, ""));
-        workers.vacate(task, one.getLife());
-        assertEquals(two.getLife(), schedule(NOW).get(0).getWorker());
+        assertEquals(one.getIncarnation(), task.getWorker());
+        task.recordEnd(one.getIncarnation(), new RunEnd(1, task.getRun(), RunEndKind.FAILED, ""));
+        workers.removeTask(task, one.getIncarnation());
+        assertEquals(two.getIncarnation(), schedule(NOW).get(0).getWorker());
     }
 
     @Test
-    public void aJobThatCanBeOnTimeGoesBeforeOneThatCannot() {
+    public void jobThatCanMeetItsTargetGoesBeforeOneThatCannot() {
         worker("i-1", 1);
         JobEntry old = add("old", CellFixtures.step(1, List.of(), 0, false));
         JobEntry young = add("young", CellFixtures.step(1, List.of(), 0, false));
         // The target is 250 ms and 1.5 times 500 ms of work.
-        old.accept(NOW - 2000, 0);
+        old.markAccepted(NOW - 2000, 0);
         assertEquals(young.getId(), schedule(NOW).get(0).getName().job());
     }
 
     @Test
-    public void aJobThatHasBegunIsFinishedBeforeAnotherIsBegun() {
+    public void startedJobIsFinishedBeforeAnotherIsStarted() {
         WorkerEntry one = worker("i-1", 1);
         add("first", CellFixtures.step(1, List.of(), 0, false));
         JobEntry begun =
@@ -217,41 +219,41 @@
                         "begun",
                         CellFixtures.step(1, List.of(), 0, false),
                         CellFixtures.step(1, List.of(0), 0, false));
-        TaskEntry task = begun.readyTasks(0).get(0);
-        task.assign(one.getLife());
-        task.end(one.getLife(), new RunEnd(1, task.getRun(), RunEndKind.DONE, ""));
+        TaskEntry task = begun.listReadyTasks(0).get(0);
+        task.assign(one.getIncarnation());
+        task.recordEnd(one.getIncarnation(), new RunEnd(1, task.getRun(), RunEndKind.DONE, ""));
         assertEquals(begun.getId(), schedule(NOW).get(0).getName().job());
     }
 
     @Test
-    public void aJobIsNotBegunWithNothingToSpare() {
+    public void jobWithTooLittleSlackIsNotStarted() {
         worker("i-1", 1);
         JobEntry tight = add("tight", CellFixtures.step(1, List.of(), 0, false));
         JobEntry young = add("young", CellFixtures.step(1, List.of(), 0, false));
         // The target is 250 ms and 1.5 times 500 ms of work; 490 ms are left of it.
-        tight.accept(NOW - 510, 0);
+        tight.markAccepted(NOW - 510, 0);
         assertEquals(young.getId(), schedule(NOW).get(0).getName().job());
     }
 
     @Test
-    public void aNewLeaderKnowsHowOldAJobIs() {
+    public void newLeaderRestoresTheAgeOfAJob() {
         JobEntry job = add("a", CellFixtures.step(1, List.of(), 0, false));
-        job.accept(NOW, 50_000);
-        JobBoard other = new JobBoard();
+        job.markAccepted(NOW, 50_000);
+        JobRegistry other = new JobRegistry();
         other.restore(board.takeChanges());
         JobEntry restored = other.find(job.getId());
-        restored.resume(7000, 52_500);
+        restored.restoreAcceptanceTime(7000, 52_500);
         assertEquals(4500, restored.getAcceptedAt());
-        restored.resume(7000, 40_000);
+        restored.restoreAcceptanceTime(7000, 40_000);
         assertEquals(
                 7000, restored.getAcceptedAt(), "a clock that was put back makes no job young");
     }
 
     @Test
-    public void aWorkerThatFailsWhatItStartsIsTriedWithOneTaskOnly() {
+    public void failingWorkerIsTriedWithOneTaskOnly() {
         WorkerEntry failing = worker("i-1", 8);
         for (int i = 0; i < 3; i++) {
-            workers.judge(failing, false, NOW);
+            workers.recordOutcome(failing, false, NOW);
         }
         add("a", CellFixtures.step(8, List.of(), 0, false));
         assertTrue(schedule(NOW + 1000).isEmpty());
@@ -260,26 +262,26 @@
     }
 
     @Test
-    public void aTaskThatFailedGoesToAWorkerThatDoesNot() {
+    public void failedTaskGoesToAHealthyWorker() {
         WorkerEntry doubtful = worker("i-1", 64);
         WorkerEntry sound = worker("i-2", 4);
         JobEntry job = add("a", CellFixtures.step(1, List.of(), 0, false));
-        workers.judge(doubtful, false, NOW);
-        TaskEntry task = job.readyTasks(0).get(0);
-        WorkerLife gone = WorkerLife.parse("i-3@1000");
+        workers.recordOutcome(doubtful, false, NOW);
+        TaskEntry task = job.listReadyTasks(0).get(0);
+        WorkerIncarnation gone = WorkerIncarnation.parse("i-3@1000");
         task.assign(gone);
-        task.end(gone, new RunEnd(1, task.getRun(), RunEndKind.FAILED, ""));
-        assertEquals(sound.getLife(), schedule(NOW).get(0).getWorker());
+        task.recordEnd(gone, new RunEnd(1, task.getRun(), RunEndKind.FAILED, ""));
+        assertEquals(sound.getIncarnation(), schedule(NOW).get(0).getWorker());
     }
 
     @Test
-    public void runsThatMayHarmAreSpreadAndDoNotCrowdAWorker() {
+    public void interferingRunsAreSpreadAndLimitedPerWorker() {
         WorkerEntry one = worker("i-1", 32);
         WorkerEntry two = worker("i-2", 32);
         add("s1", CellFixtures.serving("s", 30));
         add("s2", CellFixtures.serving("s", 30));
         schedule(NOW);
-        harm.tell(List.of(new HarmTable.Entry("s", "b", 0.5)));
+        harm.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.5)));
         for (int i = 0; i < 6; i++) {
             add("b" + i, CellFixtures.bestEffort("b", 4));
         }
@@ -289,11 +291,11 @@
     }
 
     @Test
-    public void aJobOfWhichNothingRunsIsNotHeldUpForLong() {
+    public void jobWithoutRunsIsNotDelayedForLong() {
         WorkerEntry one = worker("i-1", 32);
         add("s", CellFixtures.serving("s", 30));
         schedule(NOW);
-        one.getFigures().setWorstTail(0.85);
+        one.getMetrics().setMaxTailRatio(0.85);
         JobEntry job = add("b", CellFixtures.bestEffort("b", 4));
         assertTrue(schedule(NOW).isEmpty());
         assertTrue(schedule(NOW + 900).isEmpty());
--- a/src/test/java/org/standlink/cell/TestTaskRecord.java
+++ b/src/test/java/org/standlink/cell/TestSubmittedTaskRecord.java
@@ -22,7 +22,7 @@
 import org.standlink.store.Packing;
 
 /** Tests that records of other versions are read: parts may only be added at the end. */
-public class TestTaskRecord {
+public class TestSubmittedTaskRecord {
 
     /** What an earlier version wrote. */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
@@ -35,16 +35,16 @@
             String checkpoint) {}
 
     @Test
-    public void aRecordOfAnEarlierVersionHasSeenNoCrash() {
+    public void recordOfAnEarlierVersionCountsNoCrash() {
         byte[] bytes = Packing.pack(new Shorter(3, 1, 2, false, "i-1", "c"));
         assertEquals(
-                new TaskRecord(3, 1, 2, false, "i-1", "c", 0, 0, 0),
-                Packing.unpack(bytes, TaskRecord.class));
+                new SubmittedTaskRecord(3, 1, 2, false, "i-1", "c", 0, 0, 0),
+                Packing.unpack(bytes, SubmittedTaskRecord.class));
     }
 
     @Test
-    public void anEarlierVersionPassesOverWhatWasAdded() {
-        byte[] bytes = Packing.pack(new TaskRecord(3, 1, 2, false, "i-1", "c", 2, 1, 500));
+    public void earlierVersionIgnoresAddedParts() {
+        byte[] bytes = Packing.pack(new SubmittedTaskRecord(3, 1, 2, false, "i-1", "c", 2, 1, 500));
         assertEquals(new Shorter(3, 1, 2, false, "i-1", "c"), Packing.unpack(bytes, Shorter.class));
     }
 }
--- a/src/test/java/org/standlink/cell/TestOvertakenDecisions.java
+++ b/src/test/java/org/standlink/cell/TestSupersededDecisions.java
@@ -33,7 +33,7 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.wire.AgentGrant;
 import org.standlink.wire.AgentReport;
@@ -48,7 +48,7 @@
  * more. A report of an earlier process of an agent may arrive when the present one has been told
  * its orders: it says nothing of the runs that these brought.
  */
-public class TestOvertakenDecisions {
+public class TestSupersededDecisions {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
     private static final WorkerDescription OTHER = CellFixtures.worker("i-2", 8);
@@ -61,7 +61,7 @@
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
     private final FakeChannel elsewhere = new FakeChannel();
-    private CellLeader leader;
+    private JobCellLeader leader;
     private final Map<Long, Fence> fences = new HashMap<>();
     private long sequence;
 
@@ -75,8 +75,8 @@
         report(elsewhere, 9, part(OTHER, false, List.of(), List.of()));
     }
 
-    private CellLeader lead(long epoch) {
-        return CellFixtures.lead(epoch, store, clock, loop);
+    private JobCellLeader lead(long epoch) {
+        return CellFixtures.startLeader(epoch, store, clock, loop);
     }
 
     private static WorkerReport part(
@@ -128,7 +128,7 @@
     }
 
     @Test
-    public void aRunThatWasRefusedWhileItsOrderWaitedForTheStoreIsNotOrdered() {
+    public void runRefusedWhileItsOrderWaitedForTheStoreIsNotOrdered() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(300);
         FakeChannel next = new FakeChannel();
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void aLateRefusalOfAnEarlierProcessSaysNothingOfWhatThePresentOneWasTold() {
+    public void delayedRefusalOfAnEarlierProcessIsIgnored() {
         FakeChannel present = new FakeChannel();
         report(present, 2, part(WORKER, false, List.of(), List.of()));
         report(present, 2, part(WORKER, false, List.of(RUN), List.of()));
@@ -152,7 +152,7 @@
     }
 
     @Test
-    public void aLateLapseOfAnEarlierProcessSaysNothingOfWhatThePresentOneWasTold() {
+    public void delayedLapseOfAnEarlierProcessIsIgnored() {
         FakeChannel present = new FakeChannel();
         report(present, 2, part(WORKER, false, List.of(), List.of()));
         report(present, 2, part(WORKER, false, List.of(RUN), List.of()));
@@ -162,7 +162,7 @@
     }
 
     @Test
-    public void aFirstReportOfAnEarlierProcessThatComesLateSaysNothing() {
+    public void delayedFirstReportOfAnEarlierProcessIsIgnored() {
         FakeChannel earlier = new FakeChannel();
         FakeChannel present = new FakeChannel();
         report(present, 3, part(WORKER, false, List.of(), List.of()));
@@ -176,7 +176,7 @@
     }
 
     @Test
-    public void aLateFirstReportDoesNotBarThePresentProcessAlsoOverALaterChannel() {
+    public void delayedFirstReportOverALaterChannelDoesNotBlockTheCurrentProcess() {
         FakeChannel present = new FakeChannel();
         report(present, 3, part(WORKER, false, List.of(), List.of()));
         report(present, 3, part(WORKER, false, List.of(RUN), List.of()));
@@ -189,7 +189,7 @@
     }
 
     @Test
-    public void anAgentThatAWorkerHasLeftDoesNotGiveUpWhatRunsThere() {
+    public void formerAgentOfAWorkerDoesNotReleaseItsRuns() {
         FakeChannel moved = new FakeChannel();
         // Once to be told the generation of its lease, and once to count.
         reportOnce("another machine", moved, 3, part(WORKER, false, List.of(RUN), List.of()));
@@ -200,12 +200,12 @@
     }
 
     @Test
-    public void aLateReportOfAnEarlierProcessDoesNotBringAnEarlierLifeBack() {
+    public void delayedReportDoesNotRestoreAnEarlierIncarnation() {
         bringEarlierLifeBack();
     }
 
     @Test
-    public void aLateReportOfAnEarlierProcessSaysNothingToANewLeaderEither() {
+    public void delayedReportDoesNotRestoreAnEarlierIncarnationAtANewLeader() {
         leader = lead(2);
         report(elsewhere, 9, part(OTHER, false, List.of(), List.of()));
         bringEarlierLifeBack();
@@ -215,7 +215,7 @@
         FakeChannel present = new FakeChannel();
         WorkerDescription next =
                 new WorkerDescription(
-                        WorkerLife.parse("i-3@1000"),
+                        WorkerIncarnation.parse("i-3@1000"),
                         WORKER.service(),
                         WORKER.address(),
                         WORKER.capacity(),
--- a/src/test/java/org/standlink/cell/TestTaskEntry.java
+++ b/src/test/java/org/standlink/cell/TestTaskEntry.java
@@ -27,13 +27,13 @@
 import org.standlink.job.RunEndKind;
 import org.standlink.job.RunId;
 import org.standlink.job.TaskName;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /** Tests what the ends of runs do to a task, in every order in which they may come. */
 public class TestTaskEntry {
 
-    private static final WorkerLife ONE = WorkerLife.parse("one@1000");
-    private static final WorkerLife TWO = WorkerLife.parse("two@1000");
+    private static final WorkerIncarnation ONE = WorkerIncarnation.parse("one@1000");
+    private static final WorkerIncarnation TWO = WorkerIncarnation.parse("two@1000");
     private static final TaskName NAME = TaskName.parse("j.0.0.0");
 
     private TaskEntry task;
@@ -50,17 +50,17 @@
 
     @Test
     public void aFailureListedTwiceCountsOnce() {
-        assertTrue(task.end(ONE, end(1, RunEndKind.FAILED, "")));
-        assertFalse(task.end(ONE, end(1, RunEndKind.FAILED, "")));
+        assertTrue(task.recordEnd(ONE, end(1, RunEndKind.FAILED, "")));
+        assertFalse(task.recordEnd(ONE, end(1, RunEndKind.FAILED, "")));
         assertEquals(1, task.getFailures());
     }
 
     @Test
     public void aFailureCountsOnceAlsoAfterANewLeaderReadTheRecord() {
-        task.end(ONE, end(1, RunEndKind.FAILED, ""));
+        task.recordEnd(ONE, end(1, RunEndKind.FAILED, ""));
         TaskEntry restored = new TaskEntry(NAME, task.getStep());
         restored.restore(task.toRecord());
-        assertFalse(restored.end(ONE, end(1, RunEndKind.FAILED, "")));
+        assertFalse(restored.recordEnd(ONE, end(1, RunEndKind.FAILED, "")));
         assertEquals(1, restored.getFailures());
     }
 
@@ -68,7 +68,7 @@
     public void anOlderRunThatIsDoneEndsTheTask() {
         task.release();
         task.assign(TWO);
-        assertTrue(task.end(ONE, end(1, RunEndKind.DONE, "")));
+        assertTrue(task.recordEnd(ONE, end(1, RunEndKind.DONE, "")));
         assertTrue(task.isDone());
         assertEquals(TWO, task.getWorker());
     }
@@ -77,14 +77,14 @@
     public void theEndOfAnOlderRunLeavesTheNewerOneInPlace() {
         task.release();
         task.assign(TWO);
-        assertFalse(task.end(ONE, end(1, RunEndKind.LAPSED, "old")));
+        assertFalse(task.recordEnd(ONE, end(1, RunEndKind.LAPSED, "old")));
         assertEquals(TWO, task.getWorker());
         assertEquals("", task.getCheckpoint());
     }
 
     @Test
-    public void aStoppedRunHandsItsStateToTheNext() {
-        assertTrue(task.end(ONE, end(1, RunEndKind.STOPPED, "saved")));
+    public void checkpointOfAStoppedRunIsPassedToTheNext() {
+        assertTrue(task.recordEnd(ONE, end(1, RunEndKind.STOPPED, "saved")));
         assertNull(task.getWorker());
         assertEquals("saved", task.getCheckpoint());
         assertEquals(0, task.getFailures());
@@ -92,8 +92,8 @@
 
     @Test
     public void nothingChangesATaskThatIsDone() {
-        task.end(ONE, end(1, RunEndKind.DONE, ""));
-        assertFalse(task.end(ONE, end(1, RunEndKind.FAILED, "")));
+        task.recordEnd(ONE, end(1, RunEndKind.DONE, ""));
+        assertFalse(task.recordEnd(ONE, end(1, RunEndKind.FAILED, "")));
         assertEquals(0, task.getFailures());
     }
 }
--- a/src/test/java/org/standlink/cell/TestSourcesThatThrow.java
+++ b/src/test/java/org/standlink/cell/TestThrowingChangeSources.java
@@ -40,7 +40,7 @@
  * <p>Proof: two sources of which the second throws in each of its calls in turn, when it is taken,
  * asked, told of the append or encoded, and an effect that throws.
  */
-public class TestSourcesThatThrow {
+public class TestThrowingChangeSources {
 
     private static final int MOST_CALLS = 20;
 
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void kept() {
+        public void markPersisted() {
             step();
         }
     }
@@ -113,11 +113,11 @@
                         store,
                         Epoch.of(call),
                         List.of(first, second),
-                        new StoreContact(clock, clock::nowMillis),
+                        new LeaderAuthority(clock, clock::nowMillis),
                         loop,
                         loop,
                         () -> told.add("ended"));
-        queue.startAt(store.records(Topic.CELL).size());
+        queue.setTopicEnd(store.records(Topic.CELL).size());
         for (int i = 1; i <= 4; i++) {
             String change = call + "." + i;
             first.changes.add(change);
@@ -128,7 +128,7 @@
                         told.add("second-" + change);
                         count();
                     });
-            letPass(queue::pump);
+            letPass(queue::startAppend);
             letPass(() -> loop.advance(50));
         }
     }
@@ -153,13 +153,13 @@
     }
 
     @Test
-    public void whicheverCallThrowsAnException() {
+    public void effectsFollowStoredChangesWhicheverCallThrowsAnException() {
         exception = () -> new IllegalStateException("on purpose");
         playAll();
     }
 
     @Test
-    public void whicheverCallThrowsAnError() {
+    public void effectsFollowStoredChangesWhicheverCallThrowsAnError() {
         playAll();
     }
 }
--- a/src/test/java/org/standlink/cell/TestSuccessionDesk.java
+++ b/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
@@ -34,8 +34,8 @@
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.wire.AgentReport;
 import org.standlink.wire.WorkerReport;
@@ -47,51 +47,51 @@
  * names the id alone. So nothing may be given to others before the present life has listed what it
  * runs, under a generation that bars what came before.
  */
-public class TestSuccessionDesk {
+public class TestWorkerRestartHandler {
 
     private static final WorkerDescription FORMER = CellFixtures.worker("i-1", 8);
-    private static final WorkerLife PRESENT = WorkerLife.parse("i-1@2000");
-    private static final WorkerLife BORN_BEFORE = WorkerLife.parse("i-1@500");
+    private static final WorkerIncarnation PRESENT = WorkerIncarnation.parse("i-1@2000");
+    private static final WorkerIncarnation BORN_BEFORE = WorkerIncarnation.parse("i-1@500");
     private static final Incarnation AGENT = Incarnation.of(1);
     private static final Incarnation OTHER_AGENT = Incarnation.of(2);
     private static final long LEASE_MILLIS = 6000;
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
+    private final JobRegistry board = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
             new CommitQueue(
                     new FakeKeyedStore(),
                     Epoch.of(1),
                     List.of(board, workers),
-                    new StoreContact(clock, clock::nowMillis),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final AgentBoard agents = new AgentBoard(Epoch.of(1), workers);
-    private final ReportDesk reports =
-            new ReportDesk(
+    private final AgentRegistry agents = new AgentRegistry(Epoch.of(1), workers);
+    private final AgentReportHandler reports =
+            new AgentReportHandler(
                     board,
                     workers,
                     agents,
-                    new OrderDesk(Epoch.of(1), board, workers, commits),
+                    new OrderDispatcher(Epoch.of(1), board, workers, commits),
                     job -> 2,
                     clock,
-                    new FigureDesk(board, clock, new HarmTable()),
-                    new MoveCost());
+                    new InterferenceLearner(board, clock, new InterferenceTable()),
+                    new MoveCostEstimator());
     private final FakeChannel channel = new FakeChannel();
     private List<TaskEntry> tasks;
     private long sequence;
 
     @BeforeEach
     public void assign() {
-        tasks = board.add(CellFixtures.job("a", 3)).readyTasks(0);
+        tasks = board.add(CellFixtures.job("a", 3)).listReadyTasks(0);
         for (TaskEntry task : tasks) {
-            task.assign(FORMER.life());
-            workers.place(task, clock.nowMillis() + LEASE_MILLIS);
+            task.assign(FORMER.incarnation());
+            workers.addTask(task, clock.nowMillis() + LEASE_MILLIS);
         }
-        report(AGENT, part(FORMER.life(), true, runs()), List.of());
+        report(AGENT, part(FORMER.incarnation(), true, runs()), List.of());
     }
 
     private List<RunId> runs() {
@@ -99,7 +99,7 @@
     }
 
     private static WorkerReport part(
-            WorkerLife life, boolean listed, List<RunId> running, RunEnd... ended) {
+            WorkerIncarnation life, boolean listed, List<RunId> running, RunEnd... ended) {
         WorkerDescription worker =
                 new WorkerDescription(
                         life,
@@ -124,7 +124,7 @@
     }
 
     /** Hands over a report under the generation that its sender was told; tells if it counts. */
-    private boolean report(Incarnation agent, WorkerReport part, List<WorkerLife> dead) {
+    private boolean report(Incarnation agent, WorkerReport part, List<WorkerIncarnation> dead) {
         if (agents.getGeneration(agent).equals(LeaseGeneration.NONE)) {
             agents.accept(message(agent, part, dead), clock.nowMillis());
         }
@@ -133,7 +133,8 @@
         return reports.handle(channel, report, clock.nowMillis() + LEASE_MILLIS);
     }
 
-    private AgentReport message(Incarnation agent, WorkerReport part, List<WorkerLife> dead) {
+    private AgentReport message(
+            Incarnation agent, WorkerReport part, List<WorkerIncarnation> dead) {
         return new AgentReport(
                 "node" + agent,
                 "a:1",
@@ -146,31 +147,35 @@
                 dead);
     }
 
-    private List<WorkerLife> places() {
+    private List<WorkerIncarnation> places() {
         return tasks.stream().map(TaskEntry::getWorker).toList();
     }
 
     @Test
-    public void theGenerationRisesBeforeAnythingIsGivenUp() {
+    public void generationRisesBeforeAnyRunIsReleased() {
         LeaseGeneration before = agents.getGeneration(AGENT);
-        assertFalse(report(AGENT, part(PRESENT, true, List.of()), List.of(FORMER.life())));
+        assertFalse(report(AGENT, part(PRESENT, true, List.of()), List.of(FORMER.incarnation())));
         assertTrue(agents.getGeneration(AGENT).isAfter(before));
-        assertEquals(List.of(FORMER.life(), FORMER.life(), FORMER.life()), places());
+        assertEquals(
+                List.of(FORMER.incarnation(), FORMER.incarnation(), FORMER.incarnation()),
+                places());
     }
 
     @Test
-    public void runsStayPlacedUntilThePresentLifeHasListedItsOwn() {
-        report(AGENT, part(PRESENT, false, List.of()), List.of(FORMER.life()));
-        assertTrue(report(AGENT, part(PRESENT, false, List.of()), List.of(FORMER.life())));
-        assertEquals(List.of(FORMER.life(), FORMER.life(), FORMER.life()), places());
-        assertTrue(report(AGENT, part(PRESENT, true, List.of()), List.of(FORMER.life())));
+    public void runsStayAssignedUntilTheCurrentIncarnationHasListedItsOwn() {
+        report(AGENT, part(PRESENT, false, List.of()), List.of(FORMER.incarnation()));
+        assertTrue(report(AGENT, part(PRESENT, false, List.of()), List.of(FORMER.incarnation())));
+        assertEquals(
+                List.of(FORMER.incarnation(), FORMER.incarnation(), FORMER.incarnation()),
+                places());
+        assertTrue(report(AGENT, part(PRESENT, true, List.of()), List.of(FORMER.incarnation())));
         tasks.forEach(task -> assertNull(task.getWorker()));
-        assertNull(workers.find(FORMER.life()));
+        assertNull(workers.find(FORMER.incarnation()));
     }
 
     /** They were started late there; stopping them would only lose their work. */
     @Test
-    public void whatThePresentLifeListsGoesOnThere() {
+    public void runsListedByTheCurrentIncarnationContinueThere() {
         report(AGENT, part(PRESENT, false, List.of()), List.of());
         RunEnd done = new RunEnd(1, tasks.get(1).getRun(), RunEndKind.DONE, "");
         List<RunId> running = List.of(tasks.get(0).getRun());
@@ -184,57 +189,61 @@
     @Test
     public void theCrashIsCountedOnce() {
         for (int i = 0; i < 3; i++) {
-            report(AGENT, part(PRESENT, i == 2, List.of()), List.of(FORMER.life()));
+            report(AGENT, part(PRESENT, i == 2, List.of()), List.of(FORMER.incarnation()));
         }
         for (TaskEntry task : tasks) {
-            assertEquals(1, task.getTrial().getCrashes().getCrashes());
+            assertEquals(1, task.getTrial().getCrashes().getStartupCrashes());
         }
     }
 
     /** A worker's time of day may be set back between two starts. */
     @Test
-    public void aLifeThatWasBornBeforeFollowsIfItAnswersTheSameAgent() {
+    public void incarnationWithAnEarlierStartTimeFollowsIfItAnswersTheSameAgent() {
         report(AGENT, part(BORN_BEFORE, false, List.of()), List.of());
         assertTrue(report(AGENT, part(BORN_BEFORE, true, List.of()), List.of()));
-        assertNull(workers.find(FORMER.life()));
+        assertNull(workers.find(FORMER.incarnation()));
     }
 
     @Test
-    public void anotherAgentsLifeThatWasBornBeforeEndsNoneThatAnswers() {
+    public void incarnationWithAnEarlierStartTimeOfAnotherAgentEndsNoneThatAnswers() {
         assertTrue(report(OTHER_AGENT, part(BORN_BEFORE, true, List.of()), List.of()));
-        assertEquals(List.of(FORMER.life(), FORMER.life(), FORMER.life()), places());
+        assertEquals(
+                List.of(FORMER.incarnation(), FORMER.incarnation(), FORMER.incarnation()),
+                places());
     }
 
     @Test
-    public void aLateReportOfTheFormerLifeChangesNothing() {
+    public void delayedReportOfTheFormerIncarnationChangesNothing() {
         report(OTHER_AGENT, part(PRESENT, false, List.of()), List.of());
-        assertTrue(report(AGENT, part(FORMER.life(), true, List.of()), List.of()));
-        assertTrue(workers.find(FORMER.life()).isOver());
-        assertEquals(List.of(FORMER.life(), FORMER.life(), FORMER.life()), places());
+        assertTrue(report(AGENT, part(FORMER.incarnation(), true, List.of()), List.of()));
+        assertTrue(workers.find(FORMER.incarnation()).isEnded());
+        assertEquals(
+                List.of(FORMER.incarnation(), FORMER.incarnation(), FORMER.incarnation()),
+                places());
         assertTrue(report(OTHER_AGENT, part(PRESENT, true, List.of()), List.of()));
-        assertNull(workers.find(FORMER.life()));
+        assertNull(workers.find(FORMER.incarnation()));
     }
 
     /** Records of older programs name no birth, so that nobody knows whose runs they tell of. */
     @Test
-    public void theRunsOfALifeThatIsNotKnownWaitForListsAndCountNoCrash() {
-        WorkerLife unknown = WorkerLife.parse("i-9");
-        TaskEntry task = board.add(CellFixtures.job("b", 1)).readyTasks(0).get(0);
+    public void runsOfAnUnknownIncarnationWaitForListsAndCountNoCrash() {
+        WorkerIncarnation unknown = WorkerIncarnation.parse("i-9");
+        TaskEntry task = board.add(CellFixtures.job("b", 1)).listReadyTasks(0).get(0);
         task.assign(unknown);
-        workers.place(task, clock.nowMillis() + LEASE_MILLIS);
-        WorkerLife present = WorkerLife.parse("i-9@2000");
+        workers.addTask(task, clock.nowMillis() + LEASE_MILLIS);
+        WorkerIncarnation present = WorkerIncarnation.parse("i-9@2000");
         report(OTHER_AGENT, part(present, true, List.of(task.getRun())), List.of());
         assertEquals(unknown, task.getWorker());
         assertTrue(report(OTHER_AGENT, part(present, true, List.of(task.getRun())), List.of()));
         assertEquals(present, task.getWorker());
-        assertEquals(0, task.getTrial().getCrashes().getCrashes());
+        assertEquals(0, task.getTrial().getCrashes().getStartupCrashes());
     }
 
     @Test
-    public void aLifeThatIsOverIsGivenNothing() {
+    public void endedIncarnationIsAssignedNothing() {
         report(AGENT, part(PRESENT, false, List.of()), List.of());
         assertTrue(
-                workers.usable(FORMER.service(), clock.nowMillis()).stream()
-                        .noneMatch(worker -> worker.getLife().equals(FORMER.life())));
+                workers.findUsable(FORMER.service(), clock.nowMillis()).stream()
+                        .noneMatch(worker -> worker.getIncarnation().equals(FORMER.incarnation())));
     }
 }
--- a/src/test/java/org/standlink/election/TestCandidate.java
+++ b/src/test/java/org/standlink/election/TestCandidate.java
@@ -61,14 +61,14 @@
     }
 
     @BeforeEach
-    public void led() {
+    public void setUpLeader() {
         store.records(Topic.CLAIMS).add(OTHER.toRecord());
-        candidate.claimed(OTHER);
+        candidate.observeClaim(OTHER);
     }
 
     @Test
     public void claimsAtOnceWhenTheLeaderHasResigned() {
-        candidate.claimed(new Claim(Epoch.of(1), "", Incarnation.of(9)));
+        candidate.observeClaim(new Claim(Epoch.of(1), "", Incarnation.of(9)));
         candidate.tick();
         assertEquals(2, claims());
         assertEquals(Epoch.of(2), Claim.of(store.records(Topic.CLAIMS).get(1)).epoch());
@@ -76,9 +76,9 @@
 
     /** Whoever has failed as a leader is likely to fail again. */
     @Test
-    public void letsTheOthersGoFirstWhenItHasGivenThePlaceUpItself() {
-        candidate.claimed(new Claim(Epoch.of(1), "", Incarnation.of(1)));
-        tickFor(Candidate.SUSPECT_MILLIS - 200, false, false);
+    public void delaysItsClaimAfterItHasResigned() {
+        candidate.observeClaim(new Claim(Epoch.of(1), "", Incarnation.of(1)));
+        tickFor(Candidate.SUSPECT_TIMEOUT_MILLIS - 200, false, false);
         assertEquals(1, claims());
         tickFor(200, false, false);
         assertEquals(2, claims());
@@ -98,17 +98,17 @@
 
     @Test
     public void claimsWhenTheLeaderNeitherAnswersNorWrites() {
-        tickFor(Candidate.SILENCE_MILLIS - 200, false, false);
+        tickFor(Candidate.STORE_SILENCE_MILLIS - 200, false, false);
         assertEquals(1, claims());
         tickFor(500, false, false);
         assertEquals(2, claims());
     }
 
     @Test
-    public void claimsSoonerWhenNobodyLeadsAtTheLeadersAddress() {
+    public void claimsSoonerWhenTheLeaderIsAbsent() {
         candidate.leaderAnswered(0);
-        candidate.leaderGone();
-        tickFor(Candidate.GONE_MILLIS, false, false);
+        candidate.leaderAbsent();
+        tickFor(Candidate.ABSENT_LEADER_SILENCE_MILLIS, false, false);
         assertEquals(1, claims());
         tickFor(200, false, false);
         assertEquals(2, claims());
@@ -116,7 +116,7 @@
 
     @Test
     public void neverClaimsWhileTheLeaderWritesThoughItsAddressRefuses() {
-        candidate.leaderGone();
+        candidate.leaderAbsent();
         tickFor(10_000, true, false);
         assertEquals(1, claims());
     }
@@ -125,14 +125,14 @@
     public void claimsWhenTheLeaderAnswersWithoutTheStore() {
         for (int i = 0; i < 17; i++) {
             clock.advance(100);
-            candidate.leaderAnswered(Candidate.STORELESS_MILLIS);
+            candidate.leaderAnswered(Candidate.LEADER_STORE_OUTAGE_MILLIS);
             candidate.tick();
         }
         assertEquals(2, claims());
     }
 
     @Test
-    public void countsTheSilenceAnewWhenTheStoreWasAway() {
+    public void restartsTheSilenceAfterAStoreOutage() {
         tickFor(1000, false, false);
         store.setMode(FakeKeyedStore.Mode.DOWN);
         tickFor(3000, false, false);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void losesAgainstAClaimThatWasMadeBefore() {
+    public void losesAgainstAnEarlierClaim() {
         Candidate late = new Candidate(store, clock, "10.0.0.2:1", Incarnation.of(2), () -> 0);
         late.tick();
         assertEquals(List.of(OTHER.toRecord()), store.records(Topic.CLAIMS));
@@ -152,20 +152,20 @@
     public void claimsAtOnceWhenAnEarlierProcessLedAtItsAddress() {
         Claim mine = new Claim(Epoch.of(2), "10.0.0.1:1", Incarnation.of(7));
         store.records(Topic.CLAIMS).add(mine.toRecord());
-        candidate.claimed(mine);
+        candidate.observeClaim(mine);
         candidate.tick();
         assertEquals(3, claims());
     }
 
     @Test
-    public void replacesALeaderThatFallsSilentWithinTwoSeconds() {
+    public void replacesAnUnresponsiveLeaderWithinTwoSeconds() {
         candidate.leaderAnswered(0);
         tickFor(2000, false, false);
         assertEquals(2, claims());
     }
 
     @Test
-    public void replacesALeaderThatHasNoStoreWithinTwoSeconds() {
+    public void replacesALeaderWithoutTheStoreWithinTwoSeconds() {
         for (long silent = 0; silent <= 2000; silent += 100) {
             clock.advance(100);
             candidate.leaderAnswered(silent);
@@ -175,7 +175,7 @@
     }
 
     @Test
-    public void neverClaimsWhileALeaderWritesThoughItSaysThatItHasNoStore() {
+    public void neverClaimsWhileTheLeaderWritesThoughItReportsAStoreOutage() {
         for (int i = 0; i < 50; i++) {
             clock.advance(100);
             store.records(Topic.CELL).add(BEAT);
@@ -190,7 +190,7 @@
         tickFor(1000, false, false);
         Claim next = new Claim(Epoch.of(2), "10.0.0.8:1", Incarnation.of(8));
         store.records(Topic.CLAIMS).add(next.toRecord());
-        candidate.claimed(next);
+        candidate.observeClaim(next);
         tickFor(1600, false, false);
         assertEquals(2, claims());
         tickFor(600, false, false);
--- a/src/test/java/org/standlink/election/TestLeaderConnection.java
+++ b/src/test/java/org/standlink/election/TestLeaderConnection.java
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void aCallThatTakesTooLongFailsAlone() throws Exception {
+    public void aTimeoutFailsOnlyItsOwnCall() throws Exception {
         CompletableFuture<Void> tooLate = new CompletableFuture<>();
         MessageHandler slow =
                 (connection, call, message) -> {
@@ -105,7 +105,7 @@
     }
 
     @Test
-    public void aSilentConnectionIsClosedLongBeforeItsCallsEnd() throws Exception {
+    public void closesAnUnresponsiveConnectionBeforeItsCallsTimeOut() throws Exception {
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             threads.execute(() -> readAndSayNothing(silent));
             try (LeaderLink link = linkTo(silent.getLocalPort())) {
@@ -117,8 +117,8 @@
                 StandlinkException known = (StandlinkException) lost.getCause();
                 assertEquals(ErrorCode.CONNECTION_LOST, known.getCode());
                 clock.advance(1000);
-                assertFalse(link.isSilent(), "the silence was that of the connection");
-                assertFalse(link.isSilent());
+                assertFalse(link.isUnresponsive(), "the silence was that of the connection");
+                assertFalse(link.isUnresponsive());
             }
         }
     }
--- a/src/test/java/org/standlink/election/TestLeaderLink.java
+++ b/src/test/java/org/standlink/election/TestLeaderLink.java
@@ -36,7 +36,7 @@
     private final LeaderLink link = new LeaderLink(background::add, (c, n, m) -> {}, clock);
 
     @BeforeEach
-    public void lead() {
+    public void setUpLeader() {
         link.offer(new LeaderNotice(Epoch.of(2), "127.0.0.1:1"), "test");
     }
 
@@ -48,28 +48,28 @@
     }
 
     @Test
-    public void aLeaderThatAnswersNothingIsSilentButIsTriedNowAndThen() {
+    public void probesAnUnresponsiveLeaderPeriodically() {
         link.call(new QueueQuery("q"), 1000);
-        assertFalse(link.isSilent());
+        assertFalse(link.isUnresponsive());
         clock.advance(501);
-        assertFalse(link.isSilent());
-        assertTrue(link.isSilent());
+        assertFalse(link.isUnresponsive());
+        assertTrue(link.isUnresponsive());
         clock.advance(250);
-        assertFalse(link.isSilent());
-        assertTrue(link.isSilent());
+        assertFalse(link.isUnresponsive());
+        assertTrue(link.isUnresponsive());
     }
 
     @Test
-    public void aNewLeaderIsNotSilent() {
+    public void aNewLeaderIsNotUnresponsive() {
         link.call(new QueueQuery("q"), 1000);
         clock.advance(1000);
         link.offer(new LeaderNotice(Epoch.of(3), "127.0.0.1:2"), "test");
-        assertFalse(link.isSilent());
-        assertFalse(link.isSilent());
+        assertFalse(link.isUnresponsive());
+        assertFalse(link.isUnresponsive());
     }
 
     @Test
-    public void anOlderLeaderIsPassedOver() {
+    public void ignoresALeaderOfAnOlderEpoch() {
         link.offer(new LeaderNotice(Epoch.of(1), "127.0.0.1:9"), "test");
         assertEquals(new LeaderNotice(Epoch.of(2), "127.0.0.1:1"), link.getLeader());
     }
--- a/src/test/java/org/standlink/gateway/TestJobGateway.java
+++ b/src/test/java/org/standlink/gateway/TestJobGateway.java
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void eachAnswerOfTheLeaderHasItsStatus() {
+    public void mapsLeaderAnswersToStatusCodes() {
         Object[][] table = {
             {JobCall.Kind.SUBMIT, JobAnswer.ofDone(JobState.QUEUED), 200},
             {JobCall.Kind.STATE, JobAnswer.ofDone(JobState.RUNNING), 200},
@@ -120,25 +120,25 @@
     }
 
     @Test
-    public void aRefusalSaysWhenToComeBack() {
+    public void aRefusalHasARetryTime() {
         leadWith(JobAnswer.of(JobAnswer.Result.NOT_DONE, "why"));
         assertTrue(ask(JobCall.Kind.SUBMIT).retryAfterSeconds() > 0);
     }
 
     @Test
-    public void withoutALeaderNothingRan() {
+    public void reportsNotRunWithoutALeader() {
         JobReply reply = ask(JobCall.Kind.SUBMIT);
         assertEquals(503, reply.status());
     }
 
     @Test
-    public void aJobWhoseAnswerIsLostIsNeverToldAsNotRun() {
+    public void aLostAnswerIsNeverReportedAsNotRun() {
         lead(1, (connection, call, message) -> connection.close());
         assertEquals(504, ask(JobCall.Kind.SUBMIT).status());
     }
 
     @Test
-    public void aJobWhoseConnectionBreaksIsAskedForAgainOverANewOne() {
+    public void retriesASubmissionAfterALostConnection() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -154,7 +154,7 @@
     }
 
     @Test
-    public void aRefusalAfterALostAnswerDoesNotSayThatNothingRan() {
+    public void aRefusalAfterALostAnswerIsNotReportedAsNotRun() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -172,7 +172,7 @@
     }
 
     @Test
-    public void aJobThatMayHaveBeenKeptIsAskedForAgain() {
+    public void retriesASubmissionWithUnknownOutcome() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -189,7 +189,7 @@
     }
 
     @Test
-    public void aRefusalOfAJobThatMayHaveBeenKeptDoesNotSayThatNothingRan() {
+    public void aRefusalAfterAnUnknownOutcomeIsNotReportedAsNotRun() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -204,7 +204,7 @@
     }
 
     @Test
-    public void aJobWhoseAppendWaitsForTheStoreIsAnsweredWithinItsCallersTime() {
+    public void waitsForASlowAppendUntilTheCallersDeadline() {
         Executor later = CompletableFuture.delayedExecutor(1200, TimeUnit.MILLISECONDS);
         JobAnswer answer = JobAnswer.ofDone(JobState.QUEUED);
         lead(
@@ -216,7 +216,7 @@
     }
 
     @Test
-    public void aJobWhoseCallerIsAboutToLeaveIsNotSentToTheLeader() {
+    public void doesNotSendASubmissionCloseToItsDeadline() {
         AtomicInteger asked = new AtomicInteger();
         lead(1, (connection, call, message) -> asked.incrementAndGet());
         JobCall leaving = new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 20);
@@ -225,7 +225,7 @@
     }
 
     @Test
-    public void aRequestWaitsForALeaderThatReadsItsState() {
+    public void waitsForALeaderThatReadsItsState() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -262,13 +262,13 @@
     }
 
     @Test
-    public void aMereQuestionMayBeAskedAgain() {
+    public void aReadOnlyCallIsReportedAsNotRun() {
         lead(1, (connection, call, message) -> connection.close());
         assertEquals(503, ask(JobCall.Kind.STATE).status());
     }
 
     @Test
-    public void aProcessThatNoLongerLeadsSendsTheCallerOn() {
+    public void retriesAtTheNewLeaderAfterARedirect() {
         AtomicInteger asked = new AtomicInteger();
         lead(
                 1,
@@ -284,7 +284,7 @@
     }
 
     @Test
-    public void whatIsWrongIsToldAtOnce() {
+    public void rejectsInvalidRequestsAtOnce() {
         assertEquals(404, gateway.answer("h", "/x/", queue -> null).status());
         assertEquals(404, gateway.answer("other", "/q/x", queue -> null).status());
         assertEquals(405, ask(null).status());
@@ -301,7 +301,7 @@
     }
 
     @Test
-    public void anOlderConfigurationNeverComesBack() {
+    public void ignoresAnOlderConfiguration() {
         gateway.offer(new Configuration(2, List.of(), List.of(), 0));
         leadWith(JobAnswer.ofDone(JobState.QUEUED));
         assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
--- a/src/test/java/org/standlink/job/TestConfiguration.java
+++ b/src/test/java/org/standlink/job/TestConfiguration.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void anUnknownHostOrPathHasNone() {
+    public void unknownHostOrPathHasNoQueue() {
         assertTrue(configuration.findQueue("x", "/a/1").isEmpty());
         assertTrue(configuration.findQueue("h", "/b/1").isEmpty());
         assertTrue(configuration.findQueue(null, "/a/1").isEmpty());
--- a/src/test/java/org/standlink/job/TestWorkerLife.java
+++ b/src/test/java/org/standlink/job/TestWorkerIncarnation.java
@@ -30,46 +30,48 @@
 import org.standlink.StandlinkException;
 
 /** Tests that a life of a worker is its id and its birth together. */
-public class TestWorkerLife {
+public class TestWorkerIncarnation {
 
     private static final WorkerId ID = WorkerId.parse("i-1");
 
     @Property
-    public void whatIsWrittenIsReadAgain(@ForAll @LongRange(min = 0) long born) {
-        WorkerLife life = WorkerLife.of(ID, born);
-        assertEquals(life, WorkerLife.parse(life.toString()));
-        assertEquals(life.hashCode(), WorkerLife.parse(life.toString()).hashCode());
-        assertTrue(life.isKnown());
+    public void textFormIsParsedAgain(@ForAll @LongRange(min = 0) long born) {
+        WorkerIncarnation life = WorkerIncarnation.of(ID, born);
+        assertEquals(life, WorkerIncarnation.parse(life.toString()));
+        assertEquals(life.hashCode(), WorkerIncarnation.parse(life.toString()).hashCode());
+        assertTrue(life.hasStartTime());
     }
 
     @Test
-    public void livesOfOneWorkerDifferByTheirBirths() {
-        WorkerLife first = WorkerLife.of(ID, 1000);
-        WorkerLife second = WorkerLife.of(ID, 2000);
+    public void incarnationsOfOneWorkerDifferByTheirStartTimes() {
+        WorkerIncarnation first = WorkerIncarnation.of(ID, 1000);
+        WorkerIncarnation second = WorkerIncarnation.of(ID, 2000);
         assertNotEquals(first, second);
-        assertTrue(second.isOtherLifeOf(first));
-        assertTrue(second.isBornAfter(first));
-        assertFalse(first.isOtherLifeOf(first));
-        assertFalse(first.isOtherLifeOf(WorkerLife.of(WorkerId.parse("i-2"), 2000)));
+        assertTrue(second.isOtherIncarnationOf(first));
+        assertTrue(second.isStartedAfter(first));
+        assertFalse(first.isOtherIncarnationOf(first));
+        assertFalse(first.isOtherIncarnationOf(WorkerIncarnation.of(WorkerId.parse("i-2"), 2000)));
     }
 
     @Test
-    public void aLifeWithoutABirthIsNoneThatIsKnown() {
-        WorkerLife old = WorkerLife.parse("i-1");
-        assertFalse(old.isKnown());
+    public void incarnationWithoutStartTimeIsRecognised() {
+        WorkerIncarnation old = WorkerIncarnation.parse("i-1");
+        assertFalse(old.hasStartTime());
         assertEquals("i-1", old.toString());
-        assertTrue(old.isOtherLifeOf(WorkerLife.of(ID, 0)));
+        assertTrue(old.isOtherIncarnationOf(WorkerIncarnation.of(ID, 0)));
     }
 
     @Test
-    public void whatIsNoLifeIsRefused() {
+    public void malformedTextIsRefused() {
         for (String text : List.of("", "@", "@5", "i-1@", "i-1@-1", "i-1@x", "i-1@1.5", "I@1")) {
             StandlinkException refused =
                     assertThrows(
-                            StandlinkException.class, () -> WorkerLife.parse(text), () -> text);
+                            StandlinkException.class,
+                            () -> WorkerIncarnation.parse(text),
+                            () -> text);
             assertEquals(ErrorCode.INVALID_IDENTIFIER, refused.getCode());
         }
-        assertThrows(StandlinkException.class, () -> WorkerLife.parse(null));
-        assertThrows(StandlinkException.class, () -> WorkerLife.of(ID, -1));
+        assertThrows(StandlinkException.class, () -> WorkerIncarnation.parse(null));
+        assertThrows(StandlinkException.class, () -> WorkerIncarnation.of(ID, -1));
     }
 }
--- a/src/test/java/org/standlink/leader/TestCellLeader.java
+++ b/src/test/java/org/standlink/leader/TestBundleCellLeader.java
@@ -28,7 +28,7 @@
 import org.standlink.log.TaskState;
 
 /** Tests the leader and the agents together, on a fake clock, with the faults of the brief. */
-public class TestCellLeader {
+public class TestBundleCellLeader {
 
     private static final String URGENT =
             "{'id':'urgent','mode':'manage','team':'security','cell':'one','batchClass':'u','tasks':1,"
--- a/src/test/java/org/standlink/log/TestLogFollower.java
+++ b/src/test/java/org/standlink/log/TestLogFollower.java
@@ -74,7 +74,7 @@
 
     private void tasks(long epoch, long sequence, TaskEvent... events) {
         append(
-                new TaskRecord(
+                new BundleTaskRecord(
                         RecordCodec.newId(), CELL, Epoch.of(epoch), sequence, List.of(events)));
     }
 
@@ -149,8 +149,8 @@
     void countsARecordOnceThatWasAppendedTwice() {
         publish(1, Fixtures.SCAN);
         claim(1, "vm-1");
-        TaskRecord record =
-                new TaskRecord(
+        BundleTaskRecord record =
+                new BundleTaskRecord(
                         "same", CELL, Epoch.of(1), 1, List.of(assign(1, "vm-1"), release(1)));
         append(record);
         append(record);
--- a/src/test/java/org/standlink/platform/TestFormats.java
+++ b/src/test/java/org/standlink/platform/TestFormats.java
@@ -61,7 +61,7 @@
         StepDefinition second = job.steps().get(1);
         assertEquals(List.of(0), second.after());
         assertTrue(second.checkpointing());
-        assertEquals(1, job.times());
+        assertEquals(1, job.repetitionCount());
     }
 
     @Test
@@ -95,7 +95,7 @@
                         true,
                         2),
                 step);
-        assertEquals(new Resources(0, 2, 3), step.room());
+        assertEquals(new Resources(0, 2, 3), step.requiredCapacity());
     }
 
     @Test
--- a/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
@@ -33,7 +33,7 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /** Tests that a heartbeat counts only if it is whole and of the types that are agreed on. */
 public class TestHeartbeatFormat {
@@ -74,7 +74,7 @@
     public void aWholeHeartbeatIsRead() {
         HeartbeatFormat.Heartbeat read = HeartbeatFormat.decode(ID, bytes(WHOLE));
         assertEquals(4, read.sequence());
-        assertEquals(WorkerLife.of(ID, 1784553600123L), read.worker().life());
+        assertEquals(WorkerIncarnation.of(ID, 1784553600123L), read.worker().incarnation());
         assertEquals("10.0.0.1:80", read.worker().address());
         assertEquals(16000, read.worker().capacity().milliCores());
         assertEquals(List.of("a"), read.worker().labels());
@@ -107,7 +107,7 @@
     public void aWorkerThatTellsNoBirthIsKnownByItsId() {
         HeartbeatFormat.Heartbeat read =
                 HeartbeatFormat.decode(ID, Json.write(whole().without("born")));
-        assertEquals(WorkerLife.withoutBirth(ID), read.worker().life());
+        assertEquals(WorkerIncarnation.withoutStartTime(ID), read.worker().incarnation());
     }
 
     @Test
--- a/src/test/java/org/standlink/platform/TestHeartbeatServer.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatServer.java
@@ -66,12 +66,12 @@
                         THREADS,
                         new WorkerListener() {
                             @Override
-                            public void heartbeat(WorkerDescription worker, long sequence) {
-                                HEARD.add(worker.life().toString());
+                            public void heartbeatReceived(WorkerDescription worker, long sequence) {
+                                HEARD.add(worker.incarnation().toString());
                             }
 
                             @Override
-                            public void left(WorkerId worker) {
+                            public void workerLeft(WorkerId worker) {
                                 HEARD.add("left " + worker);
                             }
                         });
--- a/src/test/java/org/standlink/platform/TestHttpWorkerCalls.java
+++ b/src/test/java/org/standlink/platform/TestHttpWorkerClient.java
@@ -41,7 +41,7 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.process.HttpService;
 import org.standlink.process.ProcessThreads;
 import org.standlink.runner.CallResult;
@@ -51,7 +51,7 @@
 /**
  * Tests the calls of workers against answers written out by hand, after the platform's examples.
  */
-public class TestHttpWorkerCalls {
+public class TestHttpWorkerClient {
 
     private static final RunId RUN = new RunId(TaskName.parse("5c0e7a21d94b36f8.0.1.17"), 2);
 
@@ -59,7 +59,7 @@
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private HttpServer server;
-    private HttpWorkerCalls calls;
+    private HttpWorkerClient calls;
     private WorkerDescription worker;
     private volatile int status = 200;
     private volatile String answer = "{\"clock_ms\":482113}";
@@ -72,10 +72,10 @@
         server = HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
         server.createContext("/", this::handle);
         server.start();
-        calls = new HttpWorkerCalls(new HttpCaller(threads));
+        calls = new HttpWorkerClient(new HttpCaller(threads));
         worker =
                 new WorkerDescription(
-                        WorkerLife.parse("i-7f3a91c2@1000"),
+                        WorkerIncarnation.parse("i-7f3a91c2@1000"),
                         "s",
                         "127.0.0.1:" + server.getAddress().getPort(),
                         Resources.NONE,
@@ -138,7 +138,7 @@
     public void aWorkerThatTellsNoBirthAnswersWithoutOne() {
         worker =
                 new WorkerDescription(
-                        WorkerLife.parse("i-7f3a91c2"),
+                        WorkerIncarnation.parse("i-7f3a91c2"),
                         worker.service(),
                         worker.address(),
                         worker.capacity(),
@@ -148,14 +148,14 @@
                         worker.remainingMillis());
         answer = "{\"clock_ms\":1,\"running\":[],\"ended\":[]}";
         RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
-        assertEquals(worker.life(), result.life());
+        assertEquals(worker.incarnation(), result.incarnation());
     }
 
     @Test
     public void aListTellsWhichLifeAnswers() {
         answer = "{\"born\":2000,\"clock_ms\":1,\"running\":[],\"ended\":[]}";
         RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
-        assertEquals(WorkerLife.parse("i-7f3a91c2@2000"), result.life());
+        assertEquals(WorkerIncarnation.parse("i-7f3a91c2@2000"), result.incarnation());
     }
 
     @Test
--- a/src/test/java/org/standlink/platform/TestStandInWorker.java
+++ b/src/test/java/org/standlink/platform/TestStandInWorker.java
@@ -51,7 +51,7 @@
     private final StandInWorker worker =
             new StandInWorker(
                     new InetSocketAddress("127.0.0.1", 0), threads, clock::nowMillis, WORK_MILLIS);
-    private final HttpWorkerCalls calls = new HttpWorkerCalls(new HttpCaller(threads));
+    private final HttpWorkerClient calls = new HttpWorkerClient(new HttpCaller(threads));
 
     @AfterEach
     public void close() {
@@ -81,16 +81,16 @@
         clock.advance(WORK_MILLIS);
         start(former, 1);
         RenewalResult before = renew(former);
-        assertEquals(former.life(), before.life());
+        assertEquals(former.incarnation(), before.incarnation());
         assertEquals(1, before.running().size());
         assertEquals(1, before.ended().size());
         worker.startAgain();
         RenewalResult after = renew(former);
-        assertTrue(after.life().isOtherLifeOf(former.life()));
+        assertTrue(after.incarnation().isOtherIncarnationOf(former.incarnation()));
         assertEquals(List.of(), after.running());
         assertEquals(List.of(), after.ended());
         WorkerDescription present = describe();
-        assertEquals(present.life(), after.life());
+        assertEquals(present.incarnation(), after.incarnation());
         start(present, 2);
         clock.advance(WORK_MILLIS);
         assertEquals(1, renew(present).ended().get(0).number());
--- a/src/test/java/org/standlink/policy/TestHarmTable.java
+++ b/src/test/java/org/standlink/policy/TestInterferenceTable.java
@@ -23,57 +23,57 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests that the image that harms is told from those that only worked beside it. */
-public class TestHarmTable {
+public class TestInterferenceTable {
 
-    private final HarmTable table = new HarmTable();
+    private final InterferenceTable table = new InterferenceTable();
 
     @Test
-    public void anImageThatWasAloneBearsAllTheBlame() {
+    public void raisesTheEstimateOfASingleImage() {
         table.observe("s", 3.0, Map.of("f", 2000L));
         assertEquals(0.7, table.get("s", "f"), 1e-9);
-        assertEquals(HarmTable.UNKNOWN, table.get("other", "f"), 1e-9);
+        assertEquals(InterferenceTable.INITIAL_ESTIMATE, table.get("other", "f"), 1e-9);
     }
 
     @Test
-    public void anImageIsClearedWhileTheTailIsShort() {
+    public void lowersTheEstimateWhileTheTailIsShort() {
         for (int i = 0; i < 10; i++) {
             table.observe("s", 0.5, Map.of("f", 2000L));
         }
-        assertTrue(table.get("s", "f") < HarmTable.HARMLESS);
+        assertTrue(table.get("s", "f") < InterferenceTable.LOW_INTERFERENCE);
     }
 
     @Test
-    public void theGuiltyOneOfTwoIsFound() {
+    public void distinguishesTheInterferingImageOfTwo() {
         for (int i = 0; i < 20; i++) {
             table.observe("s", 4.0, Map.of("bad", 2000L, "good", 2000L));
             table.observe("s", 0.4, Map.of("good", 2000L));
         }
         assertTrue(table.get("s", "bad") > 0.9);
-        assertTrue(table.get("s", "good") < HarmTable.HARMFUL);
+        assertTrue(table.get("s", "good") < InterferenceTable.HIGH_INTERFERENCE);
     }
 
     @Test
-    public void whatHardlyWorkedIsNeitherBlamedNorCleared() {
+    public void ignoresImagesThatUseFewProcessors() {
         table.observe("s", 4.0, Map.of("idle", 100L, "busy", 2000L));
         table.observe("s", 0.4, Map.of("idle", 100L));
-        assertEquals(HarmTable.UNKNOWN, table.get("s", "idle"), 1e-9);
+        assertEquals(InterferenceTable.INITIAL_ESTIMATE, table.get("s", "idle"), 1e-9);
     }
 
     @Test
-    public void toldBeliefsReplaceOwnOnes() {
-        table.tell(List.of(new HarmTable.Entry("s", "f", 0.9)));
+    public void putAllReplacesEstimates() {
+        table.putAll(List.of(new InterferenceTable.Entry("s", "f", 0.9)));
         assertEquals(0.9, table.get("s", "f"), 1e-9);
-        assertEquals(List.of(new HarmTable.Entry("s", "f", 0.9)), table.list());
+        assertEquals(List.of(new InterferenceTable.Entry("s", "f", 0.9)), table.list());
     }
 
     @Test
-    public void theVersionRisesOnlyWithWhatIsListed() {
-        HarmTable table = new HarmTable();
-        table.tell(List.of(new HarmTable.Entry("s", "b", 0.5)));
+    public void versionIncreasesOnlyWithListedEstimates() {
+        InterferenceTable table = new InterferenceTable();
+        table.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.5)));
         long version = table.getVersion();
-        table.tell(List.of(new HarmTable.Entry("s", "b", 0.51)));
+        table.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.51)));
         assertEquals(version, table.getVersion());
-        table.tell(List.of(new HarmTable.Entry("s", "b", 0.9)));
+        table.putAll(List.of(new InterferenceTable.Entry("s", "b", 0.9)));
         assertEquals(version + 1, table.getVersion());
     }
 }
--- a/src/test/java/org/standlink/policy/TestPolicies.java
+++ b/src/test/java/org/standlink/policy/TestPolicies.java
@@ -94,7 +94,7 @@
         PlacementPolicy placement =
                 new InterferenceAwarePlacement(sizesOf, new LearnedInterference(), 1, 1);
         new TaskPlanner(placement, sizesOf, 0)
-                .plan(demands, workers, List.of(), new QuotaLedger(Map.of()));
+                .plan(demands, workers, List.of(), new QuotaUsage(Map.of()));
         for (WorkerView worker : workers) {
             assertTrue(Resources.NONE.fitsIn(worker.getFree()), worker.getFree().toString());
         }
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void learnsWhichClassDisturbsAndForgets() {
+    void learnsWhichClassInterferesAndForgets() {
         LearnedInterference model = new LearnedInterference();
         for (int i = 0; i < 300; i++) {
             model.observe(BUSY, List.of(), 40);
@@ -122,23 +122,23 @@
             model.observe(BUSY, List.of("quiet"), 41);
             model.observe(BUSY, List.of("loud", "quiet"), 101);
         }
-        assertEquals(60, model.estimateShare(BUSY, "loud"), 10);
-        assertTrue(model.estimateShare(BUSY, "quiet") < 8);
+        assertEquals(60, model.estimateIncrease(BUSY, "loud"), 10);
+        assertTrue(model.estimateIncrease(BUSY, "quiet") < 8);
         for (int i = 0; i < 300; i++) {
             model.observe(BUSY, List.of(), 40);
             model.observe(BUSY, List.of("loud"), 42);
         }
-        assertTrue(model.estimateShare(BUSY, "loud") < 10);
+        assertTrue(model.estimateIncrease(BUSY, "loud") < 10);
     }
 
     @Test
-    void throttlesBeforeItStopsAndDoesNotSwing() {
+    void throttlesBeforeItStopsAndDoesNotOscillate() {
         GradualRelief relief = new GradualRelief(new LearnedInterference());
         List<ReliefAction> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.addAll(
                     relief.relieve(
-                            new ServiceMeasure(VM, BUSY, 120),
+                            new ServiceMeasurement(VM, BUSY, 120),
                             List.of(running("a#0", 100), running("b#0", 100))));
         }
         assertFalse(all.isEmpty());
@@ -146,42 +146,42 @@
         assertTrue(all.size() <= 2, "it waits for late measurements: " + all);
         GradualRelief single = new GradualRelief(new LearnedInterference());
         assertTrue(
-                single.relieve(new ServiceMeasure(VM, BUSY, 300), List.of(running("a#0", 100)))
+                single.relieve(new ServiceMeasurement(VM, BUSY, 300), List.of(running("a#0", 100)))
                         .isEmpty());
     }
 
     @Test
-    void tellsBadWorkersFromBadJobs() {
-        WorkerHealth health = new WorkerHealth();
-        health.failed(VM, TaskId.parse("a#0"), 0);
-        health.failed(VM, TaskId.parse("b#0"), 0);
-        health.failed(VM, TaskId.parse("a#1"), 0);
+    void distinguishesFailingWorkersFromFailingJobs() {
+        WorkerHealthPolicy health = new WorkerHealthPolicy();
+        health.recordFailure(VM, TaskId.parse("a#0"), 0);
+        health.recordFailure(VM, TaskId.parse("b#0"), 0);
+        health.recordFailure(VM, TaskId.parse("a#1"), 0);
         assertFalse(health.isUsable(VM, 1));
-        assertFalse(health.isHeldBack(TaskId.parse("a#0").getJob()));
+        assertFalse(health.isSuspended(TaskId.parse("a#0").getJob()));
         assertTrue(health.isUsable(VM, 60_000), "due for a probe");
-        health.assigned(VM);
+        health.recordAssignment(VM);
         assertFalse(health.isUsable(VM, 60_001), "one probe at a time");
-        health.succeeded(VM, TaskId.parse("b#0"));
+        health.recordSuccess(VM, TaskId.parse("b#0"));
         assertTrue(health.isUsable(VM, 60_002));
         for (int i = 2; i <= 4; i++) {
-            health.failed(VmId.parse("vm-" + i), TaskId.parse("c#0"), 0);
+            health.recordFailure(VmId.parse("vm-" + i), TaskId.parse("c#0"), 0);
         }
-        assertTrue(health.isHeldBack(TaskId.parse("c#0").getJob()));
+        assertTrue(health.isSuspended(TaskId.parse("c#0").getJob()));
         assertTrue(health.isUsable(VmId.parse("vm-2"), 1));
     }
 
     @Test
-    void takesOutFailingAndSlowUpstreamsButNeverAll() {
+    void ejectsFailingAndSlowUpstreamsButNeverAll() {
         OutlierDetector outliers = new OutlierDetector();
         for (int i = 1; i <= 4; i++) {
             for (int n = 0; n < 30; n++) {
-                outliers.answered(VmId.parse("vm-" + i), i == 4 ? 100_000 : 1000, 0);
+                outliers.recordAnswer(VmId.parse("vm-" + i), i == 4 ? 100_000 : 1000, 0);
             }
         }
         assertFalse(outliers.isAllowed(VmId.parse("vm-4"), 1));
         for (int i = 1; i <= 3; i++) {
             for (int n = 0; n < 5; n++) {
-                outliers.failed(VmId.parse("vm-" + i), 0);
+                outliers.recordFailure(VmId.parse("vm-" + i), 0);
             }
         }
         long allowed =
@@ -190,7 +190,7 @@
                         .count();
         assertEquals(2, allowed);
         assertTrue(outliers.isAllowed(VmId.parse("vm-4"), 2000), "due for a probe");
-        outliers.sent(VmId.parse("vm-4"), 2000);
+        outliers.recordSend(VmId.parse("vm-4"), 2000);
         assertFalse(outliers.isAllowed(VmId.parse("vm-4"), 2001), "one probe at a time");
     }
 
@@ -204,7 +204,7 @@
         RetryBudget budget = new RetryBudget(0.1);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
-            budget.requested();
+            budget.recordRequest();
             retries += budget.tryRetry() ? 1 : 0;
         }
         assertTrue(retries >= 100 && retries <= 115, "retries: " + retries);
@@ -214,7 +214,7 @@
     void ordersUrgentThenSoonestAndNeverBlocksTheQueue() {
         SizeEstimator sizes = SizeEstimator.ofDeclared();
         TaskPlanner planner = new TaskPlanner(new FirstFitPlacement(sizes), sizes, 0);
-        Plan plan =
+        PlanningResult plan =
                 planner.plan(
                         List.of(
                                 demand("a#0", 100, false),
@@ -222,18 +222,18 @@
                                 demand("c#0", 8, true)),
                         List.of(worker(1, 8, List.of())),
                         List.of(),
-                        new QuotaLedger(Map.of()));
+                        new QuotaUsage(Map.of()));
         assertEquals(Set.of(TaskId.parse("c#0")), plan.placements().keySet());
         assertTrue(plan.waiting().get(TaskId.parse("a#0")).startsWith("can never run"));
     }
 
     @Test
-    void holdsTeamsToTheirQuotas() {
+    void enforcesTeamQuotas() {
         SizeEstimator sizes = SizeEstimator.ofDeclared();
         TaskPlanner planner = new TaskPlanner(new FirstFitPlacement(sizes), sizes, 0);
-        QuotaLedger quotas =
-                new QuotaLedger(Map.of(TeamId.parse("t"), Resources.ofCores(3, 1000, 0)));
-        Plan plan =
+        QuotaUsage quotas =
+                new QuotaUsage(Map.of(TeamId.parse("t"), Resources.ofCores(3, 1000, 0)));
+        PlanningResult plan =
                 planner.plan(
                         List.of(demand("a#0", 2, false), demand("a#1", 2, false)),
                         List.of(worker(1, 8, List.of())),
--- a/src/test/java/org/standlink/runner/RunnerFixtures.java
+++ b/src/test/java/org/standlink/runner/RunnerFixtures.java
@@ -24,19 +24,19 @@
 import org.standlink.job.RunId;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.wire.StartOrder;
 
 /** A worker, a run and an observer for tests. */
 final class RunnerFixtures {
 
-    static final WorkerLife ID = WorkerLife.parse("i-1@1000");
+    static final WorkerIncarnation INCARNATION = WorkerIncarnation.parse("i-1@1000");
 
     static final RunId RUN = new RunId(TaskName.parse("j.0.0.0"), 1);
 
     static final WorkerDescription WORKER =
             new WorkerDescription(
-                    ID,
+                    INCARNATION,
                     "s",
                     "10.0.0.1:1",
                     new Resources(1000, 100, 0),
@@ -46,19 +46,19 @@
                     0);
 
     /** Hears of lives and does nothing. */
-    static final LifeObserver NO_OBSERVER =
-            new LifeObserver() {
+    static final IncarnationListener NO_OP_LISTENER =
+            new IncarnationListener() {
                 @Override
-                public void confirmed(WorkerLife worker) {}
+                public void confirmed(WorkerIncarnation worker) {}
 
                 @Override
-                public void replaced(WorkerLife worker, WorkerLife by) {}
+                public void replaced(WorkerIncarnation worker, WorkerIncarnation by) {}
 
                 @Override
-                public void departed(WorkerLife worker) {}
+                public void departed(WorkerIncarnation worker) {}
 
                 @Override
-                public void clockStoodStill(WorkerLife worker, long millis) {}
+                public void clockFellBehind(WorkerIncarnation worker, long millis) {}
             };
 
     private RunnerFixtures() {}
@@ -68,7 +68,7 @@
     }
 
     /** An answer that comes after a while. */
-    static <T> CompletableFuture<T> later(FakeLoop loop, long millis, T value) {
+    static <T> CompletableFuture<T> completeLater(FakeLoop loop, long millis, T value) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         loop.schedule(
                 () -> {
--- a/src/test/java/org/standlink/runner/TestAgentNode.java
+++ b/src/test/java/org/standlink/runner/TestAgentNode.java
@@ -36,7 +36,7 @@
 import org.standlink.job.RunId;
 import org.standlink.job.WorkerDescription;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.wire.StartOrder;
 
 /** Tests which life of its worker an agent looks after. */
@@ -65,19 +65,19 @@
         public void leaderAnswered(long storeSilentMillis) {}
 
         @Override
-        public void leaderGone() {}
+        public void leaderAbsent() {}
     }
 
     /** The address of a worker, at which one life answers. */
-    private final class Address implements WorkerCalls {
+    private final class Address implements WorkerClient {
 
-        private WorkerLife present;
+        private WorkerIncarnation present;
         private boolean silent;
-        private final List<WorkerLife> called = new ArrayList<>();
+        private final List<WorkerIncarnation> called = new ArrayList<>();
         private WorkerDescription last;
 
         private CompletableFuture<CallResult> answer(WorkerDescription to) {
-            boolean same = to.life().equals(present);
+            boolean same = to.incarnation().equals(present);
             CallResult.Kind kind = same ? CallResult.Kind.DONE : CallResult.Kind.OTHER_LIFE;
             kind = silent ? CallResult.Kind.UNKNOWN : kind;
             return CompletableFuture.completedFuture(
@@ -98,7 +98,7 @@
         @Override
         public CompletableFuture<RenewalResult> renew(
                 WorkerDescription to, long until, Fence fence, long recorded, long waitMillis) {
-            called.add(to.life());
+            called.add(to.incarnation());
             last = to;
             CompletableFuture<RenewalResult> later = new CompletableFuture<>();
             loop.schedule(
@@ -122,7 +122,7 @@
     private static WorkerDescription leaving(String id) {
         WorkerDescription life = life(id);
         return new WorkerDescription(
-                life.life(),
+                life.incarnation(),
                 life.service(),
                 life.address(),
                 life.capacity(),
@@ -134,7 +134,7 @@
 
     private static WorkerDescription life(String id) {
         return new WorkerDescription(
-                WorkerLife.parse(id + "@1000"),
+                WorkerIncarnation.parse(id + "@1000"),
                 "s",
                 "10.0.0.1:1",
                 new Resources(1000, 100, 0),
@@ -150,46 +150,46 @@
     }
 
     @Test
-    public void aLateHeartbeatOfAnEarlierLifeDoesNotEndThePresentOne() {
-        address.present = WorkerLife.parse("new@1000");
-        agent.heartbeat(life("new"), 1);
+    public void aLateHeartbeatOfAnEarlierIncarnationDoesNotEndTheCurrentOne() {
+        address.present = WorkerIncarnation.parse("new@1000");
+        agent.heartbeatReceived(life("new"), 1);
         loop.advance(1000);
-        agent.heartbeat(life("old"), 7);
+        agent.heartbeatReceived(life("old"), 7);
         loop.advance(1000);
         address.called.clear();
-        agent.heartbeat(life("old"), 8);
+        agent.heartbeatReceived(life("old"), 8);
         loop.advance(1000);
-        assertTrue(address.called.contains(WorkerLife.parse("new@1000")));
-        assertTrue(!address.called.contains(WorkerLife.parse("old@1000")));
+        assertTrue(address.called.contains(WorkerIncarnation.parse("new@1000")));
+        assertTrue(!address.called.contains(WorkerIncarnation.parse("old@1000")));
     }
 
     @Test
-    public void aLateHeartbeatDoesNotTakeBackThatAWorkerLeaves() {
-        address.present = WorkerLife.parse("one@1000");
-        agent.heartbeat(leaving("one"), 5);
-        agent.heartbeat(life("one"), 4);
+    public void aLateHeartbeatDoesNotRevokeThatAWorkerIsDraining() {
+        address.present = WorkerIncarnation.parse("one@1000");
+        agent.heartbeatReceived(leaving("one"), 5);
+        agent.heartbeatReceived(life("one"), 4);
         loop.advance(1000);
         assertTrue(address.last.draining());
     }
 
     @Test
-    public void aNewLifeThatAnswersReplacesTheOneBefore() {
-        address.present = WorkerLife.parse("old@1000");
-        agent.heartbeat(life("old"), 1);
+    public void aNewIncarnationThatAnswersReplacesThePreviousOne() {
+        address.present = WorkerIncarnation.parse("old@1000");
+        agent.heartbeatReceived(life("old"), 1);
         loop.advance(1000);
-        address.present = WorkerLife.parse("new@1000");
-        agent.heartbeat(life("new"), 1);
+        address.present = WorkerIncarnation.parse("new@1000");
+        agent.heartbeatReceived(life("new"), 1);
         loop.advance(1000);
         address.called.clear();
         loop.advance(1000);
         assertEquals(1, address.called.stream().distinct().count());
-        assertEquals(WorkerLife.parse("new@1000"), address.called.get(0));
+        assertEquals(WorkerIncarnation.parse("new@1000"), address.called.get(0));
     }
 
     private static WorkerDescription again(long born, boolean leaves) {
         WorkerDescription life = life("one");
         return new WorkerDescription(
-                WorkerLife.parse("one@" + born),
+                WorkerIncarnation.parse("one@" + born),
                 life.service(),
                 life.address(),
                 life.capacity(),
@@ -200,18 +200,20 @@
     }
 
     private long count(long born) {
-        return address.called.stream().filter(WorkerLife.parse("one@" + born)::equals).count();
+        return address.called.stream()
+                .filter(WorkerIncarnation.parse("one@" + born)::equals)
+                .count();
     }
 
     @Test
-    public void aLifeUnderTheSameIdReplacesTheOneBeforeWhicheverWasBornFirst() {
+    public void anIncarnationUnderTheSameIdReplacesThePreviousOneWhicheverStartedFirst() {
         for (long born : List.of(3000L, 2000L)) {
-            address.present = WorkerLife.parse("one@" + born);
-            agent.heartbeat(again(born, false), 1);
+            address.present = WorkerIncarnation.parse("one@" + born);
+            agent.heartbeatReceived(again(born, false), 1);
             loop.advance(1000);
         }
         address.called.clear();
-        agent.heartbeat(again(3000, false), 9);
+        agent.heartbeatReceived(again(3000, false), 9);
         loop.advance(1000);
         assertEquals(0, count(3000));
         assertTrue(count(2000) > 0);
@@ -219,12 +221,12 @@
 
     /** A departure names the id alone; it was sent by the life before, and came late. */
     @Test
-    public void aLateDepartureDoesNotEndALifeThatAnswers() {
+    public void aLateDepartureDoesNotEndAnIncarnationThatAnswers() {
         for (boolean leaves : List.of(false, true)) {
-            address.present = WorkerLife.parse("one@2000");
-            agent.heartbeat(again(2000, leaves), leaves ? 2 : 1);
+            address.present = WorkerIncarnation.parse("one@2000");
+            agent.heartbeatReceived(again(2000, leaves), leaves ? 2 : 1);
             loop.advance(1000);
-            agent.left(WorkerId.parse("one"));
+            agent.workerLeft(WorkerId.parse("one"));
             loop.advance(3000);
             address.called.clear();
             loop.advance(1000);
@@ -233,11 +235,11 @@
     }
 
     @Test
-    public void aWorkerThatLeavesAndAnswersNoMoreIsOver() {
-        address.present = WorkerLife.parse("one@2000");
-        agent.heartbeat(again(2000, true), 1);
+    public void aWorkerThatLeavesAndStopsAnsweringHasEnded() {
+        address.present = WorkerIncarnation.parse("one@2000");
+        agent.heartbeatReceived(again(2000, true), 1);
         loop.advance(1000);
-        agent.left(WorkerId.parse("one"));
+        agent.workerLeft(WorkerId.parse("one"));
         address.silent = true;
         loop.advance(1000);
         address.called.clear();
@@ -246,14 +248,14 @@
     }
 
     @Test
-    public void aHeartbeatWithoutABirthChangesNothingOfAWorkerThatHasToldOne() {
-        address.present = WorkerLife.parse("one@2000");
-        agent.heartbeat(again(2000, false), 1);
+    public void aHeartbeatWithoutAStartTimeIsIgnoredForAWorkerThatHasSentOne() {
+        address.present = WorkerIncarnation.parse("one@2000");
+        agent.heartbeatReceived(again(2000, false), 1);
         loop.advance(1000);
         WorkerDescription present = again(2000, true);
-        agent.heartbeat(
+        agent.heartbeatReceived(
                 new WorkerDescription(
-                        WorkerLife.parse("one"),
+                        WorkerIncarnation.parse("one"),
                         present.service(),
                         present.address(),
                         present.capacity(),
@@ -263,18 +265,18 @@
                         0),
                 9);
         loop.advance(1000);
-        assertTrue(address.called.stream().allMatch(WorkerLife.parse("one@2000")::equals));
+        assertTrue(address.called.stream().allMatch(WorkerIncarnation.parse("one@2000")::equals));
         assertTrue(!address.last.draining());
     }
 
     /** One id may be used again thousands of times. */
     @Test
-    public void whatIsRememberedOfLivesThatAreOverIsBounded() {
-        EndedLives ended = new EndedLives();
+    public void theNumberOfRememberedEndedIncarnationsIsBounded() {
+        EndedIncarnations ended = new EndedIncarnations();
         for (int born = 0; born < 10_000; born++) {
-            assertTrue(ended.add(WorkerLife.parse("one@" + born), 1000));
+            assertTrue(ended.add(WorkerIncarnation.parse("one@" + born), 1000));
         }
         assertTrue(ended.list().size() < 100);
-        assertTrue(ended.contains(WorkerLife.parse("one@9999")));
+        assertTrue(ended.contains(WorkerIncarnation.parse("one@9999")));
     }
 }
--- a/src/test/java/org/standlink/runner/TestAgentReports.java
+++ b/src/test/java/org/standlink/runner/TestAgentReports.java
@@ -32,7 +32,7 @@
 import org.standlink.Fence;
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
-import org.standlink.election.LeaderCalls;
+import org.standlink.election.LeaderClient;
 import org.standlink.election.LeaderObserver;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.job.RunId;
@@ -73,11 +73,11 @@
         public void leaderAnswered(long storeSilentMillis) {}
 
         @Override
-        public void leaderGone() {}
+        public void leaderAbsent() {}
     }
 
     /** A leader that answers after 2 ms as the test says. */
-    private final class Leader implements LeaderCalls {
+    private final class Leader implements LeaderClient {
 
         private final List<AgentReport> reports = new ArrayList<>();
         private LeaderNotice notice = new LeaderNotice(Epoch.of(1), "10.0.0.9:2");
@@ -126,7 +126,7 @@
     }
 
     /** A worker that does what it is told. */
-    private final class Worker implements WorkerCalls {
+    private final class Worker implements WorkerClient {
 
         private final List<Fence> starts = new ArrayList<>();
         private boolean refuses;
@@ -157,7 +157,10 @@
                     () -> {
                         answer.complete(
                                 new RenewalResult(
-                                        result(kind).join(), to.life(), List.of(), List.of()));
+                                        result(kind).join(),
+                                        to.incarnation(),
+                                        List.of(),
+                                        List.of()));
                     },
                     Math.max(5, waitMillis),
                     TimeUnit.MILLISECONDS);
@@ -174,7 +177,7 @@
     @BeforeEach
     public void start() {
         agent.start();
-        agent.heartbeat(RunnerFixtures.WORKER, 1);
+        agent.heartbeatReceived(RunnerFixtures.WORKER, 1);
     }
 
     private void order(long generation) {
@@ -185,7 +188,7 @@
                 new RunOrders(
                         Epoch.of(1),
                         LeaseGeneration.of(generation),
-                        RunnerFixtures.ID,
+                        RunnerFixtures.INCARNATION,
                         List.of(order),
                         List.of(),
                         0));
@@ -193,7 +196,7 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void aLeaderThatReadsItsStateIsToldAgainAtOnce() {
+    public void reportsAreRepeatedAtOnceWhileTheLeaderLoadsItsState() {
         leader.lease = 0;
         loop.advance(100);
         int before = leader.reports.size();
@@ -206,7 +209,7 @@
      * work of the worker's runs, so a new one has to be asked for as soon as it may be granted.
      */
     @Test
-    public void anAgentWhoseLeaseIsAboutToEndAsksForTheNextMoreOften() {
+    public void reportsAreMoreFrequentWhileALeaseIsAboutToEnd() {
         loop.advance(1000);
         leader.lease = 0;
         leader.storeSilentMillis = 3500;
@@ -221,7 +224,7 @@
     }
 
     @Test
-    public void anAgentWithoutALeaseDoesNotAskMoreOftenForever() {
+    public void reportsDoNotStayFrequentForeverWithoutALease() {
         loop.advance(1000);
         leader.lease = 0;
         leader.storeSilentMillis = 3500;
@@ -232,18 +235,19 @@
     }
 
     @Test
-    public void reportsAreNumberedAndTellOfTheWorkerOnceItAnswered() {
+    public void reportsAreNumberedAndNameTheWorkerOnceItHasAnswered() {
         loop.advance(1500);
         for (int i = 0; i < leader.reports.size(); i++) {
             assertEquals(i + 1, leader.reports.get(i).sequence());
         }
-        assertEquals(RunnerFixtures.ID, leader.last().workers().get(0).worker().life());
+        assertEquals(
+                RunnerFixtures.INCARNATION, leader.last().workers().get(0).worker().incarnation());
         assertEquals(LeaseGeneration.of(1), leader.last().generation());
         assertFalse(leader.last().refused());
     }
 
     @Test
-    public void anOrderThatWaitedIsVoidWhenTheGrantNamesAHigherGeneration() {
+    public void aWaitingOrderIsDroppedWhenTheGrantNamesAHigherGeneration() {
         loop.advance(1000);
         leader.silent = true;
         loop.advance(LEASE_MILLIS + 500);
@@ -262,7 +266,7 @@
     }
 
     @Test
-    public void anOrderOfAHigherGenerationCountsBeforeTheGrantThatNamesIt() {
+    public void anOrderOfAHigherGenerationIsCarriedOutBeforeTheGrantThatNamesIt() {
         loop.advance(1000);
         order(3);
         loop.advance(100);
@@ -270,7 +274,7 @@
     }
 
     @Test
-    public void aRefusedFenceIsReportedUntilAHigherOneIsTold() {
+    public void aRefusedFenceIsReportedUntilAHigherOneIsReceived() {
         loop.advance(1000);
         worker.refuses = true;
         loop.advance(1500);
@@ -283,7 +287,7 @@
     }
 
     @Test
-    public void ordersOfAnOlderLeaderArePassedOver() {
+    public void ordersOfAnOlderLeaderAreIgnored() {
         loop.advance(1000);
         leader.notice = new LeaderNotice(Epoch.of(2), "10.0.0.8:2");
         order(9);
--- a/src/test/java/org/standlink/runner/TestEvacuatedHall.java
+++ b/src/test/java/org/standlink/runner/TestEvacuatedHall.java
@@ -32,7 +32,7 @@
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
 import org.standlink.job.WorkerDescription;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 import org.standlink.wire.StartRefusal;
@@ -57,7 +57,7 @@
     private WorkerSupervisor supervisor;
 
     /** A worker that answers as the test says. */
-    private final class Script implements WorkerCalls {
+    private final class Script implements WorkerClient {
 
         private final List<String> seen = new ArrayList<>();
         private CallResult.Kind starts = CallResult.Kind.DONE;
@@ -66,7 +66,7 @@
 
         private CompletableFuture<CallResult> answer(CallResult.Kind kind) {
             long told = kind == CallResult.Kind.UNKNOWN ? CallResult.NO_CLOCK : clock.nowMillis();
-            return RunnerFixtures.later(loop, 10, new CallResult(kind, told, "scripted"));
+            return RunnerFixtures.completeLater(loop, 10, new CallResult(kind, told, "scripted"));
         }
 
         @Override
@@ -87,8 +87,8 @@
                 WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
             renewals++;
             CallResult done = new CallResult(CallResult.Kind.DONE, clock.nowMillis(), "");
-            return RunnerFixtures.later(
-                    loop, 10, new RenewalResult(done, to.life(), running, List.of()));
+            return RunnerFixtures.completeLater(
+                    loop, 10, new RenewalResult(done, to.incarnation(), running, List.of()));
         }
 
         @Override
@@ -109,30 +109,30 @@
                         () -> clock.nowMillis() + 6000,
                         () -> fence,
                         () -> {},
-                        RunnerFixtures.NO_OBSERVER,
-                        new HarmTable());
+                        RunnerFixtures.NO_OP_LISTENER,
+                        new InterferenceTable());
         supervisor.start();
         loop.advance(100);
     }
 
     private void order() {
-        supervisor.order(
+        supervisor.applyOrders(
                 new RunOrders(
                         fence.getEpoch(),
                         fence.getGeneration(),
-                        RunnerFixtures.ID,
+                        RunnerFixtures.INCARNATION,
                         List.of(RunnerFixtures.startOrder()),
                         List.of(),
                         0));
     }
 
     @Test
-    public void anOrderIsGivenBackWithoutACallAndItsWorkerAvoidedForAWhile() {
+    public void aStartIsRefusedWithoutACallAndItsWorkerAvoidedForAWhile() {
         evacuated = HERE;
         order();
         loop.advance(1000);
         assertEquals(List.of(), worker.seen);
-        List<StartRefusal> refused = supervisor.report().refused();
+        List<StartRefusal> refused = supervisor.createReport().refused();
         assertEquals(RunnerFixtures.RUN, refused.get(0).run());
         assertTrue(refused.get(0).unwell());
     }
@@ -147,11 +147,11 @@
         assertEquals("start", worker.seen.get(0));
         assertEquals("stop", worker.seen.get(1));
         assertEquals(1, worker.seen.stream().filter("start"::equals).count());
-        assertEquals(List.of(RunnerFixtures.RUN), supervisor.report().gone());
+        assertEquals(List.of(RunnerFixtures.RUN), supervisor.createReport().gone());
     }
 
     @Test
-    public void whatRunsGoesOnAndIsKeptAlsoAfterItsOrderWasToldAnew() {
+    public void aRunThatIsRunningContinuesAlsoAfterItsOrderIsRepeated() {
         order();
         loop.advance(50);
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 10, 0));
@@ -163,11 +163,11 @@
         loop.advance(3000);
         assertEquals(List.of("start"), worker.seen);
         assertTrue(worker.renewals > before);
-        assertEquals(List.of(), supervisor.report().refused());
+        assertEquals(List.of(), supervisor.createReport().refused());
     }
 
     @Test
-    public void aHallThatWasTakenBackIsUsedAtOnce() {
+    public void aHallThatIsNoLongerEvacuatedIsUsedAtOnce() {
         evacuated = HERE;
         evacuated = EvacuatedHalls.NONE;
         order();
--- a/src/test/java/org/standlink/runner/TestRunLists.java
+++ b/src/test/java/org/standlink/runner/TestRunListTracker.java
@@ -35,14 +35,15 @@
  * the one recorded before. Cause: each renewal named the last recorded end, though the worker had
  * forgotten it long before.
  */
-public class TestRunLists {
+public class TestRunListTracker {
 
-    private final RunLists lists = new RunLists();
+    private final RunListTracker lists = new RunListTracker();
 
     private void list(int... ends) {
-        List<RunEnd> ended = Arrays.stream(ends).mapToObj(TestRunLists::end).toList();
+        List<RunEnd> ended = Arrays.stream(ends).mapToObj(TestRunListTracker::end).toList();
         CallResult done = new CallResult(CallResult.Kind.DONE, 1, "");
-        lists.take(new RenewalResult(done, RunnerFixtures.ID, List.of(), ended), Fence.NONE);
+        lists.update(
+                new RenewalResult(done, RunnerFixtures.INCARNATION, List.of(), ended), Fence.NONE);
     }
 
     private static RunEnd end(int number) {
@@ -51,24 +52,24 @@
     }
 
     @Test
-    public void aWorkerIsToldToForgetRecordedEndsWhileItListsThem() {
+    public void recordedEndsAreAcknowledgedWhileTheWorkerListsThem() {
         list(1, 2);
-        assertEquals(0, lists.getEndToForget());
-        lists.record(2);
-        assertEquals(2, lists.getEndToForget());
+        assertEquals(0, lists.getEndToAcknowledge());
+        lists.advanceRecordedEnd(2);
+        assertEquals(2, lists.getEndToAcknowledge());
         list(1, 2, 3);
-        assertEquals(2, lists.getEndToForget());
+        assertEquals(2, lists.getEndToAcknowledge());
     }
 
     @Test
-    public void aWorkerThatHasForgottenRecordedEndsIsNotToldSoAgain() {
+    public void endsThatAreNoLongerListedAreNotAcknowledgedAgain() {
         list(1, 2);
-        lists.record(2);
+        lists.advanceRecordedEnd(2);
         list();
-        assertEquals(0, lists.getEndToForget());
+        assertEquals(0, lists.getEndToAcknowledge());
         list(3);
-        assertEquals(0, lists.getEndToForget());
-        lists.record(3);
-        assertEquals(3, lists.getEndToForget());
+        assertEquals(0, lists.getEndToAcknowledge());
+        lists.advanceRecordedEnd(3);
+        assertEquals(3, lists.getEndToAcknowledge());
     }
 }
--- a/src/test/java/org/standlink/runner/TestOldAnswers.java
+++ b/src/test/java/org/standlink/runner/TestStaleAnswers.java
@@ -29,7 +29,7 @@
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
 import org.standlink.job.WorkerDescription;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 
@@ -40,7 +40,7 @@
  * neither a list from before the worker turned the start away nor a refusal that a start still
  * under way may outlive is a reason to report it.
  */
-public class TestOldAnswers {
+public class TestStaleAnswers {
 
     private static final long CALL_MILLIS = 500;
 
@@ -51,7 +51,7 @@
     private WorkerSupervisor supervisor;
 
     /** A worker that answers as the test says. */
-    private final class Script implements WorkerCalls {
+    private final class Script implements WorkerClient {
 
         private CallResult.Kind starts = CallResult.Kind.DONE;
         private CallResult.Kind renewals = CallResult.Kind.DONE;
@@ -69,27 +69,27 @@
         @Override
         public CompletableFuture<CallResult> start(
                 WorkerDescription to, StartOrder order, long until, Fence under) {
-            return RunnerFixtures.later(loop, delay(starts, 0), result(starts));
+            return RunnerFixtures.completeLater(loop, delay(starts, 0), result(starts));
         }
 
         @Override
         public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence under) {
-            return RunnerFixtures.later(loop, 10, result(CallResult.Kind.DONE));
+            return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
                 WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
-            return RunnerFixtures.later(
+            return RunnerFixtures.completeLater(
                     loop,
                     Math.max(delay(renewals, waitMillis), waitMillis),
-                    new RenewalResult(result(renewals), to.life(), running, List.of()));
+                    new RenewalResult(result(renewals), to.incarnation(), running, List.of()));
         }
 
         @Override
         public CompletableFuture<CallResult> throttle(
                 WorkerDescription to, RunId run, int percent, Fence under) {
-            return RunnerFixtures.later(loop, 10, result(CallResult.Kind.DONE));
+            return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
 
@@ -104,26 +104,26 @@
                         () -> clock.nowMillis() + 6000,
                         () -> fence,
                         () -> {},
-                        RunnerFixtures.NO_OBSERVER,
-                        new HarmTable());
+                        RunnerFixtures.NO_OP_LISTENER,
+                        new InterferenceTable());
         supervisor.start();
         loop.advance(100);
     }
 
     private void order() {
         StartOrder order = RunnerFixtures.startOrder();
-        supervisor.order(
+        supervisor.applyOrders(
                 new RunOrders(
                         fence.getEpoch(),
                         fence.getGeneration(),
-                        RunnerFixtures.ID,
+                        RunnerFixtures.INCARNATION,
                         List.of(order),
                         List.of(),
                         0));
     }
 
     @Test
-    public void aRunThatHasEndedIsNotTakenForGoneByAListFromBefore() {
+    public void anEarlierListDoesNotMakeAnEndedRunReportedAsGone() {
         // The start is done, but its answer is lost, as are those to the next looks at the worker.
         worker.starts = CallResult.Kind.UNKNOWN;
         worker.renewals = CallResult.Kind.UNKNOWN;
@@ -132,11 +132,11 @@
         // The run has ended meanwhile, so that the worker turns the start away as an old one.
         worker.starts = CallResult.Kind.SUPERSEDED;
         loop.advance(800);
-        assertEquals(List.of(), supervisor.report().gone());
+        assertEquals(List.of(), supervisor.createReport().gone());
     }
 
     @Test
-    public void aRefusalSaysNothingOfAStartUnderAnOlderFenceThatMayBeUnderWay() {
+    public void aRefusalIsNotReportedWhileAStartUnderAnOlderFenceMayBeInProgress() {
         worker.starts = CallResult.Kind.UNKNOWN;
         order();
         loop.advance(CALL_MILLIS + 20);
@@ -147,16 +147,16 @@
         worker.renewals = CallResult.Kind.UNWELL;
         order();
         loop.advance(50);
-        assertEquals(List.of(), supervisor.report().refused());
+        assertEquals(List.of(), supervisor.createReport().refused());
     }
 
     @Test
-    public void aRunAtWorkSinceAnEarlierProcessIsNotGivenBackByAWorkerThatIsUnwell() {
+    public void aRunOfAnEarlierAgentProcessIsNotReportedAsRefusedByAnUnhealthyWorker() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 10, 0));
         loop.advance(1000);
         worker.starts = CallResult.Kind.UNWELL;
         order();
         loop.advance(50);
-        assertEquals(List.of(), supervisor.report().refused());
+        assertEquals(List.of(), supervisor.createReport().refused());
     }
 }
--- a/src/test/java/org/standlink/runner/TestVoidOrders.java
+++ b/src/test/java/org/standlink/runner/TestSupersededOrders.java
@@ -31,7 +31,7 @@
 import org.standlink.LeaseGeneration;
 import org.standlink.job.RunId;
 import org.standlink.job.WorkerDescription;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 import org.standlink.wire.WorkerReport;
@@ -43,7 +43,7 @@
  * worker has lapsed. Whatever the agent still has to start, or has under way, must not begin
  * afterwards: it would be at work beside the run that has taken its place.
  */
-public class TestVoidOrders {
+public class TestSupersededOrders {
 
     private static final long LEASE_MILLIS = 6000;
     private static final long SLOW_MILLIS = 450;
@@ -56,7 +56,7 @@
     private WorkerSupervisor supervisor;
 
     /** A worker that answers as the test says. */
-    private final class Script implements WorkerCalls {
+    private final class Script implements WorkerClient {
 
         private CallResult.Kind starts = CallResult.Kind.DONE;
         private long startMillis = 10;
@@ -74,30 +74,30 @@
         public CompletableFuture<CallResult> start(
                 WorkerDescription to, StartOrder order, long until, Fence under) {
             seen.add("start under " + under);
-            return RunnerFixtures.later(loop, startMillis, result(starts));
+            return RunnerFixtures.completeLater(loop, startMillis, result(starts));
         }
 
         @Override
         public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence under) {
             seen.add("stop under " + under);
-            return RunnerFixtures.later(loop, 10, result(CallResult.Kind.DONE));
+            return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
                 WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
             prolonged.add(until);
-            return RunnerFixtures.later(
+            return RunnerFixtures.completeLater(
                     loop,
                     10,
                     new RenewalResult(
-                            result(CallResult.Kind.DONE), to.life(), List.of(), List.of()));
+                            result(CallResult.Kind.DONE), to.incarnation(), List.of(), List.of()));
         }
 
         @Override
         public CompletableFuture<CallResult> throttle(
                 WorkerDescription to, RunId run, int percent, Fence under) {
-            return RunnerFixtures.later(loop, 10, result(CallResult.Kind.DONE));
+            return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
 
@@ -112,19 +112,19 @@
                         () -> leased ? clock.nowMillis() + LEASE_MILLIS : 0,
                         () -> fence,
                         () -> {},
-                        RunnerFixtures.NO_OBSERVER,
-                        new HarmTable());
+                        RunnerFixtures.NO_OP_LISTENER,
+                        new InterferenceTable());
         supervisor.start();
         loop.advance(100);
     }
 
     private void order() {
         StartOrder order = RunnerFixtures.startOrder();
-        supervisor.order(
+        supervisor.applyOrders(
                 new RunOrders(
                         fence.getEpoch(),
                         fence.getGeneration(),
-                        RunnerFixtures.ID,
+                        RunnerFixtures.INCARNATION,
                         List.of(order),
                         List.of(),
                         0));
@@ -136,8 +136,8 @@
     }
 
     private WorkerReport report() {
-        supervisor.voidIfLapsed();
-        return supervisor.report();
+        supervisor.dropOrdersIfLapsed();
+        return supervisor.createReport();
     }
 
     private void lapse() {
@@ -148,7 +148,7 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void anOrderThatWaitsForALeaseIsVoidUnderAHigherFence() {
+    public void anOrderThatWaitsForALeaseIsDroppedUnderAHigherFence() {
         leased = false;
         order();
         loop.advance(1000);
@@ -159,7 +159,7 @@
     }
 
     @Test
-    public void anOrderThatWaitsForALeaseIsCarriedOutIfItHasBeenProlonged() {
+    public void anOrderThatWaitsForALeaseIsCarriedOutOnceTheLeaseIsExtended() {
         leased = false;
         order();
         loop.advance(1000);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    public void anOrderGivenAnewIsCarriedOutUnderTheHigherFence() {
+    public void aRepeatedOrderIsCarriedOutUnderTheHigherFence() {
         leased = false;
         order();
         raiseFence();
@@ -180,7 +180,7 @@
     }
 
     @Test
-    public void whatAVoidCallIsAnsweredSaysNothingOfTheOrderGivenAnew() {
+    public void theAnswerToASupersededCallDoesNotAffectTheRepeatedOrder() {
         worker.starts = CallResult.Kind.NO_ROOM;
         worker.startMillis = SLOW_MILLIS;
         order();
@@ -195,7 +195,7 @@
     }
 
     @Test
-    public void aVoidCallThatIsFencedDoesNotTakeTheOrderGivenAnewWithIt() {
+    public void aFencedSupersededCallDoesNotCancelTheRepeatedOrder() {
         worker.starts = CallResult.Kind.FENCED;
         worker.startMillis = SLOW_MILLIS;
         order();
@@ -212,7 +212,7 @@
     }
 
     @Test
-    public void aRunWhoseRefusalIsNotYetToldIsNotStartedAgain() {
+    public void aRunWhoseRefusalIsNotYetReportedIsNotStartedAgain() {
         worker.starts = CallResult.Kind.NO_ROOM;
         order();
         loop.advance(100);
@@ -225,7 +225,7 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void whatWaitsForAWorkerIsVoidOnceItHasBeenReportedAsLapsed() {
+    public void waitingStartsAreDroppedOnceTheWorkerIsReportedAsLapsed() {
         worker.silent = true;
         loop.advance(600);
         order();
@@ -235,7 +235,7 @@
         loop.advance(2000);
         assertEquals(List.of(), worker.seen);
         assertTrue(report().lapsed(), "the leader may not have heard it");
-        supervisor.reported(report());
+        supervisor.reportAcknowledged(report());
         assertFalse(report().lapsed());
         order();
         loop.advance(100);
@@ -243,7 +243,7 @@
     }
 
     @Test
-    public void anOrderThatCrossesTheReportOfALapseIsGivenBack() {
+    public void anOrderThatCrossesTheReportOfALapseIsReportedAsGone() {
         lapse();
         worker.silent = false;
         loop.advance(1000);
@@ -254,19 +254,19 @@
     }
 
     @Test
-    public void aWorkerIsNotToldToKeepRunsWhileItsLapseIsUntold() {
+    public void noLeaseIsExtendedWhileALapseIsUnacknowledged() {
         lapse();
         worker.silent = false;
         worker.prolonged.clear();
         loop.advance(1000);
         assertTrue(worker.prolonged.stream().allMatch(until -> until < 0));
-        supervisor.reported(report());
+        supervisor.reportAcknowledged(report());
         loop.advance(1000);
         assertTrue(worker.prolonged.stream().anyMatch(until -> until > 0));
     }
 
     @Test
-    public void aWorkerThatWasHeardOnceMayHoldRunsForAnEarlierProcess() {
+    public void aWorkerThatAnsweredOnceMayHoldRunsOfAnEarlierAgentProcess() {
         leased = false;
         WorkerSupervisor restarted =
                 new WorkerSupervisor(
@@ -277,15 +277,15 @@
                         () -> 0L,
                         () -> fence,
                         () -> {},
-                        RunnerFixtures.NO_OBSERVER,
-                        new HarmTable());
+                        RunnerFixtures.NO_OP_LISTENER,
+                        new InterferenceTable());
         restarted.start();
         loop.advance(100);
         worker.silent = true;
         loop.advance(LEASE_MILLIS - 500);
-        assertFalse(restarted.report().reachable());
-        assertFalse(restarted.report().lapsed());
+        assertFalse(restarted.createReport().reachable());
+        assertFalse(restarted.createReport().lapsed());
         loop.advance(1500);
-        assertTrue(restarted.report().lapsed());
+        assertTrue(restarted.createReport().lapsed());
     }
 }
--- a/src/test/java/org/standlink/runner/TestThrottlePolicy.java
+++ b/src/test/java/org/standlink/runner/TestThrottlePolicy.java
@@ -24,27 +24,27 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.standlink.policy.HarmTable;
+import org.standlink.policy.InterferenceTable;
 
 /** Tests that serving tails are protected with as little pacing as that takes. */
 public class TestThrottlePolicy {
 
-    private final HarmTable harm = new HarmTable();
+    private final InterferenceTable harm = new InterferenceTable();
     private final ThrottlePolicy throttling = new ThrottlePolicy(harm);
 
     private long now = 1_000_000;
 
     private void believe(String serving, String bestEffort, double belief) {
-        harm.tell(List.of(new HarmTable.Entry(serving, bestEffort, belief)));
+        harm.putAll(List.of(new InterferenceTable.Entry(serving, bestEffort, belief)));
     }
 
     @Test
-    public void onlyTheSuspectsArePaced() {
+    public void onlySuspectedImagesAreThrottled() {
         believe("s", "good", 0.05);
         believe("s", "bad", 0.9);
-        throttling.decide(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
-        throttling.decide(Map.of("s", 2.0), Set.of("good", "bad"), now += 400);
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("good"));
+        throttling.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
+        throttling.updateShares(Map.of("s", 2.0), Set.of("good", "bad"), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
         assertTrue(throttling.getShare("bad") < 20);
     }
 
@@ -58,7 +58,7 @@
             covered.addLast(tail);
             covered.removeFirst();
             double figure = (covered.getFirst() + covered.getLast()) / 2;
-            throttling.decide(Map.of("s", figure), Set.of("f"), now += 350);
+            throttling.updateShares(Map.of("s", figure), Set.of("f"), now += 350);
             over += tail > 1 ? 1 : 0;
             shares += throttling.getShare("f");
         }
@@ -66,11 +66,11 @@
     }
 
     @Test
-    public void sharesStayNearTheMostThatTheTailAllows() {
+    public void sharesStayNearTheMaximumThatTheTailLatencyAllows() {
         for (double slope : new double[] {0.6, 1.0, 2.0, 4.0}) {
             for (double own : new double[] {0.3, 0.4, 0.5}) {
                 believe("s", "f", 0.9);
-                throttling.decide(Map.of(), Set.of(), now += 350);
+                throttling.updateShares(Map.of(), Set.of(), now += 350);
                 double[] seen = play(own, slope, 60);
                 double ideal = 100 * Math.min(1, (0.8 - own) / slope);
                 String where = own + " " + slope + " over " + seen[0] + " share " + seen[1];
@@ -81,89 +81,89 @@
     }
 
     @Test
-    public void oneLongTailLowersAShareOnce() {
+    public void oneHighTailLatencyLowersAShareOnce() {
         believe("s", "f", 0.05);
-        throttling.decide(Map.of("s", 0.5), Set.of("f"), now += 350);
-        throttling.decide(Map.of("s", 1.2), Set.of("f"), now += 350);
+        throttling.updateShares(Map.of("s", 0.5), Set.of("f"), now += 350);
+        throttling.updateShares(Map.of("s", 1.2), Set.of("f"), now += 350);
         assertEquals(50, throttling.getShare("f"));
-        throttling.decide(Map.of("s", 1.1), Set.of("f"), now += 350);
+        throttling.updateShares(Map.of("s", 1.1), Set.of("f"), now += 350);
         assertEquals(50, throttling.getShare("f"));
     }
 
     @Test
-    public void allArePacedWhenNobodyIsSuspected() {
+    public void allImagesAreThrottledWhenNoneIsSuspected() {
         believe("s", "one", 0.05);
         believe("s", "two", 0.05);
-        throttling.decide(Map.of("s", 0.5), Set.of("one", "two"), now += 400);
-        throttling.decide(Map.of("s", 2.0), Set.of("one", "two"), now += 400);
+        throttling.updateShares(Map.of("s", 0.5), Set.of("one", "two"), now += 400);
+        throttling.updateShares(Map.of("s", 2.0), Set.of("one", "two"), now += 400);
         assertEquals(30, throttling.getShare("one"));
         assertEquals(30, throttling.getShare("two"));
     }
 
     @Test
-    public void sharesComeBackOnceTheTailIsShort() {
+    public void sharesRecoverOnceTheTailLatencyIsLow() {
         believe("s", "f", 0.05);
         for (int i = 0; i < 3; i++) {
-            throttling.decide(Map.of("s", 9.0), Set.of("f"), now += 400);
+            throttling.updateShares(Map.of("s", 9.0), Set.of("f"), now += 400);
         }
         assertEquals(9, throttling.getShare("f"));
         for (int i = 0; i < 20; i++) {
-            throttling.decide(Map.of("s", 0.3), Set.of("f"), now += 400);
+            throttling.updateShares(Map.of("s", 0.3), Set.of("f"), now += 400);
         }
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("f"));
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("f"));
     }
 
     @Test
-    public void allStandStillWhenATailStaysOverItsTarget() {
+    public void allImagesArePausedWhileATailLatencyStaysOverItsTarget() {
         believe("s", "good", 0.05);
         believe("s", "bad", 0.9);
         for (int i = 0; i < 4; i++) {
-            throttling.decide(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
+            throttling.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
         }
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("good"));
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
         assertEquals(0, throttling.getShare("bad"));
         for (int i = 0; i < 3; i++) {
-            throttling.decide(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
+            throttling.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
         }
         assertEquals(0, throttling.getShare("good"));
         assertEquals(0, throttling.getShare("bad"));
-        throttling.decide(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
+        throttling.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
         assertTrue(throttling.getShare("good") > 0);
     }
 
     @Test
-    public void withoutServingRunsNothingIsPaced() {
-        throttling.decide(Map.of(), Set.of("f"), now += 400);
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("f"));
+    public void nothingIsThrottledWithoutServingRuns() {
+        throttling.updateShares(Map.of(), Set.of("f"), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("f"));
     }
 
     @Test
-    public void anImageThatIsNotKnownBeginsWithHalf() {
+    public void anUnknownImageStartsWithHalf() {
         believe("s", "good", 0.05);
         believe("s", "bad", 0.9);
-        throttling.decide(Map.of("s", 0.8), Set.of(), now += 400);
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("good"));
+        throttling.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
         assertEquals(50, throttling.getShare("unknown"));
         assertEquals(15, throttling.getShare("bad"));
     }
 
     @Test
-    public void anImageThatLeftBeginsAnew() {
+    public void anImageThatReturnsStartsWithItsInitialShare() {
         believe("s", "good", 0.05);
         for (int i = 0; i < 3; i++) {
-            throttling.decide(Map.of("s", 9.0), Set.of("good"), now += 400);
+            throttling.updateShares(Map.of("s", 9.0), Set.of("good"), now += 400);
         }
-        throttling.decide(Map.of("s", 0.8), Set.of(), now += 400);
-        assertEquals(ThrottlePolicy.FULL, throttling.getShare("good"));
+        throttling.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
     }
 
     @Test
-    public void aSmallShareGrowsBesideATailThatIsNotItsDoing() {
+    public void aSmallShareGrowsWhileTheTailLatencyHasAnotherCause() {
         believe("s", "bad", 0.9);
-        throttling.decide(Map.of("s", 1.95), Set.of("bad"), now += 400);
+        throttling.updateShares(Map.of("s", 1.95), Set.of("bad"), now += 400);
         assertEquals(5, throttling.getShare("bad"));
         for (int i = 0; i < 30; i++) {
-            throttling.decide(Map.of("s", 0.8), Set.of("bad"), now += 400);
+            throttling.updateShares(Map.of("s", 0.8), Set.of("bad"), now += 400);
         }
         assertTrue(throttling.getShare("bad") >= 30);
         assertTrue(throttling.getShare("bad") < 40);
--- a/src/test/java/org/standlink/runner/TestUnguardedRoom.java
+++ b/src/test/java/org/standlink/runner/TestUnenforcedCapacity.java
@@ -40,8 +40,8 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 import org.standlink.wire.StartRefusal;
@@ -51,7 +51,7 @@
  * Plays an agent beside a worker that does not guard its room, leaves calls unanswered and carries
  * them out late, and a leader that gives room again only as the agent's reports allow.
  */
-public class TestUnguardedRoom {
+public class TestUnenforcedCapacity {
 
     private static final int ROOM = 3;
     private static final int TASKS = 8;
@@ -59,7 +59,7 @@
     private static final long LEADER_MILLIS = 50;
     private static final long LEASE_MILLIS = 6000;
     private static final Fence FENCE = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
-    private static final WorkerLife ID = WorkerLife.parse("i-1@1000");
+    private static final WorkerIncarnation ID = WorkerIncarnation.parse("i-1@1000");
     private static final WorkerDescription WORKER =
             new WorkerDescription(
                     ID,
@@ -96,8 +96,8 @@
                             () -> clock.nowMillis() + LEASE_MILLIS,
                             () -> FENCE,
                             () -> {},
-                            RunnerFixtures.NO_OBSERVER,
-                            new HarmTable());
+                            RunnerFixtures.NO_OP_LISTENER,
+                            new InterferenceTable());
         }
 
         void play() {
@@ -109,7 +109,7 @@
 
         /** Frees what the report says is over, and gives what is free to the next task. */
         private void lead() {
-            WorkerReport report = supervisor.report();
+            WorkerReport report = supervisor.createReport();
             for (RunEnd end : report.ended()) {
                 if (end.number() > handledEnd) {
                     handledEnd = end.number();
@@ -121,7 +121,7 @@
             if (report.lapsed()) {
                 taken.clear();
             }
-            supervisor.reported(report);
+            supervisor.reportAcknowledged(report);
             List<StartOrder> starts = new ArrayList<>();
             while (report.reachable() && taken.size() < ROOM) {
                 starts.add(next());
@@ -130,7 +130,7 @@
             if (random.nextInt(10) == 0 && !taken.isEmpty()) {
                 stops.add(taken.values().iterator().next());
             }
-            supervisor.order(
+            supervisor.applyOrders(
                     new RunOrders(
                             Epoch.of(1), FENCE.getGeneration(), ID, starts, stops, handledEnd));
         }
@@ -150,7 +150,7 @@
         }
 
         /** The worker. */
-        private final class LateWorker implements WorkerCalls {
+        private final class LateWorker implements WorkerClient {
 
             private final Map<RunId, Long> running = new LinkedHashMap<>();
             private final Map<TaskName, Integer> barred = new HashMap<>();
@@ -276,7 +276,7 @@
     }
 
     @Property(tries = 60, seed = "20261202")
-    void noInterleavingOfLateCallsBringsAWorkerOverItsRoom(@ForAll long seed) {
+    void noInterleavingOfLateCallsExceedsTheCapacityOfAWorker(@ForAll long seed) {
         Day day = new Day(seed);
         day.play();
         assertTrue(day.violations.isEmpty(), () -> seed + " " + day.violations.get(0));
--- a/src/test/java/org/standlink/runner/TestWorkerLeaseClock.java
+++ b/src/test/java/org/standlink/runner/TestWorkerLeaseClock.java
@@ -39,62 +39,62 @@
             @ForAll @DoubleRange(min = 1.0, max = 1.02) double slowness) {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
         // The worker read its clock at time 0; the answer came a while later.
-        clock.answered(5000, way);
+        clock.answerReceived(5000, way);
         long end = way + lease;
-        long until = clock.renew(end);
+        long until = clock.grantUntil(end);
         double killedAt = (until - 5000) * slowness;
         assertTrue(killedAt <= end, () -> "killed at " + killedAt + ", end " + end);
     }
 
     @Test
-    public void allIsOverOnlyAfterTheLatestTimeEverTold() {
+    public void aLeaseExpiresOnlyAfterTheLatestEndEverGranted() {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
-        clock.answered(0, 100);
-        clock.renew(6100);
-        clock.renew(4000);
-        assertFalse(clock.isOver(6100));
-        assertTrue(clock.isOver(6500));
+        clock.answerReceived(0, 100);
+        clock.grantUntil(6100);
+        clock.grantUntil(4000);
+        assertFalse(clock.isExpired(6100));
+        assertTrue(clock.isExpired(6500));
     }
 
     @Test
-    public void anEndThatHasPassedIsToldAsTheWorkersTime() {
+    public void anEndThatHasPassedIsSentAsTheWorkersCurrentTime() {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
-        clock.answered(700, 100);
-        assertEquals(700, clock.renew(50));
+        clock.answerReceived(700, 100);
+        assertEquals(700, clock.grantUntil(50));
     }
 
     @Test
-    public void anAgentWhoseClockStoodStillIsToldByHowMuch() {
+    public void theLagOfASuspendedAgentsClockIsReported() {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
-        clock.answered(5000, 100);
-        clock.answered(6000, 1120);
-        clock.answered(6900, 2020);
+        clock.answerReceived(5000, 100);
+        clock.answerReceived(6000, 1120);
+        clock.answerReceived(6900, 2020);
         assertEquals(List.of(), behind);
-        clock.answered(10_000, 2120);
+        clock.answerReceived(10_000, 2120);
         assertEquals(1, behind.size());
         assertTrue(behind.get(0) >= 3000 && behind.get(0) <= 3050, behind::toString);
-        clock.answered(9_900, 2130);
+        clock.answerReceived(9_900, 2130);
         assertEquals(1, behind.size());
     }
 
     @Test
-    public void answersThatComeLateSayNothingOfTheAgentsClock() {
+    public void lateAnswersAreNotTakenForALagOfTheAgentsClock() {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
         for (int i = 0; i < 100; i++) {
             long late = i % 2 == 0 ? 0 : 400;
-            clock.answered(5000 + 500L * i, 100 + 500L * i + late);
+            clock.answerReceived(5000 + 500L * i, 100 + 500L * i + late);
         }
         assertEquals(List.of(), behind);
     }
 
     @Test
-    public void aSlowClockOfTheWorkerSaysNothingOfTheAgents() {
+    public void aSlowWorkerClockIsNotTakenForALagOfTheAgentsClock() {
         WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
         for (long now = 0; now < 60_000; now += 400) {
-            clock.answered((long) (5000 + now * 0.98), now);
+            clock.answerReceived((long) (5000 + now * 0.98), now);
         }
         assertEquals(List.of(), behind);
-        clock.answered((long) (5000 + 60_400 * 0.98), 60_000);
+        clock.answerReceived((long) (5000 + 60_400 * 0.98), 60_000);
         assertEquals(1, behind.size());
     }
 }
--- a/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
+++ b/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
@@ -34,8 +34,8 @@
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 
@@ -52,33 +52,33 @@
     private WorkerSupervisor supervisor;
 
     /** Notes which lives were said to answer, or to be over. */
-    private static final class Lives implements LifeObserver {
+    private static final class Lives implements IncarnationListener {
 
         private final List<String> told = new ArrayList<>();
 
         @Override
-        public void confirmed(WorkerLife id) {
+        public void confirmed(WorkerIncarnation id) {
             told.add("confirmed " + id);
         }
 
         @Override
-        public void replaced(WorkerLife id, WorkerLife by) {
+        public void replaced(WorkerIncarnation id, WorkerIncarnation by) {
             told.add("replaced " + id);
         }
 
         @Override
-        public void departed(WorkerLife id) {
+        public void departed(WorkerIncarnation id) {
             told.add("departed " + id);
         }
 
         @Override
-        public void clockStoodStill(WorkerLife id, long millis) {
+        public void clockFellBehind(WorkerIncarnation id, long millis) {
             told.add(id + " behind by " + millis);
         }
     }
 
     /** A worker that answers as the test says, 10 ms after each call. */
-    private final class Script implements WorkerCalls {
+    private final class Script implements WorkerClient {
 
         private CallResult.Kind starts = CallResult.Kind.DONE;
         private CallResult.Kind holds = CallResult.Kind.DONE;
@@ -98,14 +98,14 @@
         public CompletableFuture<CallResult> start(
                 WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
             seen.add("start " + order.run().number());
-            return RunnerFixtures.later(loop, 10, result(starts));
+            return RunnerFixtures.completeLater(loop, 10, result(starts));
         }
 
         @Override
         public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
             seen.add("stop " + run.number());
             stopped.add("stop " + run.number() + " of " + fence);
-            return RunnerFixtures.later(loop, 10, result(stops));
+            return RunnerFixtures.completeLater(loop, 10, result(stops));
         }
 
         @Override
@@ -115,12 +115,12 @@
             renewals++;
             List<RunEnd> unrecorded =
                     ended.stream().filter(end -> end.number() > recorded).toList();
-            return RunnerFixtures.later(
+            return RunnerFixtures.completeLater(
                     loop,
                     10,
                     new RenewalResult(
                             result(holds),
-                            to.life(),
+                            to.incarnation(),
                             done ? running : List.of(),
                             done ? unrecorded : List.of()));
         }
@@ -129,7 +129,7 @@
         public CompletableFuture<CallResult> throttle(
                 WorkerDescription to, RunId run, int percent, Fence fence) {
             seen.add("share " + percent);
-            return RunnerFixtures.later(loop, 10, result(CallResult.Kind.DONE));
+            return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
 
@@ -145,7 +145,7 @@
                         () -> fence,
                         () -> {},
                         lives,
-                        new HarmTable());
+                        new InterferenceTable());
         supervisor.start();
         loop.advance(100);
     }
@@ -155,25 +155,25 @@
     }
 
     private void order(List<StartOrder> starts, List<RunId> stops, long recorded) {
-        supervisor.order(
+        supervisor.applyOrders(
                 new RunOrders(
                         Epoch.of(1),
                         LeaseGeneration.of(1),
-                        RunnerFixtures.ID,
+                        RunnerFixtures.INCARNATION,
                         starts,
                         stops,
                         recorded));
     }
 
     @Test
-    public void aSilentWorkerIsOverOnceItsHoldHasRunOut() {
-        assertTrue(supervisor.report().known());
+    public void anUnresponsiveWorkerHasLapsedOnceItsLeaseHasExpired() {
+        assertTrue(supervisor.createReport().known());
         worker.holds = CallResult.Kind.UNKNOWN;
         loop.advance(LEASE_MILLIS - 500);
-        assertFalse(supervisor.report().reachable());
-        assertFalse(supervisor.report().lapsed());
+        assertFalse(supervisor.createReport().reachable());
+        assertFalse(supervisor.createReport().lapsed());
         loop.advance(1500);
-        assertTrue(supervisor.report().lapsed());
+        assertTrue(supervisor.createReport().lapsed());
     }
 
     @Test
@@ -189,26 +189,26 @@
     }
 
     @Test
-    public void aRefusedStartIsReportedUntilTheLeaderKnows() {
+    public void aRefusedStartIsReportedUntilTheLeaderAcknowledgesIt() {
         worker.starts = CallResult.Kind.NO_ROOM;
         order(List.of(RunnerFixtures.startOrder()), List.of(), 0);
         loop.advance(100);
-        assertEquals(RunnerFixtures.RUN, supervisor.report().refused().get(0).run());
-        supervisor.reported(supervisor.report());
-        assertTrue(supervisor.report().refused().isEmpty());
+        assertEquals(RunnerFixtures.RUN, supervisor.createReport().refused().get(0).run());
+        supervisor.reportAcknowledged(supervisor.createReport());
+        assertTrue(supervisor.createReport().refused().isEmpty());
     }
 
     @Test
-    public void aStopOfARunThatNeverBeganEndsInGone() {
+    public void aStoppedRunThatNeverStartedIsReportedAsGone() {
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(500);
-        assertTrue(supervisor.report().gone().isEmpty());
+        assertTrue(supervisor.createReport().gone().isEmpty());
         loop.advance(2000);
-        assertEquals(List.of(RunnerFixtures.RUN), supervisor.report().gone());
+        assertEquals(List.of(RunnerFixtures.RUN), supervisor.createReport().gone());
     }
 
     @Test
-    public void aStoppedRunWithAnEndIsNotGone() {
+    public void aStoppedRunWithAnEndIsNotReportedAsGone() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         order(List.of(RunnerFixtures.startOrder()), List.of(), 0);
         loop.advance(600);
@@ -216,30 +216,30 @@
         worker.running = List.of();
         worker.ended = List.of(new RunEnd(1, RunnerFixtures.RUN, RunEndKind.STOPPED, "c"));
         loop.advance(3000);
-        assertTrue(supervisor.report().gone().isEmpty());
-        assertEquals(1, supervisor.report().ended().size());
+        assertTrue(supervisor.createReport().gone().isEmpty());
+        assertEquals(1, supervisor.createReport().ended().size());
     }
 
     @Test
     public void endsAreReportedUntilTheyAreRecorded() {
         worker.ended = List.of(new RunEnd(1, RunnerFixtures.RUN, RunEndKind.DONE, ""));
         loop.advance(1000);
-        assertEquals(1, supervisor.report().ended().size());
+        assertEquals(1, supervisor.createReport().ended().size());
         order(List.of(), List.of(), 1);
-        assertTrue(supervisor.report().ended().isEmpty());
+        assertTrue(supervisor.createReport().ended().isEmpty());
     }
 
     @Test
-    public void aWorkerThatIsGoneIsNotSaidToRunWhatItRan() {
+    public void runsOfALapsedWorkerAreNoLongerReported() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(1000);
         worker.holds = CallResult.Kind.UNKNOWN;
         loop.advance(LEASE_MILLIS + 1000);
-        assertTrue(supervisor.report().lapsed());
-        supervisor.reported(supervisor.report());
-        assertTrue(supervisor.report().running().isEmpty());
-        assertFalse(supervisor.report().known());
-        assertTrue(supervisor.report().lapsed(), "a new leader has to be told as well");
+        assertTrue(supervisor.createReport().lapsed());
+        supervisor.reportAcknowledged(supervisor.createReport());
+        assertTrue(supervisor.createReport().running().isEmpty());
+        assertFalse(supervisor.createReport().known());
+        assertTrue(supervisor.createReport().lapsed(), "a new leader has to be told as well");
     }
 
     @Test
@@ -267,7 +267,7 @@
     }
 
     @Test
-    public void aRunThatAnEarlierProcessMayHaveThrottledIsGivenItsShareAnew() {
+    public void aRunThatAnEarlierProcessMayHaveThrottledIsSentItsShareAgain() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(1000);
         order(
@@ -285,21 +285,21 @@
         loop.advance(100);
         worker.starts = CallResult.Kind.UNWELL;
         loop.advance(500);
-        assertTrue(supervisor.report().refused().isEmpty());
+        assertTrue(supervisor.createReport().refused().isEmpty());
         assertTrue(worker.seen.contains("stop 1"), () -> worker.seen.toString());
         loop.advance(2000);
-        assertEquals(List.of(RunnerFixtures.RUN), supervisor.report().gone());
+        assertEquals(List.of(RunnerFixtures.RUN), supervisor.createReport().gone());
     }
 
     @Test
-    public void aLifeThatAnswersIsConfirmedOnce() {
+    public void anIncarnationThatAnswersIsConfirmedOnce() {
         loop.advance(2000);
         assertEquals(List.of("confirmed i-1@1000"), lives.told);
         assertTrue(supervisor.isConfirmed());
     }
 
     @Test
-    public void aLifeInWhosePlaceAnotherAnswersIsOver() {
+    public void anIncarnationInWhosePlaceAnotherAnswersIsReplaced() {
         worker.holds = CallResult.Kind.OTHER_LIFE;
         loop.advance(1000);
         assertEquals("replaced i-1@1000", lives.told.get(1));
@@ -316,11 +316,11 @@
         fence = fence(2);
         loop.advance(1000);
         assertTrue(worker.renewals > before);
-        assertTrue(supervisor.report().reachable());
+        assertTrue(supervisor.createReport().reachable());
     }
 
     @Test
-    public void aStopRefusedUnderAnOldEpochIsGivenAgainUnderTheNewOne() {
+    public void aStopRefusedUnderAnOldEpochIsRepeatedUnderTheNewOne() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(600);
         worker.stops = CallResult.Kind.FENCED;
@@ -335,7 +335,7 @@
     }
 
     @Test
-    public void aStopIsNotGivenAgainUnderAnEpochThatWasRefused() {
+    public void aStopIsNotRepeatedUnderAnEpochThatWasRefused() {
         worker.stops = CallResult.Kind.FENCED;
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(2000);
--- a/src/test/java/org/standlink/simulation/Channel.java
+++ b/src/test/java/org/standlink/simulation/Channel.java
@@ -37,7 +37,7 @@
     /** For how long a message that was read before the end may still be handed over. */
     private static final long HANDOVER_MILLIS = 300;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final Pipe up;
     private final Pipe down;
     private final SimulatedLeader leader;
@@ -56,7 +56,12 @@
         void receive(Message message);
     }
 
-    Channel(World world, Pipe up, Pipe down, SimulatedLeader leader, AgentSide agent) {
+    Channel(
+            SimulationEnvironment world,
+            Pipe up,
+            Pipe down,
+            SimulatedLeader leader,
+            AgentSide agent) {
         this.world = world;
         this.up = up;
         this.down = down;
--- a/src/test/java/org/standlink/simulation/FaultDesk.java
+++ b/src/test/java/org/standlink/simulation/FaultInjector.java
@@ -19,15 +19,15 @@
 import java.util.List;
 
 /** Lets the faults of a day happen. */
-final class FaultDesk {
+final class FaultInjector {
 
     private static final long CUT_OFF_MILLIS = 20_000;
     private static final long LEAVE_MILLIS = 3000;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final SimulatedCell cell;
 
-    FaultDesk(SimulatedCell cell) {
+    FaultInjector(SimulatedCell cell) {
         this.cell = cell;
         this.world = cell.getWorld();
     }
--- a/src/test/java/org/standlink/simulation/Referee.java
+++ b/src/test/java/org/standlink/simulation/InvariantChecker.java
@@ -32,7 +32,7 @@
  * Judges what workers did: no two runs of a task at once, none after a recorded good end, nothing
  * of a cancelled job for long, and no worker over its room.
  */
-final class Referee {
+final class InvariantChecker {
 
     /** How long after an acknowledged cancel a run of the job may still begin. */
     private static final long CANCEL_MILLIS = 3000;
@@ -52,7 +52,7 @@
     /** How many such starts are too many. */
     private static final int TOO_MANY_STARTS = 3;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final Map<RunId, Map<SimulatedWorker, Present>> present = new LinkedHashMap<>();
     private final List<Good> goods = new ArrayList<>();
     private final Map<TaskName, List<long[]>> starts = new HashMap<>();
@@ -92,7 +92,7 @@
         }
     }
 
-    Referee(World world) {
+    InvariantChecker(SimulationEnvironment world) {
         this.world = world;
         world.every(50, this::lookForCancelled);
     }
--- a/src/test/java/org/standlink/simulation/Pipe.java
+++ b/src/test/java/org/standlink/simulation/Pipe.java
@@ -20,7 +20,7 @@
  */
 final class Pipe {
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final Direction direction;
 
     /** How much later a channel that was held up may go on than new ones work. */
@@ -33,11 +33,11 @@
     /** The state of the way between two machines in one direction. */
     static final class Direction {
 
-        private final World world;
+        private final SimulationEnvironment world;
         private long heldUntil;
         private long losesUntil;
 
-        Direction(World world) {
+        Direction(SimulationEnvironment world) {
             this.world = world;
         }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    Pipe(World world, Direction direction) {
+    Pipe(SimulationEnvironment world, Direction direction) {
         this.world = world;
         this.direction = direction;
     }
--- a/src/test/java/org/standlink/simulation/SimulatedCallers.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCallers.java
@@ -40,13 +40,16 @@
     private static final long ANSWER_MILLIS = 1500;
     private static final long AGAIN_MILLIS = 300;
 
-    private final World world;
-    private final Referee referee;
+    private final SimulationEnvironment world;
+    private final InvariantChecker referee;
     private final Supplier<SimulatedLeader> leader;
     private final Map<JobId, JobDefinition> accepted = new LinkedHashMap<>();
     private final List<JobDefinition> submitted = new ArrayList<>();
 
-    SimulatedCallers(World world, Referee referee, Supplier<SimulatedLeader> leader) {
+    SimulatedCallers(
+            SimulationEnvironment world,
+            InvariantChecker referee,
+            Supplier<SimulatedLeader> leader) {
         this.world = world;
         this.referee = referee;
         this.leader = leader;
--- a/src/test/java/org/standlink/simulation/SimulatedCell.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCell.java
@@ -52,10 +52,10 @@
                     List.of(SimulatedMachine.SERVICE),
                     1000);
 
-    private final World world;
-    private final Referee referee;
+    private final SimulationEnvironment world;
+    private final InvariantChecker referee;
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final StoreWeather weather;
+    private final StoreFaults weather;
     private final CellTimes times;
     private final List<SimulatedLeader> leaders = new ArrayList<>();
     private final List<SimulatedLeader> gone = new ArrayList<>();
@@ -66,16 +66,16 @@
     private long changes;
 
     /** A cell of so many machines that forgets no jobs. */
-    SimulatedCell(World world, int count, boolean guarded) {
+    SimulatedCell(SimulationEnvironment world, int count, boolean guarded) {
         this(world, count, guarded, Integer.MAX_VALUE);
     }
 
     /** A cell of so many machines, whose workers guard their room or do not. */
-    SimulatedCell(World world, int count, boolean guarded, long statusMillis) {
+    SimulatedCell(SimulationEnvironment world, int count, boolean guarded, long statusMillis) {
         this.world = world;
-        this.times = new CellTimes(CellTimes.LONGEST_LEASE_MILLIS, statusMillis);
-        this.referee = new Referee(world);
-        this.weather = new StoreWeather(world);
+        this.times = new CellTimes(CellTimes.MAX_LEASE_MILLIS, statusMillis);
+        this.referee = new InvariantChecker(world);
+        this.weather = new StoreFaults(world);
         this.callers = new SimulatedCallers(world, referee, this::newestLeader);
         lead();
         for (int i = 0; i < count; i++) {
@@ -93,16 +93,16 @@
         return made;
     }
 
-    World getWorld() {
+    SimulationEnvironment getWorld() {
         return world;
     }
 
     /** Gets what hinders calls of the store for all. */
-    StoreWeather getWeather() {
+    StoreFaults getWeather() {
         return weather;
     }
 
-    Referee getReferee() {
+    InvariantChecker getReferee() {
         return referee;
     }
 
--- a/src/test/java/org/standlink/simulation/SimulatedDay.java
+++ b/src/test/java/org/standlink/simulation/SimulatedDay.java
@@ -53,7 +53,7 @@
     private static final int NEXT_LEADER_MILLIS = 700;
     private static final long LONGEST_SUSPENSION_MILLIS = 12_000;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final SimulatedCell cell;
     private final List<Fault> faults;
     private final Random suspensions;
@@ -71,7 +71,7 @@
 
     /** A day on which machines are suspended besides, as is drawn, if anything draws it. */
     SimulatedDay(long seed, List<Fault> faults, Random suspensions) {
-        this.world = new World(seed);
+        this.world = new SimulationEnvironment(seed);
         this.faults = faults;
         this.suspensions = suspensions;
         long statusMillis = seed % 4 == 0 ? SHORT_STATUS_MILLIS : LONG_STATUS_MILLIS;
@@ -111,7 +111,7 @@
     /** Plays the day, and lists what was found. */
     List<String> play() {
         world.playUntil(BEGIN_MILLIS);
-        new FaultDesk(cell).schedule(faults);
+        new FaultInjector(cell).schedule(faults);
         if (suspensions != null) {
             planSuspensions();
         }
--- a/src/test/java/org/standlink/simulation/SimulatedLeader.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeader.java
@@ -17,8 +17,8 @@
 
 import java.util.function.Supplier;
 import org.standlink.Epoch;
-import org.standlink.cell.CellLeader;
 import org.standlink.cell.CellTimes;
+import org.standlink.cell.JobCellLeader;
 import org.standlink.job.Configuration;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.store.FakeKeyedStore;
@@ -29,20 +29,20 @@
 /** A process that leads for one epoch. */
 final class SimulatedLeader {
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final Epoch epoch;
-    private final World.ProcessLoop process;
+    private final SimulationEnvironment.ProcessLoop process;
     private final StoreView store;
-    private final CellLeader leader;
+    private final JobCellLeader leader;
     private final Supplier<LeaderNotice> newest;
     private boolean deposed;
     private boolean wholeFrozen;
 
     SimulatedLeader(
-            World world,
+            SimulationEnvironment world,
             Epoch epoch,
             FakeKeyedStore kept,
-            StoreWeather weather,
+            StoreFaults weather,
             CellTimes times,
             Configuration configuration,
             Supplier<EvacuatedHalls> evacuated,
@@ -53,7 +53,7 @@
         this.process = world.newProcess();
         this.store = new StoreView(world, kept, weather);
         this.leader =
-                new CellLeader(
+                new JobCellLeader(
                         epoch,
                         store,
                         times,
--- a/src/test/java/org/standlink/simulation/SimulatedLink.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLink.java
@@ -19,16 +19,16 @@
 import org.standlink.Epoch;
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
-import org.standlink.election.LeaderCalls;
+import org.standlink.election.LeaderClient;
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.Message;
 
 /** The leader as one agent process knows it, over channels in memory. */
-final class SimulatedLink implements LeaderCalls {
+final class SimulatedLink implements LeaderClient {
 
     private static final long CONNECT_MILLIS = 1000;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final Pipe.Direction up;
     private final Pipe.Direction down;
     private final LeaderDirectory directory;
@@ -45,7 +45,7 @@
     }
 
     SimulatedLink(
-            World world,
+            SimulationEnvironment world,
             Pipe.Direction up,
             Pipe.Direction down,
             LeaderDirectory directory,
--- a/src/test/java/org/standlink/simulation/SimulatedMachine.java
+++ b/src/test/java/org/standlink/simulation/SimulatedMachine.java
@@ -22,7 +22,7 @@
 import org.standlink.election.LeaderObserver;
 import org.standlink.job.WorkerDescription;
 import org.standlink.job.WorkerId;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.runner.AgentNode;
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.Message;
@@ -39,8 +39,8 @@
     private static final long BACK_SPREAD_MILLIS = 3000;
     private static final long BORN_MILLIS = 1_700_000_000_000L;
 
-    private final World world;
-    private final Referee referee;
+    private final SimulationEnvironment world;
+    private final InvariantChecker referee;
     private final String name;
     private final Resources capacity;
     private final boolean guarded;
@@ -48,7 +48,7 @@
     private final Pipe.Direction up;
     private final Pipe.Direction down;
     private final WorkerPath path;
-    private World.ProcessLoop process;
+    private SimulationEnvironment.ProcessLoop process;
     private AgentNode agent;
     private SimulatedLink link;
     private int lives;
@@ -61,8 +61,8 @@
     private final OperatorView operator = new OperatorView();
 
     SimulatedMachine(
-            World world,
-            Referee referee,
+            SimulationEnvironment world,
+            InvariantChecker referee,
             String name,
             int cores,
             boolean guarded,
@@ -105,7 +105,7 @@
     void startAgent(LeaderNotice leader) {
         processes++;
         process = world.newProcess();
-        World.ProcessLoop own = process;
+        SimulationEnvironment.ProcessLoop own = process;
         // What arrives after the end of the process finds its loop standing still.
         link = new SimulatedLink(world, up, down, directory, message -> deliver(own, message));
         agent =
@@ -154,7 +154,7 @@
                 world.draw(0, 5000),
                 () -> {
                     if (process != null) {
-                        agent.heartbeat(last, lastSequence);
+                        agent.heartbeatReceived(last, lastSequence);
                     }
                 });
     }
@@ -196,7 +196,7 @@
                     if (path.getLife() == leaving && leaving.isUp()) {
                         leaving.crash();
                         if (process != null) {
-                            agent.left(leaving.getId().getId());
+                            agent.workerLeft(leaving.getId().getId());
                         }
                     }
                 });
@@ -229,7 +229,8 @@
         lives += idKept ? 0 : 1;
         draining = false;
         sequence = 0;
-        WorkerLife id = WorkerLife.of(WorkerId.parse(name + "-" + lives), drawBirth());
+        WorkerIncarnation id =
+                WorkerIncarnation.of(WorkerId.parse(name + "-" + lives), drawBirth());
         SimulatedWorker life =
                 new SimulatedWorker(world, referee, id, getHall(), capacity, guarded);
         life.onCrash(this::crashForAWhile);
@@ -269,18 +270,18 @@
     // -----------------------------------------------------------------------
     private void heartbeat() {
         if (process != null && path.getLife().isUp()) {
-            agent.heartbeat(describe(draining), ++sequence);
+            agent.heartbeatReceived(describe(draining), ++sequence);
         }
     }
 
     private WorkerDescription describe(boolean leaves) {
-        WorkerLife id = path.getLife().getId();
+        WorkerIncarnation id = path.getLife().getId();
         long rest = leaves ? DRAIN_MILLIS : 0;
         return new WorkerDescription(
                 id, SERVICE, name + ":1", capacity, HallId.parse(name), List.of(), leaves, rest);
     }
 
-    private void deliver(World.ProcessLoop own, Message message) {
+    private void deliver(SimulationEnvironment.ProcessLoop own, Message message) {
         if (own != process) {
             return;
         }
@@ -306,6 +307,6 @@
         public void leaderAnswered(long storeSilentMillis) {}
 
         @Override
-        public void leaderGone() {}
+        public void leaderAbsent() {}
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedWorker.java
+++ b/src/test/java/org/standlink/simulation/SimulatedWorker.java
@@ -28,7 +28,7 @@
 import org.standlink.job.RunId;
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.runner.CallResult;
 import org.standlink.runner.RenewalResult;
 import org.standlink.wire.StartOrder;
@@ -57,9 +57,9 @@
     private static final long STOP_MILLIS = 400;
     private static final int FAILING_PERCENT = 4;
 
-    private final World world;
-    private final Referee referee;
-    private final WorkerLife id;
+    private final SimulationEnvironment world;
+    private final InvariantChecker referee;
+    private final WorkerIncarnation id;
     private final HallId hall;
     private final Resources capacity;
     private final boolean guarded;
@@ -79,9 +79,9 @@
     private record Work(long begunAt, long millis) {}
 
     SimulatedWorker(
-            World world,
-            Referee referee,
-            WorkerLife id,
+            SimulationEnvironment world,
+            InvariantChecker referee,
+            WorkerIncarnation id,
             HallId hall,
             Resources capacity,
             boolean guarded) {
@@ -95,7 +95,7 @@
         this.rate = 1 - world.draw(0, 20) / 1000.0;
     }
 
-    WorkerLife getId() {
+    WorkerIncarnation getId() {
         return id;
     }
 
--- a/src/test/java/org/standlink/simulation/World.java
+++ b/src/test/java/org/standlink/simulation/SimulationEnvironment.java
@@ -24,7 +24,7 @@
 import org.standlink.lease.MonotonicClock;
 
 /** Time, chance and notes of one simulated cell; its processes run in turn on one clock. */
-final class World {
+final class SimulationEnvironment {
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
@@ -34,12 +34,12 @@
     private final long startedAt = clock.nowMillis();
 
     /** A world in which chance rules. */
-    World(long seed) {
+    SimulationEnvironment(long seed) {
         random = new Random(seed);
     }
 
     /** A world without chance: the first of all possibilities happens, and nothing fails. */
-    World() {
+    SimulationEnvironment() {
         random = null;
     }
 
--- a/src/test/java/org/standlink/simulation/StoreWeather.java
+++ b/src/test/java/org/standlink/simulation/StoreFaults.java
@@ -16,15 +16,15 @@
 package org.standlink.simulation;
 
 /** What hinders calls of the store for a while, for one process or for all. */
-final class StoreWeather {
+final class StoreFaults {
 
-    private final World world;
+    private final SimulationEnvironment world;
     private long awayUntil;
     private long refusesUntil;
     private long slowUntil;
     private long losesUntil;
 
-    StoreWeather(World world) {
+    StoreFaults(SimulationEnvironment world) {
         this.world = world;
     }
 
--- a/src/test/java/org/standlink/simulation/StoreView.java
+++ b/src/test/java/org/standlink/simulation/StoreView.java
@@ -36,21 +36,21 @@
     private static final int LATE_PERCENT = 25;
     private static final int REFUSED_PERCENT = 30;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private final FakeKeyedStore store;
-    private final StoreWeather shared;
-    private final StoreWeather own;
+    private final StoreFaults shared;
+    private final StoreFaults own;
 
     /** A view that is hindered by what hinders all, and by what hinders only this process. */
-    StoreView(World world, FakeKeyedStore store, StoreWeather shared) {
+    StoreView(SimulationEnvironment world, FakeKeyedStore store, StoreFaults shared) {
         this.world = world;
         this.store = store;
         this.shared = shared;
-        this.own = new StoreWeather(world);
+        this.own = new StoreFaults(world);
     }
 
     /** Gets what hinders only this process. */
-    StoreWeather getOwn() {
+    StoreFaults getOwn() {
         return own;
     }
 
--- a/src/test/java/org/standlink/simulation/TestAgentThatStoodStill.java
+++ b/src/test/java/org/standlink/simulation/TestAgentThatStoodStill.java
@@ -44,7 +44,7 @@
     private static final long STEP_MILLIS = 100;
 
     private static List<String> play(long millis, long workMillis) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         world.playUntil(4000);
         cell.getMachines().get(0).freezeAgent(millis);
--- a/src/test/java/org/standlink/simulation/TestReferee.java
+++ b/src/test/java/org/standlink/simulation/TestInvariantChecker.java
@@ -26,17 +26,17 @@
 import org.standlink.job.RunEndKind;
 import org.standlink.job.RunId;
 import org.standlink.job.TaskName;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 
 /** Tests that what breaks a rule is found, and that the rules' exceptions are heeded. */
-public class TestReferee {
+public class TestInvariantChecker {
 
     private static final TaskName TASK = TaskName.parse("aaaaaaaaaaaaaaaa.0.0.0");
     private static final RunId FIRST = new RunId(TASK, 1);
     private static final RunId SECOND = new RunId(TASK, 2);
 
-    private final World world = new World();
-    private final Referee referee = new Referee(world);
+    private final SimulationEnvironment world = new SimulationEnvironment();
+    private final InvariantChecker referee = new InvariantChecker(world);
     private final SimulatedWorker one = life("i-1");
     private final SimulatedWorker two = life("i-2");
 
@@ -44,7 +44,7 @@
         return new SimulatedWorker(
                 world,
                 referee,
-                WorkerLife.parse(id + "@1000"),
+                WorkerIncarnation.parse(id + "@1000"),
                 HallId.parse("h"),
                 new Resources(1000, 1000, 0),
                 false);
--- a/src/test/java/org/standlink/simulation/TestLeaderThatStoodStill.java
+++ b/src/test/java/org/standlink/simulation/TestLeaderThatStoodStill.java
@@ -46,7 +46,7 @@
     private static final long STEP_MILLIS = 100;
 
     private static List<String> play(long millis, boolean whole) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
         world.playUntil(250);
         cell.addMachine(false);
--- a/src/test/java/org/standlink/simulation/TestLeaseOfAnUnnamedWorker.java
+++ b/src/test/java/org/standlink/simulation/TestLeaseOfAnUnnamedWorker.java
@@ -41,7 +41,7 @@
 
     @Test
     public void aLeaseDoesNotHoldForAWorkerThatNoReportHasNamed() {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
         world.playUntil(1000);
         cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 1, 0));
--- a/src/test/java/org/standlink/simulation/TestLivesUnderOneId.java
+++ b/src/test/java/org/standlink/simulation/TestLivesUnderOneId.java
@@ -55,7 +55,7 @@
     private static final int AFTER = 4;
 
     private static SimulatedCell cell() {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         cell.getMachines().forEach(SimulatedMachine::keepId);
         world.playUntil(1500);
@@ -78,7 +78,7 @@
     /** Several jobs end before the crash, so that numbers of ends are recorded of both workers. */
     private static List<String> playShortJobs(long backMillis) {
         SimulatedCell cell = cell();
-        World world = cell.getWorld();
+        SimulationEnvironment world = cell.getWorld();
         List<JobDefinition> jobs = new ArrayList<>();
         for (int i = 0; i < BEFORE; i++) {
             jobs.add(submit(cell, i + 1, 4, 200));
--- a/src/test/java/org/standlink/simulation/TestLivesWithoutALease.java
+++ b/src/test/java/org/standlink/simulation/TestLivesWithoutALease.java
@@ -55,7 +55,7 @@
     private static final long STEP_MILLIS = 25;
 
     private static SimulatedCell play(long awayMillis, long backMillis) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 0, false);
         // Reports are to come half-way between the leader's looks at leases.
         world.playUntil(50);
--- a/src/test/java/org/standlink/simulation/TestOrdersAfterALease.java
+++ b/src/test/java/org/standlink/simulation/TestOrdersAfterALease.java
@@ -50,7 +50,7 @@
 
     /** Plays a day on which the store is away for so long, from so long after a heartbeat. */
     private static SimulatedCell play(long phaseMillis, long awayMillis) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
         // The agents' heartbeats are to be half a period apart.
         world.playUntil(250);
--- a/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
+++ b/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
@@ -48,7 +48,7 @@
     private static final int TASKS = 6;
 
     private static SimulatedCell play(long heldMillis, boolean restarts) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         SimulatedMachine first = cell.getMachines().get(0);
         world.playUntil(4000);
--- a/src/test/java/org/standlink/simulation/TestStartsCarriedOutLate.java
+++ b/src/test/java/org/standlink/simulation/TestStartsCarriedOutLate.java
@@ -45,7 +45,7 @@
     private static final long LONGEST_LATE_MILLIS = 12_000;
 
     private static List<String> play(long lateMillis, long workMillis) {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         world.playUntil(1500);
         SimulatedMachine first = cell.getMachines().get(0);
--- a/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
+++ b/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
@@ -41,7 +41,7 @@
     private static final long AFTER_MILLIS = 20_000;
 
     private static SimulatedCell cellWithWork() {
-        World world = new World();
+        SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         world.playUntil(1500);
         cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 2, 0));
--- a/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
+++ b/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
@@ -118,7 +118,7 @@
         }
     }
 
-    private Outcome play(World world, Day day) {
+    private Outcome play(SimulationEnvironment world, Day day) {
         SimulatedCell cell = new SimulatedCell(world, MACHINES, false);
         Outcome outcome = new Outcome(cell);
         cell.getMachines().forEach(machine -> machine.setBackMillis(day.backMillis()));
@@ -144,7 +144,8 @@
         return outcome;
     }
 
-    private static void submitAll(World world, SimulatedCell cell, Day day, Outcome outcome) {
+    private static void submitAll(
+            SimulationEnvironment world, SimulatedCell cell, Day day, Outcome outcome) {
         for (int i = 0; i < INNOCENT_JOBS; i++) {
             long millis = i == 0 ? 0 : 400 + 700L * (i % 9);
             outcome.innocent.add(SimulatedCallers.job(String.format("%016x", i + 1), 2, millis));
@@ -158,7 +159,7 @@
     }
 
     private static void submitInTurn(
-            World world, SimulatedCell cell, List<JobDefinition> jobs, long pause) {
+            SimulationEnvironment world, SimulatedCell cell, List<JobDefinition> jobs, long pause) {
         long at = FIRST_MILLIS;
         for (JobDefinition job : jobs) {
             world.later(at, () -> cell.getCallers().submit(job));
@@ -172,7 +173,7 @@
         cell.getMachines().forEach(machine -> machine.tell(cell.newestNotice()));
     }
 
-    private static void restartAgent(World world, SimulatedCell cell) {
+    private static void restartAgent(SimulationEnvironment world, SimulatedCell cell) {
         SimulatedMachine machine =
                 cell.getMachines().get((int) (world.elapsed() / 1000 % MACHINES));
         machine.endAgent();
@@ -180,7 +181,7 @@
     }
 
     private void assertClean(Day day) {
-        Outcome outcome = play(new World(), day);
+        Outcome outcome = play(new SimulationEnvironment(), day);
         List<String> notes = outcome.cell.getWorld().getNotes();
         assertEquals(List.of(), outcome.judge(), () -> String.join("\n", notes));
     }
@@ -189,7 +190,7 @@
     private List<Outcome> playSeeds(Day day) {
         List<Outcome> outcomes = new ArrayList<>();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            outcomes.add(play(new World(seed), day));
+            outcomes.add(play(new SimulationEnvironment(seed), day));
         }
         return outcomes;
     }
--- a/src/test/java/org/standlink/simulation/WorkerPath.java
+++ b/src/test/java/org/standlink/simulation/WorkerPath.java
@@ -22,25 +22,25 @@
 import org.standlink.job.WorkerDescription;
 import org.standlink.runner.CallResult;
 import org.standlink.runner.RenewalResult;
-import org.standlink.runner.WorkerCalls;
+import org.standlink.runner.WorkerClient;
 import org.standlink.wire.StartOrder;
 
 /** The way from an agent to the worker beside it, on which calls stay without an answer. */
-final class WorkerPath implements WorkerCalls {
+final class WorkerPath implements WorkerClient {
 
     private static final long CALL_MILLIS = 500;
     private static final int UNWELL_PERCENT = 25;
     private static final long FIRST_LATE_MILLIS = 2000;
     private static final long LAST_LATE_MILLIS = 12_000;
 
-    private final World world;
+    private final SimulationEnvironment world;
     private SimulatedWorker life;
     private long silentUntil;
     private long unsureUntil;
     private int unsurePercent;
     private long doneAfterMillis = -1;
 
-    WorkerPath(World world) {
+    WorkerPath(SimulationEnvironment world) {
         this.world = world;
     }
 
@@ -117,7 +117,7 @@
     private CompletableFuture<CallResult> simple(
             WorkerDescription to, String name, Function<Boolean, CallResult> effect) {
         return call(
-                name + " on " + to.life(),
+                name + " on " + to.incarnation(),
                 late ->
                         CompletableFuture.completedFuture(
                                 isOther(to) ? otherLife() : effect.apply(late)),
@@ -192,7 +192,7 @@
     }
 
     private boolean isOther(WorkerDescription to) {
-        return !to.life().getId().equals(life.getId().getId());
+        return !to.incarnation().getId().equals(life.getId().getId());
     }
 
     private static CallResult otherLife() {
