--- a/src/main/java/org/standlink/cell/AgentReportHandler.java
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -368,7 +368,7 @@
             }
         }
         if (!back.isEmpty()) {
-            LOG.info("taken-back")
+            LOG.info("orders-withdrawn")
                     .with("worker", worker.getIncarnation())
                     .with("runs", back.size())
                     .write();
--- a/src/main/java/org/standlink/cell/CrashDetector.java
+++ b/src/main/java/org/standlink/cell/CrashDetector.java
@@ -279,7 +279,10 @@
         for (TaskEntry task : counted) {
             CrashHistory crashes = task.getTrial().getCrashes();
             if (crashes.isFailedPermanently() || crashes.requiresIsolation()) {
-                LOG.info(crashes.isFailedPermanently() ? "given-up" : "suspected")
+                LOG.info(
+                                crashes.isFailedPermanently()
+                                        ? "task-failed-permanently"
+                                        : "task-suspected")
                         .with("task", task.getName())
                         .with("crashes", crashes.getStartupCrashes())
                         .with("late", crashes.getLateCrashes())
--- a/src/main/java/org/standlink/cell/InterferencePersistence.java
+++ b/src/main/java/org/standlink/cell/InterferencePersistence.java
@@ -85,7 +85,7 @@
             if (record.key().equals(KEY) && record.value().length > 0) {
                 recorded = Packing.unpack(record.value(), InterferenceRecord.class).estimates();
                 harm.putAll(recorded);
-                LOG.info("beliefs-read").with("pairs", recorded.size()).write();
+                LOG.info("estimates-read").with("pairs", recorded.size()).write();
             }
         }
     }
--- a/src/main/java/org/standlink/cell/LeadershipManager.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -209,13 +209,17 @@
             return;
         }
         leave();
-        LOG.info("giving-up").with("epoch", epoch).write();
-        Guarded.thenOn("giving-up", vacate(epoch), loop, (end, failure) -> gaveUp(epoch, failure));
+        LOG.info("resigning-after-failure").with("epoch", epoch).write();
+        Guarded.thenOn(
+                "resigning-after-failure",
+                vacate(epoch),
+                loop,
+                (end, failure) -> gaveUp(epoch, failure));
     }
 
     private void gaveUp(Epoch epoch, Throwable failure) {
         if (failure != null) {
-            LOG.info("not-given-up").with("epoch", epoch).with("cause", failure).write();
+            LOG.info("resignation-failed").with("epoch", epoch).with("cause", failure).write();
             loop.schedule(() -> giveUp(epoch), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/org/standlink/cell/OrderDispatcher.java
+++ b/src/main/java/org/standlink/cell/OrderDispatcher.java
@@ -113,7 +113,7 @@
      */
     void stopUnexpected(WorkerIncarnation id, List<RunId> runs) {
         if (!runs.isEmpty()) {
-            LOG.info("stray-runs").with("worker", id).with("runs", runs).write();
+            LOG.info("unexpected-runs").with("worker", id).with("runs", runs).write();
             commits.afterCommit(() -> sendNow(id, List.of(), runs));
         }
     }
--- a/src/main/java/org/standlink/runner/AgentNode.java
+++ b/src/main/java/org/standlink/runner/AgentNode.java
@@ -186,7 +186,10 @@
         Fence told = Fence.of(orders.epoch(), orders.generation());
         adopt(told);
         if (lease.getFence().isAfter(told)) {
-            LOG.info("old-orders").with("fence", told).with("known", lease.getFence()).write();
+            LOG.info("orders-of-older-leader")
+                    .with("fence", told)
+                    .with("known", lease.getFence())
+                    .write();
             return;
         }
         WorkerSupervisor supervisor = workers.findSupervisor(orders.worker());
--- a/src/main/java/org/standlink/runner/WorkerIncarnations.java
+++ b/src/main/java/org/standlink/runner/WorkerIncarnations.java
@@ -166,7 +166,7 @@
                         && (ended.hasKnownStartTime(told.getId())
                                 || workers.keySet().stream().anyMatch(told::isOtherIncarnationOf));
         if (lacks) {
-            LOG.info("heartbeat-without-birth").with("worker", told).write();
+            LOG.info("heartbeat-without-start-time").with("worker", told).write();
         }
         return lacks;
     }
@@ -217,7 +217,7 @@
     @Override
     public void clockFellBehind(WorkerIncarnation worker, long millis) {
         if (millis >= TOLD_MILLIS) {
-            LOG.info("clock-stood-still").with("worker", worker).with("millis", millis).write();
+            LOG.info("clock-fell-behind").with("worker", worker).with("millis", millis).write();
         }
         lease.compensateClockLag(millis);
     }
@@ -229,7 +229,7 @@
             lease.remove(worker);
         }
         if (ended.add(worker, clock.nowMillis())) {
-            LOG.info("worker-over").with("worker", worker).with("reason", reason).write();
+            LOG.info("worker-ended").with("worker", worker).with("reason", reason).write();
             whenChanged.run();
         }
     }
--- a/src/main/java/org/standlink/runner/WorkerSupervisor.java
+++ b/src/main/java/org/standlink/runner/WorkerSupervisor.java
@@ -226,7 +226,7 @@
             lapseNoted = true;
             lapseUntold = true;
             runs.dropAllButRunning();
-            LOG.info("orders-void")
+            LOG.info("orders-superseded")
                     .with("worker", heard.getIncarnation())
                     .with("fence", fence.get())
                     .write();
