--- a/src/main/java/org/standlink/cell/CrashDetector.java
+++ b/src/main/java/org/standlink/cell/CrashDetector.java
@@ -28,223 +28,224 @@
 import org.standlink.process.EventLog;
 
 /**
- * Finds the tasks that crash the workers that start them.
+ * Identifies the tasks that crash the workers that start them.
  *
- * <p>A worker that crashes lists no ends, so its runs are counted here. Where a lease ran out, it
- * is not known yet whether the worker crashed; its runs are remembered until it is heard again, or
- * another life answers at its address.
+ * <p>A worker that crashes reports no ends of runs, so its runs are counted here. If its lease
+ * expired, it is not known yet whether the worker crashed; its runs are remembered until it reports
+ * again or another incarnation answers at its address.
  *
- * <p>{@code CrashDetector} is not thread-safe; the leader's loop owns it.
+ * <p>{@code CrashDetector} is not thread-safe; it is confined to the leader's event loop.
  */
 final class CrashDetector {
 
     /**
-     * How likely it is that a worker crashes of its own accord while a run is new there, for each
-     * crash that no task is likely to have caused, and one: where many workers crash, it says
-     * little that some of them did under one task.
+     * The likelihood that a worker crashes of itself while a run is new there. It is multiplied by
+     * one plus the number of recent crashes that no task is likely to have caused: where many
+     * workers crash, it proves little that some of them crashed under one task.
      */
-    private static final double OF_ITSELF = 0.02;
+    private static final double SPONTANEOUS_CRASH_LIKELIHOOD = 0.02;
 
     /**
-     * How many times likelier that is for a run that was listed as at work: it has outlived its
-     * start, as most that crash their worker do not. Assumed, not learnt.
+     * How many times more likely that is for a run that was reported as running: it has survived
+     * its start, as most runs that crash their worker do not.
      */
-    private static final double LISTED_FACTOR = 5;
+    private static final double REPORTED_RUNNING_FACTOR = 5;
 
-    /** For how long such a crash counts, in milliseconds: some lives of a crashing worker. */
+    /** How long such a crash counts, in milliseconds: several incarnations of a crashing worker. */
     private static final long RECENT_MILLIS = 30_000;
 
     /**
-     * For how long the runs of a silent worker are remembered, in milliseconds: a crashed worker is
-     * back within seconds, or does not come back.
+     * How long the runs of an unresponsive worker are remembered, in milliseconds: a crashed worker
+     * is back within seconds, or not at all.
      */
-    private static final long REMEMBERED_MILLIS = 60_000;
+    private static final long RETENTION_MILLIS = 60_000;
 
     /**
-     * How many crashes are remembered that no task explains: a task is given up after five, so even
-     * ten such tasks at once are told from those beside them.
+     * The maximum number of remembered crashes that no task explains. A task fails permanently
+     * after five crashes, so that even ten such tasks at once are distinguished from the tasks
+     * beside them.
      */
-    private static final int MOST_UNEXPLAINED = 50;
+    private static final int MAX_UNEXPLAINED = 50;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(CrashDetector.class);
 
-    /** The runs that were given up with their worker's lease, by the life of the worker. */
-    private final Map<WorkerIncarnation, Silence> silent = new LinkedHashMap<>();
+    /** The runs that were abandoned when their worker's lease expired, by worker incarnation. */
+    private final Map<WorkerIncarnation, WorkerRuns> expiredLeases = new LinkedHashMap<>();
 
     /** The crashes that no task explains yet, the oldest first. */
     private final Deque<Crash> unexplained = new ArrayDeque<>();
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** A crash, and the tasks that ran there. */
+    /** A crash, and the tasks that ran on the worker. */
     private record Crash(long at, List<TaskEntry> tasks) {
 
-        boolean isUnclear() {
+        boolean hasNoLikelyCause() {
             return tasks.stream().noneMatch(task -> task.getTrial().getCrashes().isLikelyCause());
         }
     }
 
-    /** The runs of a worker that went silent, those that had just begun and the others. */
-    private record Silence(
+    /**
+     * The runs of a worker that crashed or whose lease expired: those that had just started, and
+     * those whose start was proven.
+     */
+    private record WorkerRuns(
             String address, long since, List<TaskEntry> begun, List<TaskEntry> proven) {
 
-        boolean isAt(String place) {
-            return !address.isEmpty() && address.equals(place);
+        boolean isAt(String otherAddress) {
+            return !address.isEmpty() && address.equals(otherAddress);
         }
     }
 
-    /**
-     * Constructor.
-     *
-     * @param clock the clock
-     */
     CrashDetector(MonotonicClock clock) {
         this.clock = clock;
     }
 
     /**
-     * Takes note that a worker has crashed, before its runs are released.
+     * Records that a worker has crashed; called before its runs are released.
      *
-     * @param worker the worker; one that said that it leaves has not crashed
-     * @return the tasks of which something else is believed now
+     * @param worker the worker; one that announced that it leaves has not crashed
+     * @return the tasks whose crash history has changed
      */
     List<TaskEntry> recordCrash(WorkerEntry worker) {
-        Silence earlier = remove(worker.getIncarnation());
-        boolean leaves = worker.getDescription() != null && worker.getDescription().draining();
-        if (leaves) {
+        WorkerRuns earlier = remove(worker.getIncarnation());
+        boolean draining = worker.getDescription() != null && worker.getDescription().draining();
+        if (draining) {
             return List.of();
         }
-        Silence all = silence(worker, clock.nowMillis());
+        WorkerRuns lost = collectRuns(worker, clock.nowMillis());
         if (earlier != null) {
-            all.begun().addAll(earlier.begun());
-            all.proven().addAll(earlier.proven());
+            lost.begun().addAll(earlier.begun());
+            lost.proven().addAll(earlier.proven());
         }
-        return count(worker.getIncarnation(), all);
+        return countCrash(worker.getIncarnation(), lost);
     }
 
     /**
-     * Takes note that a worker's lease ran out, before its runs are released.
+     * Records that the lease of a worker has expired; called before its runs are released.
      *
      * @param worker the worker
      */
     void recordLeaseExpiry(WorkerEntry worker) {
-        Silence begins = silence(worker, clock.nowMillis());
-        if (silent.putIfAbsent(worker.getIncarnation(), begins) == null) {
-            begins.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(1));
+        WorkerRuns expired = collectRuns(worker, clock.nowMillis());
+        if (expiredLeases.putIfAbsent(worker.getIncarnation(), expired) == null) {
+            expired.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(1));
         }
     }
 
-    /** Forgets silent workers that have not come back. */
+    /** Removes unresponsive workers that have not come back in time. */
     void removeExpired() {
         long now = clock.nowMillis();
-        List.copyOf(silent.keySet()).stream()
-                .filter(id -> now - silent.get(id).since() > REMEMBERED_MILLIS)
+        List.copyOf(expiredLeases.keySet()).stream()
+                .filter(id -> now - expiredLeases.get(id).since() > RETENTION_MILLIS)
                 .forEach(this::remove);
     }
 
     /**
-     * Takes note that a worker answers: this life has not crashed, and those before it at the same
-     * address have.
+     * Records that a worker answers: this incarnation has not crashed, and the earlier ones at the
+     * same address have.
      *
      * @param worker the worker
-     * @return the tasks of which something else is believed now
+     * @return the tasks whose crash history has changed
      */
     List<TaskEntry> recordContact(WorkerEntry worker) {
-        if (silent.isEmpty()) {
+        if (expiredLeases.isEmpty()) {
             return List.of();
         }
         remove(worker.getIncarnation());
-        List<WorkerIncarnation> before =
-                silent.entrySet().stream()
-                        .filter(one -> one.getValue().isAt(worker.getAddress()))
+        List<WorkerIncarnation> ended =
+                expiredLeases.entrySet().stream()
+                        .filter(entry -> entry.getValue().isAt(worker.getAddress()))
                         .map(Map.Entry::getKey)
                         .toList();
-        return before.stream().flatMap(id -> recordEnd(id).stream()).toList();
+        return ended.stream().flatMap(id -> recordEnd(id).stream()).toList();
     }
 
     /**
-     * Takes note that a life is over whose lease ran out before.
+     * Records that an incarnation whose lease expired before has ended.
      *
-     * @param id the life of the worker
-     * @return the tasks of which something else is believed now
+     * @param id the incarnation of the worker
+     * @return the tasks whose crash history has changed
      */
     List<TaskEntry> recordEnd(WorkerIncarnation id) {
-        Silence known = remove(id);
-        return known == null ? List.of() : count(id, known);
+        WorkerRuns lease = remove(id);
+        return lease == null ? List.of() : countCrash(id, lease);
     }
 
     // -----------------------------------------------------------------------
-    /** How likely it is that a worker crashed for a reason that has nothing to do with the task. */
-    private double ofItself(TaskEntry task) {
+    /** Returns the likelihood that a worker crashed for a reason that is unrelated to the task. */
+    private double spontaneousCrashLikelihood(TaskEntry task) {
         long now = clock.nowMillis();
         long others =
                 unexplained.stream()
                         .filter(crash -> now - crash.at() < RECENT_MILLIS)
                         .filter(crash -> !crash.tasks().contains(task))
-                        .filter(Crash::isUnclear)
+                        .filter(Crash::hasNoLikelyCause)
                         .count();
-        return OF_ITSELF
+        return SPONTANEOUS_CRASH_LIKELIHOOD
                 * (1 + others)
-                * (task.getTrial().wasReportedRunning() ? LISTED_FACTOR : 1);
+                * (task.getTrial().wasReportedRunning() ? REPORTED_RUNNING_FACTOR : 1);
     }
 
-    private Silence remove(WorkerIncarnation id) {
-        Silence known = silent.remove(id);
-        if (known != null) {
-            known.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(-1));
+    private WorkerRuns remove(WorkerIncarnation id) {
+        WorkerRuns lease = expiredLeases.remove(id);
+        if (lease != null) {
+            lease.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(-1));
         }
-        return known;
+        return lease;
     }
 
-    private static Silence silence(WorkerEntry worker, long now) {
-        List<TaskEntry> begun = new ArrayList<>();
+    private static WorkerRuns collectRuns(WorkerEntry worker, long now) {
+        List<TaskEntry> started = new ArrayList<>();
         List<TaskEntry> proven = new ArrayList<>();
         for (TaskEntry task : worker.listTasks()) {
-            (task.getTrial().isProven() ? proven : begun).add(task);
+            (task.getTrial().isProven() ? proven : started).add(task);
         }
-        return new Silence(worker.getAddress(), now, begun, proven);
+        return new WorkerRuns(worker.getAddress(), now, started, proven);
     }
 
-    /** Counts a crash, and divides the suspicion among all that had just begun. */
-    private List<TaskEntry> count(WorkerIncarnation worker, Silence lost) {
-        // Some of a crash that is told late have shown elsewhere that they crash no worker.
-        List<TaskEntry> begun =
+    /** Counts a crash, and divides the suspicion among all tasks that had just started. */
+    private List<TaskEntry> countCrash(WorkerIncarnation worker, WorkerRuns lost) {
+        // If the crash is reported late, some tasks have proven their start elsewhere by then.
+        List<TaskEntry> started =
                 lost.begun().stream().filter(task -> !task.getTrial().isProven()).toList();
         List<TaskEntry> counted = new ArrayList<>(lost.proven());
         counted.forEach(
                 task -> task.getTrial().setCrashes(task.getTrial().getCrashes().withLateCrash()));
-        double all = 0;
-        for (TaskEntry task : begun) {
-            all += task.getTrial().getCrashes().getWeight();
+        double totalWeight = 0;
+        for (TaskEntry task : started) {
+            totalWeight += task.getTrial().getCrashes().getWeight();
         }
-        for (TaskEntry task : begun) {
-            CrashHistory before = task.getTrial().getCrashes();
-            double likelihood = before.getWeight() / (all + ofItself(task));
-            task.getTrial().setCrashes(before.withStartupCrash(likelihood));
+        for (TaskEntry task : started) {
+            CrashHistory history = task.getTrial().getCrashes();
+            double likelihood =
+                    history.getWeight() / (totalWeight + spontaneousCrashLikelihood(task));
+            task.getTrial().setCrashes(history.withStartupCrash(likelihood));
             counted.add(task);
         }
         if (!counted.isEmpty()) {
-            tell(worker, begun.size(), counted);
-            remember(counted);
+            logCrash(worker, started.size(), counted);
+            addUnexplained(counted);
         }
         Set<TaskEntry> changed = new LinkedHashSet<>(counted);
         counted.stream()
                 .filter(task -> task.getTrial().getCrashes().isFailedPermanently())
-                .forEach(task -> changed.addAll(explain(task)));
+                .forEach(task -> changed.addAll(clearSuspicion(task)));
         return List.copyOf(changed);
     }
 
-    private void remember(List<TaskEntry> counted) {
+    private void addUnexplained(List<TaskEntry> counted) {
         unexplained.addLast(new Crash(clock.nowMillis(), List.copyOf(counted)));
-        if (unexplained.size() > MOST_UNEXPLAINED) {
+        if (unexplained.size() > MAX_UNEXPLAINED) {
             unexplained.removeFirst();
         }
     }
 
-    /** Clears those of the crashes that a task was in which is given up. */
-    private Set<TaskEntry> explain(TaskEntry cause) {
+    /**
+     * Clears the suspicion of the tasks that shared a crash with a task that has failed
+     * permanently.
+     */
+    private Set<TaskEntry> clearSuspicion(TaskEntry cause) {
         Set<TaskEntry> cleared = new LinkedHashSet<>();
         for (Crash crash : List.copyOf(unexplained)) {
             if (crash.tasks().contains(cause)) {
@@ -270,10 +271,10 @@
         return cleared;
     }
 
-    private static void tell(WorkerIncarnation worker, int begun, List<TaskEntry> counted) {
+    private static void logCrash(WorkerIncarnation worker, int started, List<TaskEntry> counted) {
         LOG.info("worker-crashed")
                 .with("worker", worker)
-                .with("begun", begun)
+                .with("begun", started)
                 .with("runs", counted.size())
                 .write();
         for (TaskEntry task : counted) {
--- a/src/main/java/org/standlink/cell/CrashHistory.java
+++ b/src/main/java/org/standlink/cell/CrashHistory.java
@@ -18,13 +18,12 @@
 import java.util.Objects;
 
 /**
- * What is known of the workers that crashed under one task, one after the other: how many did so
- * right after a run had begun, how many later, and how likely it is that the task crashes each
- * worker that starts it.
+ * The successive crashes of workers under one task: how many workers crashed right after a run had
+ * started, how many later, and how likely it is that the task crashes every worker that starts it.
  *
- * <p>All that begins on a worker shortly before it crashes may have caused that. The suspicion is
- * divided among these tasks, so that it grows to near certainty for a task that crashes one worker
- * after the other, and stays small for those that were beside it once.
+ * <p>All tasks that start on a worker shortly before it crashes may have caused the crash. The
+ * suspicion is divided among them, so that it approaches certainty for a task that crashes one
+ * worker after the other, and stays small for tasks that ran beside it once.
  *
  * <p>{@code CrashHistory} is immutable and thread-safe.
  */
@@ -34,124 +33,126 @@
     static final CrashHistory NONE = new CrashHistory(0, 0, 0);
 
     /**
-     * What counts for a task of which nothing is known: one task in a hundred is taken to crash its
-     * workers. With more such tasks no work would be done, whatever is assumed.
+     * The prior suspicion: one task in a hundred is assumed to crash its workers. With more such
+     * tasks no work could be done, whatever is assumed.
      */
-    private static final double USUAL = 0.01;
+    private static final double PRIOR_SUSPICION = 0.01;
 
     /**
-     * The suspicion from which a task is tried with nothing beside it that has just begun: a few
-     * tasks that crashed together reach it in the next crash, a crowd does not in its first.
+     * The suspicion from which a task is isolated from other tasks that have just started. A few
+     * tasks that crashed together reach it with the next crash, a large group does not with its
+     * first one.
      */
-    private static final double APART = 0.25;
+    private static final double ISOLATION_THRESHOLD = 0.25;
 
     /**
-     * The suspicion from which a task is given up, once several workers have crashed under it: one
-     * that crashed three workers alone reaches it, with at most one crash beside that no task
-     * explains; one that was first in a crowd with the fourth.
+     * The suspicion from which a task fails permanently, once several workers have crashed under
+     * it. A task that was alone when it crashed three workers reaches it, with at most one other
+     * unexplained crash; one that was first in a large group reaches it with the fourth crash.
      */
-    private static final double CONVINCED = 0.95;
+    private static final double FAILURE_THRESHOLD = 0.95;
 
     /**
-     * How many workers must have crashed under a task before it may be given up; where workers also
-     * crash of themselves, two starts in a row meet with that too often.
+     * The minimum number of crashes before a task may fail permanently. Where workers also crash
+     * for other reasons, a task meets with two crashes in a row too often.
      */
-    private static final int FEWEST_CRASHES = 3;
+    private static final int MIN_CRASHES = 3;
 
     /**
-     * How many crashes in a row give a task up, whatever is believed of it: callers bear three and
-     * two more starts.
+     * The number of successive crashes from which a task fails permanently, whatever its suspicion:
+     * callers tolerate three crashing starts and two more.
      */
-    private static final int MOST_CRASHES = 5;
+    private static final int MAX_CRASHES = 5;
 
-    /** One as the number that is kept stands for it. */
+    /** The stored value of a suspicion of 1. */
     private static final int PER_MILLE = 1000;
 
-    /** How many workers crashed right after a run had begun, since one was at work for a while. */
-    private final int crashes;
+    /** Crashes right after the start of a run, since a run last stayed up for a while. */
+    private final int startupCrashes;
 
-    /** How many workers crashed later, since a run was at work for long. */
+    /** Crashes after the start phase, since a run last stayed up for long. */
     private final int lateCrashes;
 
-    /** How likely it is that the task crashes its workers, 0 to 1; 0 if nothing speaks for it. */
+    /** The likelihood that the task crashes its workers, 0 to 1; 0 without evidence. */
     private final double suspicion;
 
-    private CrashHistory(int crashes, int lateCrashes, double suspicion) {
-        this.crashes = crashes;
+    private CrashHistory(int startupCrashes, int lateCrashes, double suspicion) {
+        this.startupCrashes = startupCrashes;
         this.lateCrashes = lateCrashes;
         this.suspicion = suspicion;
     }
 
     /**
-     * Makes a history of what was kept.
+     * Creates a history from its stored values.
      *
-     * @param crashes how many workers crashed right after a run had begun
+     * @param startupCrashes how many workers crashed right after a run had started
      * @param lateCrashes how many workers crashed later
      * @param perMille the suspicion, in thousandths
      * @return the history
      */
-    static CrashHistory of(int crashes, int lateCrashes, int perMille) {
-        double suspicion = clip((double) perMille / PER_MILLE);
-        return new CrashHistory(Math.max(0, crashes), Math.max(0, lateCrashes), suspicion);
+    static CrashHistory of(int startupCrashes, int lateCrashes, int perMille) {
+        double suspicion = clamp((double) perMille / PER_MILLE);
+        return new CrashHistory(Math.max(0, startupCrashes), Math.max(0, lateCrashes), suspicion);
     }
 
-    private static double clip(double value) {
+    private static double clamp(double value) {
         return Math.max(0, Math.min(1, value));
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Returns this history with one more crash, which came when the run had been at work for a
+     * Returns this history with one more crash, of a worker where the run had been running for a
      * while.
      *
-     * @return the history
+     * @return the new history
      */
     CrashHistory withLateCrash() {
-        return new CrashHistory(crashes, lateCrashes + 1, suspicion);
+        return new CrashHistory(startupCrashes, lateCrashes + 1, suspicion);
     }
 
     /**
-     * Returns this history with one more crash, which came right after a run had begun.
+     * Returns this history with one more crash, of a worker where a run had just started.
      *
-     * @param likelihood how likely it is that the task crashes its workers, 0 to 1
-     * @return the history
+     * @param likelihood the likelihood that the task crashes its workers, 0 to 1
+     * @return the new history
      */
     CrashHistory withStartupCrash(double likelihood) {
-        return new CrashHistory(crashes + 1, lateCrashes, clip(likelihood));
+        return new CrashHistory(startupCrashes + 1, lateCrashes, clamp(likelihood));
     }
 
     /**
-     * Returns this history after another task was found to have caused some of the crashes. Their
-     * number stays, since both may have.
+     * Returns this history after another task was found to have caused some of the crashes. The
+     * number of crashes stays, since both tasks may have caused them.
      *
-     * @return the history, without suspicion
+     * @return the new history, without suspicion
      */
     CrashHistory withoutSuspicion() {
-        return new CrashHistory(crashes, lateCrashes, 0);
+        return new CrashHistory(startupCrashes, lateCrashes, 0);
     }
 
     /**
-     * Returns this history after a run was at work for a while, so that its start crashes no
-     * worker.
+     * Returns this history after a run has been running for a while, which shows that its start
+     * crashes no worker.
      *
-     * @return the history, with late crashes only
+     * @return the new history, with late crashes only
      */
     CrashHistory withProvenStart() {
-        return crashes == 0 && suspicion == 0 ? this : new CrashHistory(0, lateCrashes, 0);
+        return startupCrashes == 0 && suspicion == 0 ? this : new CrashHistory(0, lateCrashes, 0);
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Gets how many workers crashed right after a run had begun, since one was at work for a while.
+     * Gets how many workers crashed right after a run had started, since a run last stayed up for a
+     * while.
      *
      * @return the number
      */
     int getStartupCrashes() {
-        return crashes;
+        return startupCrashes;
     }
 
     /**
-     * Gets how many workers crashed later, since a run was at work for long.
+     * Gets how many workers crashed later, since a run last stayed up for long.
      *
      * @return the number
      */
@@ -160,7 +161,7 @@
     }
 
     /**
-     * Gets the suspicion as it is kept.
+     * Gets the suspicion in its stored form.
      *
      * @return the suspicion, in thousandths
      */
@@ -169,86 +170,86 @@
     }
 
     /**
-     * Gets what the task weighs among those that may have caused a crash.
+     * Gets the weight of the task among those that may have caused a crash.
      *
-     * @return the suspicion, or what counts for any task
+     * @return the suspicion, at least the prior one
      */
     double getWeight() {
-        return Math.max(USUAL, suspicion);
+        return Math.max(PRIOR_SUSPICION, suspicion);
     }
 
     /**
-     * Checks whether the task is suspected more than any other.
+     * Checks whether the suspicion is above the prior one.
      *
      * @return true if so
      */
     boolean isSuspected() {
-        return suspicion > USUAL;
+        return suspicion > PRIOR_SUSPICION;
     }
 
     /**
-     * Checks whether the task is to be tried with nothing beside it that has just begun.
+     * Checks whether the task is to be isolated from other tasks that have just started.
      *
      * @return true if so
      */
     boolean requiresIsolation() {
-        return isLikelyCause() || crashes >= FEWEST_CRASHES;
+        return isLikelyCause() || startupCrashes >= MIN_CRASHES;
     }
 
     /**
-     * Checks whether no run is to begin while it is not known whether the last worker has crashed.
+     * Checks whether no run may start while it is unknown whether the previous worker has crashed.
      *
-     * @return true if one or two more crashes give the task up
+     * @return true if one or two more crashes make the task fail permanently
      */
     boolean requiresKnownOutcome() {
-        return crashes >= FEWEST_CRASHES;
+        return startupCrashes >= MIN_CRASHES;
     }
 
     /**
-     * Checks whether the task is to wait until it can be tried so.
+     * Checks whether the task has to wait until it can be isolated.
      *
      * @return true if several workers have crashed under it
      */
     boolean mustWaitForIsolation() {
-        return requiresIsolation() && crashes >= FEWEST_CRASHES - 1;
+        return requiresIsolation() && startupCrashes >= MIN_CRASHES - 1;
     }
 
     /**
-     * Checks whether the task may well have caused the crashes that it was in.
+     * Checks whether the task is likely to have caused the crashes that it was involved in.
      *
-     * @return true if it is suspected that much
+     * @return true if the suspicion is high enough for isolation
      */
     boolean isLikelyCause() {
-        return suspicion >= APART;
+        return suspicion >= ISOLATION_THRESHOLD;
     }
 
     /**
-     * Checks whether the task is given up.
+     * Checks whether the task has failed permanently.
      *
-     * @return true if it is taken to crash each worker that starts it
+     * @return true if it is considered to crash each worker that starts it
      */
     boolean isFailedPermanently() {
-        boolean convinced = crashes >= FEWEST_CRASHES && suspicion >= CONVINCED;
-        return convinced || crashes >= MOST_CRASHES || lateCrashes >= MOST_CRASHES;
+        boolean certain = startupCrashes >= MIN_CRASHES && suspicion >= FAILURE_THRESHOLD;
+        return certain || startupCrashes >= MAX_CRASHES || lateCrashes >= MAX_CRASHES;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public boolean equals(Object object) {
         return object instanceof CrashHistory other
-                && crashes == other.crashes
+                && startupCrashes == other.startupCrashes
                 && lateCrashes == other.lateCrashes
                 && suspicion == other.suspicion;
     }
 
     @Override
     public int hashCode() {
-        return Objects.hash(crashes, lateCrashes, suspicion);
+        return Objects.hash(startupCrashes, lateCrashes, suspicion);
     }
 
     @Override
     public String toString() {
-        return crashes
+        return startupCrashes
                 + " crashes, "
                 + lateCrashes
                 + " late, "
--- a/src/main/java/org/standlink/cell/CrashIsolation.java
+++ b/src/main/java/org/standlink/cell/CrashIsolation.java
@@ -18,51 +18,56 @@
 import java.util.function.Predicate;
 
 /**
- * Keeps tasks apart that may crash their workers, so that the next crash tells which one does, and
- * takes little else with it.
+ * Isolates tasks that may crash their workers, so that the next crash identifies the cause and
+ * costs few other runs.
+ *
+ * <p>{@code CrashIsolation} has no state; its arguments are confined to the leader's event loop.
  */
 final class CrashIsolation {
 
     /**
-     * What each other task on trial costs a place, in thousandths of a core: nearly the room of a
-     * common worker, so that they spread as long as any other place has room.
+     * The penalty of a worker for each other task on trial there, in thousandths of a core. It is
+     * nearly the capacity of a common worker, so that such tasks spread out as long as any other
+     * worker has capacity.
      */
     private static final long TRIAL_PENALTY = 15_000;
 
-    /** What each run that might be lost costs a place for a task to be tried apart. */
-    private static final long STAKE_PENALTY = 2000;
+    /**
+     * The penalty of a worker for each run that a crash would cost, for a task to be isolated, in
+     * thousandths of a core.
+     */
+    private static final long RUN_AT_RISK_PENALTY = 2000;
 
-    /** No instances. */
     private CrashIsolation() {}
 
     /**
-     * Checks whether a task may begin beside what has just begun on a worker.
+     * Checks whether a task may start beside the tasks that have just started on a worker.
      *
      * @param task the task
      * @param worker the worker
-     * @return false if the task, or one there, is to be tried apart
+     * @return false if the task, or one of the others, is to be isolated
      */
     static boolean isStartAllowed(TaskEntry task, WorkerEntry worker) {
         return isStartAllowed(task, worker, CrashHistory::requiresIsolation);
     }
 
     /**
-     * Checks the same for a task that has waited.
+     * Checks the same for a task that has waited for a worker.
      *
      * @param task the task
      * @param worker the worker
-     * @return false if the task, or one there, is to be tried apart and to wait for that
+     * @return false if the task, or one of the others, has to wait until it can be isolated
      */
     static boolean isStartAllowedAfterWaiting(TaskEntry task, WorkerEntry worker) {
         return isStartAllowed(task, worker, CrashHistory::mustWaitForIsolation);
     }
 
     private static boolean isStartAllowed(
-            TaskEntry task, WorkerEntry worker, Predicate<CrashHistory> isApart) {
-        boolean apart = isApart.test(task.getTrial().getCrashes());
+            TaskEntry task, WorkerEntry worker, Predicate<CrashHistory> needsIsolation) {
+        boolean isolated = needsIsolation.test(task.getTrial().getCrashes());
         for (TaskEntry other : worker.listTasks()) {
             if (!other.getTrial().isProven()
-                    && (apart || isApart.test(other.getTrial().getCrashes()))) {
+                    && (isolated || needsIsolation.test(other.getTrial().getCrashes()))) {
                 return false;
             }
         }
@@ -70,7 +75,7 @@
     }
 
     /**
-     * Works out what speaks against a worker.
+     * Computes the placement penalty of a worker.
      *
      * @param task the task
      * @param worker the worker
@@ -81,8 +86,8 @@
         for (TaskEntry other : worker.listTasks()) {
             onTrial += other.getTrial().isOnTrial() ? 1 : 0;
         }
-        boolean apart = task.getTrial().getCrashes().requiresIsolation();
-        long stake = apart ? worker.listTasks().size() * STAKE_PENALTY : 0;
-        return onTrial * TRIAL_PENALTY + stake;
+        boolean isolated = task.getTrial().getCrashes().requiresIsolation();
+        long riskPenalty = isolated ? worker.listTasks().size() * RUN_AT_RISK_PENALTY : 0;
+        return onTrial * TRIAL_PENALTY + riskPenalty;
     }
 }
