--- a/src/main/java/org/standlink/cell/AttemptLimits.java
+++ b/src/main/java/org/standlink/cell/AttemptLimits.java
@@ -22,24 +22,19 @@
 import org.standlink.job.Configuration;
 
 /**
- * How many runs of a job's tasks may fail. A leader may read its state before the configuration,
- * and judges no task until it knows the limits.
+ * The number of runs that may fail for each task of a job. A leader may read its state before the
+ * configuration; no task fails permanently by its attempts until the limits are known.
  *
- * <p>{@code AttemptLimits} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code AttemptLimits} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class AttemptLimits implements ToIntFunction<JobEntry> {
 
-    /** The configuration in force. */
     private final Supplier<Configuration> configuration;
 
-    /** Whether all jobs have been judged by a configuration. */
-    private boolean judged;
+    /** Whether the limits have been applied to all jobs. */
+    private boolean applied;
 
-    /**
-     * Constructor.
-     *
-     * @param configuration the configuration in force
-     */
     AttemptLimits(Supplier<Configuration> configuration) {
         this.configuration = configuration;
     }
@@ -50,26 +45,26 @@
     }
 
     /**
-     * Judges all jobs by the first configuration that was read, as their tasks were judged without
-     * limits before.
+     * Applies the limits to all jobs as soon as a configuration has been read, since the jobs were
+     * evaluated without limits until then. Later calls have no effect.
      *
-     * @param board the jobs
-     * @return the jobs that have become final, which are marked on the board
+     * @param jobs the jobs
+     * @return the jobs that have become final; they are marked as changed in the registry
      */
-    List<JobEntry> applyOnce(JobRegistry board) {
-        List<JobEntry> ended = new ArrayList<>();
-        if (judged || !configuration.get().isRead()) {
-            return ended;
+    List<JobEntry> applyOnce(JobRegistry jobs) {
+        List<JobEntry> finalJobs = new ArrayList<>();
+        if (applied || !configuration.get().isRead()) {
+            return finalJobs;
         }
-        judged = true;
-        for (JobEntry job : board.getJobs()) {
-            boolean open = !job.getState().isFinal();
+        applied = true;
+        for (JobEntry job : jobs.getJobs()) {
+            boolean wasOpen = !job.getState().isFinal();
             job.updateState(applyAsInt(job));
-            if (open && job.getState().isFinal()) {
-                board.markChanged(job);
-                ended.add(job);
+            if (wasOpen && job.getState().isFinal()) {
+                jobs.markChanged(job);
+                finalJobs.add(job);
             }
         }
-        return ended;
+        return finalJobs;
     }
 }
--- a/src/main/java/org/standlink/cell/JobEntry.java
+++ b/src/main/java/org/standlink/cell/JobEntry.java
@@ -27,52 +27,49 @@
 /**
  * The state of one job.
  *
- * <p>{@code JobEntry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code JobEntry} is mutable and not thread-safe; it is confined to the leader's event loop.
  */
 final class JobEntry {
 
     /**
-     * The greatest age that a new leader believes, in milliseconds: clocks of machines differ, and
-     * no job is of use to its caller after so long.
+     * The maximum age that a new leader assumes for a job, in milliseconds: clocks of machines
+     * differ, and no job is of use to its caller after that time.
      */
-    private static final long MOST_AGE_MILLIS = 600_000;
+    private static final long MAX_AGE_MILLIS = 600_000;
 
-    /** The definition. */
     private final JobDefinition definition;
 
-    /** The place in the order of acceptance. */
+    /** The position in the order of acceptance. */
     private final long order;
 
-    /** The tasks of each repetition and step. */
+    /** The tasks by repetition, step and index. */
     private final List<List<List<TaskEntry>>> tasks = new ArrayList<>();
 
-    /** The state. */
     private JobState state = JobState.QUEUED;
 
-    /** The state in the append under way. */
+    /** The state in the append in progress. */
     private JobState sentState = JobState.QUEUED;
 
-    /** The state that was kept last; callers are told no other. */
-    private JobState keptState = JobState.QUEUED;
+    /** The state that was last persisted; callers are shown no other. */
+    private JobState persistedState = JobState.QUEUED;
 
     /** When the job was accepted, on the leader's clock. */
     private long acceptedAt;
 
-    /** When the job was accepted, in milliseconds since 1970 by its leader's clock. */
+    /**
+     * When the job was accepted, in milliseconds since 1970 by the clock of its leader at that
+     * time.
+     */
     private long acceptedWallMillis;
 
-    /** Since when nothing of it has run though it could, on the leader's clock; negative if not. */
+    /**
+     * Since when no task has run although one was ready, on the leader's clock; negative if not.
+     */
     private long starvedSince = -1;
 
     /** When the job became final, on the leader's clock; negative before. */
     private long finalAt = -1;
 
-    /**
-     * Constructor.
-     *
-     * @param definition the definition
-     * @param order the place in the order of acceptance
-     */
     JobEntry(JobDefinition definition, long order) {
         this.definition = definition;
         this.order = order;
@@ -86,24 +83,27 @@
     }
 
     private List<TaskEntry> newTasks(int repetition, int step) {
-        StepDefinition of = definition.steps().get(step);
-        List<TaskEntry> made = new ArrayList<>();
-        for (int index = 0; index < of.count(); index++) {
-            made.add(new TaskEntry(new TaskName(definition.id(), repetition, step, index), of));
+        StepDefinition stepDefinition = definition.steps().get(step);
+        List<TaskEntry> created = new ArrayList<>();
+        for (int index = 0; index < stepDefinition.count(); index++) {
+            created.add(
+                    new TaskEntry(
+                            new TaskName(definition.id(), repetition, step, index),
+                            stepDefinition));
         }
-        return made;
+        return created;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes over what was kept.
+     * Restores the state from the store.
      *
      * @param record the record
      */
     void restore(JobRecord record) {
         state = record.state();
         sentState = state;
-        keptState = state;
+        persistedState = state;
         acceptedWallMillis = record.acceptedWallMillis();
         List<TaskEntry> all = allTasks().toList();
         for (int i = 0; i < Math.min(all.size(), record.tasks().size()); i++) {
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Makes the record to be kept.
+     * Creates the record to be persisted.
      *
      * @return the record
      */
@@ -123,15 +123,15 @@
     }
 
     /**
-     * Works out the state from the tasks; a final state stays.
+     * Derives the state from the tasks; a final state stays.
      *
-     * @param mostAttempts how many runs of a task may fail
+     * @param maxAttempts how many runs of a task may fail
      */
-    void updateState(int mostAttempts) {
+    void updateState(int maxAttempts) {
         if (state.isFinal()) {
             return;
         }
-        if (allTasks().anyMatch(task -> task.hasFailedPermanently(mostAttempts))) {
+        if (allTasks().anyMatch(task -> task.hasFailedPermanently(maxAttempts))) {
             state = JobState.FAILED;
         } else if (allTasks().allMatch(TaskEntry::isDone)) {
             state = JobState.COMPLETED;
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Lists the tasks whose turn has come and that run nowhere.
+     * Lists the tasks that are ready to run and are not placed on a worker.
      *
      * @param wallMillis the time of day, in milliseconds since 1970
      * @return the tasks
@@ -168,29 +168,29 @@
     }
 
     /**
-     * Works out the longest chain of work, by what the caller guessed.
+     * Computes the length of the longest chain of steps, by the caller's estimates.
      *
-     * @param unfinished whether only steps count that are not done
+     * @param unfinishedOnly whether to count only steps that are not done
      * @return the length, in milliseconds
      */
-    long criticalPathMillis(boolean unfinished) {
+    long criticalPathMillis(boolean unfinishedOnly) {
         List<List<TaskEntry>> first = tasks.get(0);
-        long[] chain = new long[first.size()];
+        long[] pathMillis = new long[first.size()];
         long longest = 0;
-        for (int step = 0; step < chain.length; step++) {
-            StepDefinition of = definition.steps().get(step);
-            for (int earlier : of.after()) {
-                chain[step] = Math.max(chain[step], chain[earlier]);
+        for (int step = 0; step < pathMillis.length; step++) {
+            StepDefinition stepDefinition = definition.steps().get(step);
+            for (int predecessor : stepDefinition.after()) {
+                pathMillis[step] = Math.max(pathMillis[step], pathMillis[predecessor]);
             }
-            boolean counts = !unfinished || !isDone(first.get(step));
-            chain[step] += counts ? of.estimatedMillis() : 0;
-            longest = Math.max(longest, chain[step]);
+            boolean counted = !unfinishedOnly || !isDone(first.get(step));
+            pathMillis[step] += counted ? stepDefinition.estimatedMillis() : 0;
+            longest = Math.max(longest, pathMillis[step]);
         }
         return longest;
     }
 
     /**
-     * Checks whether nothing of the job is left to do, also on any worker.
+     * Checks whether the job is final and no task is placed on a worker any more.
      *
      * @return true if so
      */
@@ -208,10 +208,10 @@
     }
 
     /**
-     * Takes note that a task found no worker.
+     * Records that a task found no worker.
      *
      * @param now the time on the leader's clock
-     * @return for how long nothing of the job has run, in milliseconds; 0 if something does
+     * @return how long no task of the job has run, in milliseconds; 0 if one does
      */
     long recordStarvation(long now) {
         if (allTasks().anyMatch(task -> task.getWorker() != null)) {
@@ -222,7 +222,7 @@
         return now - starvedSince;
     }
 
-    /** Takes note that a task found a worker. */
+    /** Records that a task found a worker. */
     void clearStarvation() {
         starvedSince = -1;
     }
@@ -233,10 +233,10 @@
 
     private void addReady(List<List<TaskEntry>> steps, List<TaskEntry> ready) {
         for (int step = 0; step < steps.size(); step++) {
-            boolean turn =
+            boolean unblocked =
                     definition.steps().get(step).after().stream()
-                            .allMatch(earlier -> isDone(steps.get(earlier)));
-            if (turn) {
+                            .allMatch(predecessor -> isDone(steps.get(predecessor)));
+            if (unblocked) {
                 steps.get(step).stream()
                         .filter(task -> !task.isDone() && task.getWorker() == null)
                         .filter(task -> !task.getTrial().isAwaitingOutcomes())
@@ -256,11 +256,11 @@
      * @return the task, null if the job has none of that name
      */
     TaskEntry findTask(TaskName name) {
-        boolean there =
+        boolean exists =
                 name.repetition() < tasks.size()
                         && name.step() < definition.steps().size()
                         && name.index() < definition.steps().get(name.step()).count();
-        return there ? tasks.get(name.repetition()).get(name.step()).get(name.index()) : null;
+        return exists ? tasks.get(name.repetition()).get(name.step()).get(name.index()) : null;
     }
 
     /**
@@ -273,54 +273,40 @@
     }
 
     // -----------------------------------------------------------------------
-    /**
-     * Gets the identifier.
-     *
-     * @return the identifier
-     */
     JobId getId() {
         return definition.id();
     }
 
-    /**
-     * Gets the definition.
-     *
-     * @return the definition
-     */
     JobDefinition getDefinition() {
         return definition;
     }
 
     /**
-     * Gets the place in the order of acceptance.
+     * Gets the position in the order of acceptance.
      *
-     * @return the place
+     * @return the position
      */
     long getOrder() {
         return order;
     }
 
-    /**
-     * Gets the state.
-     *
-     * @return the state
-     */
     JobState getState() {
         return state;
     }
 
-    /** Takes note that the record made last has been kept. */
+    /** Marks the state in the last record as persisted. */
     void markPersisted() {
-        keptState = sentState;
+        persistedState = sentState;
     }
 
     /**
-     * Gets the state that was kept last.
+     * Gets the state that was last persisted.
      *
-     * @return the state that callers may be told, since no new leader can fall behind it
+     * @return the state that callers may be shown, since no new leader can start from an earlier
+     *     one
      */
     JobState getPersistedState() {
-        return keptState;
+        return persistedState;
     }
 
     /**
@@ -333,7 +319,7 @@
     }
 
     /**
-     * Takes note that the job is accepted.
+     * Marks the job as accepted.
      *
      * @param now the time on the leader's clock
      * @param wallMillis the time of day, in milliseconds since 1970
@@ -344,7 +330,7 @@
     }
 
     /**
-     * Checks whether the job was ever submitted, not only cancelled.
+     * Checks whether the job was ever submitted, and not only cancelled.
      *
      * @return true if so
      */
@@ -353,13 +339,13 @@
     }
 
     /**
-     * Works out when a job that was read had been accepted.
+     * Computes when a restored job was accepted.
      *
      * @param now the time on the leader's clock
      * @param wallMillis the time of day, in milliseconds since 1970
      */
     void restoreAcceptanceTime(long now, long wallMillis) {
-        long age = Math.min(MOST_AGE_MILLIS, wallMillis - acceptedWallMillis);
+        long age = Math.min(MAX_AGE_MILLIS, wallMillis - acceptedWallMillis);
         acceptedAt = now - Math.max(0, age);
     }
 
--- a/src/main/java/org/standlink/cell/JobRecord.java
+++ b/src/main/java/org/standlink/cell/JobRecord.java
@@ -20,17 +20,17 @@
 import org.standlink.job.JobState;
 
 /**
- * What is kept of a job beside its definition.
+ * The stored state of a job; its definition is stored separately.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is written as an array, so new components may only be added at its end.
  *
  * <p>{@code JobRecord} is thread-safe and immutable.
  *
- * @param order the place in the order of acceptance
+ * @param order the position in the order of acceptance
  * @param state the state
  * @param tasks the tasks, in the order of repetition, step and index
  * @param acceptedWallMillis when the job was accepted, in milliseconds since 1970 by the clock of
- *     the leader of that time; good for an age, not for a rule
+ *     the leader of that time; suitable for the age of a job, not for exact decisions
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record JobRecord(
--- a/src/main/java/org/standlink/cell/JobRegistry.java
+++ b/src/main/java/org/standlink/cell/JobRegistry.java
@@ -29,71 +29,71 @@
 import org.standlink.store.Packing;
 
 /**
- * All jobs of a cell, and which of them have changed since they were kept last.
+ * All jobs of a cell, and which of them have changed since they were last persisted.
  *
- * <p>{@code JobRegistry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code JobRegistry} is mutable and not thread-safe; it is confined to the leader's event loop.
  */
 final class JobRegistry implements ChangeSource {
 
-    /** The start of the keys of definitions. */
+    /** The key prefix of definitions. */
     private static final String DEFINITION_KEY = "d/";
 
-    /** The start of the keys of states. */
+    /** The key prefix of states. */
     private static final String STATE_KEY = "s/";
 
     /**
-     * The start of the keys of jobs of which nothing is left to do. They are kept without their
-     * tasks: most jobs that a new leader reads are such, and it serves nobody until it has read
-     * all.
+     * The key prefix of jobs that are final and released from all workers. They are stored without
+     * their tasks: most jobs that a new leader reads are such jobs, and it answers no caller until
+     * it has read all.
      */
-    private static final String SETTLED_KEY = "f/";
+    private static final String FINISHED_KEY = "f/";
 
     /** The jobs by identifier, in the order of acceptance. */
     private final Map<JobId, JobEntry> jobs = new LinkedHashMap<>();
 
-    /** Jobs whose definition is to be kept. */
+    /** The jobs whose definition is to be persisted. */
     private final Set<JobId> added = new HashSet<>();
 
-    /** Jobs whose state is to be kept. */
+    /** The jobs whose state is to be persisted. */
     private final Set<JobId> changed = new HashSet<>();
 
-    /** Jobs whose records are to be removed. */
+    /** The jobs whose records are to be removed. */
     private final Set<JobId> removed = new HashSet<>();
 
-    /** Jobs whose state is in the append under way. */
+    /** The jobs whose state is in the append in progress. */
     private final List<JobEntry> sent = new ArrayList<>();
 
-    /** The place of the next job. */
+    /** The position of the next job in the order of acceptance. */
     private long nextOrder = 1;
 
     // -----------------------------------------------------------------------
     /**
-     * Takes over what was kept.
+     * Restores the jobs from the store.
      *
      * @param records the records, in any order; a later one of the same key counts
      */
     void restore(List<KeyedRecord> records) {
         Map<JobId, JobDefinition> definitions = new LinkedHashMap<>();
         Map<JobId, JobRecord> states = new LinkedHashMap<>();
-        Map<JobId, FinishedJobRecord> settled = new LinkedHashMap<>();
+        Map<JobId, FinishedJobRecord> finished = new LinkedHashMap<>();
         for (KeyedRecord record : records) {
             if (record.key().startsWith(DEFINITION_KEY)) {
                 collect(record, DEFINITION_KEY, JobDefinition.class, definitions);
             } else if (record.key().startsWith(STATE_KEY)) {
                 collect(record, STATE_KEY, JobRecord.class, states);
-            } else if (record.key().startsWith(SETTLED_KEY)) {
-                collect(record, SETTLED_KEY, FinishedJobRecord.class, settled);
+            } else if (record.key().startsWith(FINISHED_KEY)) {
+                collect(record, FINISHED_KEY, FinishedJobRecord.class, finished);
             }
         }
-        settled.forEach((id, job) -> definitions.put(id, job.toDefinition(id)));
-        settled.forEach((id, job) -> states.put(id, job.toRecord()));
+        finished.forEach((id, job) -> definitions.put(id, job.toDefinition(id)));
+        finished.forEach((id, job) -> states.put(id, job.toRecord()));
         definitions.entrySet().stream()
                 .filter(entry -> states.containsKey(entry.getKey()))
-                .sorted((a, b) -> Long.compare(order(states, a), order(states, b)))
+                .sorted((a, b) -> Long.compare(orderOf(states, a), orderOf(states, b)))
                 .forEach(entry -> restore(entry.getValue(), states.get(entry.getKey())));
     }
 
-    private static long order(
+    private static long orderOf(
             Map<JobId, JobRecord> states, Map.Entry<JobId, JobDefinition> definition) {
         return states.get(definition.getKey()).order();
     }
@@ -119,8 +119,8 @@
     /**
      * Adds a job.
      *
-     * @param definition the job
-     * @return its entry
+     * @param definition the definition
+     * @return the entry of the job
      */
     JobEntry add(JobDefinition definition) {
         JobEntry entry = new JobEntry(definition, nextOrder++);
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Takes note that a job has changed.
+     * Marks a job as changed, so that its state is persisted.
      *
      * @param job the job
      */
@@ -140,21 +140,21 @@
     }
 
     /**
-     * Forgets settled jobs that have been final for long enough.
+     * Removes released jobs that became final long enough ago.
      *
      * @param before the time up to which they became final, on the leader's clock
      */
     void removeExpired(long before) {
         for (JobEntry job : List.copyOf(getJobs())) {
-            boolean old = job.getFinalAt() >= 0 && job.getFinalAt() < before;
-            if (old && job.isFinalAndReleased()) {
+            boolean expired = job.getFinalAt() >= 0 && job.getFinalAt() < before;
+            if (expired && job.isFinalAndReleased()) {
                 remove(job);
             }
         }
     }
 
     /**
-     * Removes a job.
+     * Removes a job and its records.
      *
      * @param job the job
      */
@@ -166,7 +166,7 @@
     }
 
     /**
-     * Checks whether a job is known to this process alone, since no append has carried it yet.
+     * Checks whether a job is known to this process alone, since no append has contained it yet.
      *
      * @param job the job
      * @return true if so
@@ -176,7 +176,7 @@
     }
 
     /**
-     * Forgets a job that no append has carried, as if it had never come.
+     * Removes a job that no append has contained, without any record of it.
      *
      * @param job the job
      */
@@ -239,16 +239,17 @@
             JobRecord record = job.toRecord();
             sent.add(job);
             if (job.isFinalAndReleased()) {
-                FinishedJobRecord rest = FinishedJobRecord.of(job.getDefinition().queue(), record);
-                records.add(new KeyedRecord(SETTLED_KEY + id, Packing.pack(rest)));
-                dropTasks(id, records);
+                FinishedJobRecord finishedRecord =
+                        FinishedJobRecord.of(job.getDefinition().queue(), record);
+                records.add(new KeyedRecord(FINISHED_KEY + id, Packing.pack(finishedRecord)));
+                removeTaskRecords(id, records);
             } else {
                 records.add(new KeyedRecord(STATE_KEY + id, Packing.pack(record)));
             }
         }
         for (JobId id : removed) {
-            dropTasks(id, records);
-            records.add(new KeyedRecord(SETTLED_KEY + id, new byte[0]));
+            removeTaskRecords(id, records);
+            records.add(new KeyedRecord(FINISHED_KEY + id, new byte[0]));
         }
         added.clear();
         changed.clear();
@@ -256,7 +257,7 @@
         return records;
     }
 
-    private static void dropTasks(JobId id, List<KeyedRecord> records) {
+    private static void removeTaskRecords(JobId id, List<KeyedRecord> records) {
         records.add(new KeyedRecord(DEFINITION_KEY + id, new byte[0]));
         records.add(new KeyedRecord(STATE_KEY + id, new byte[0]));
     }
--- a/src/main/java/org/standlink/cell/JobRequestHandler.java
+++ b/src/main/java/org/standlink/cell/JobRequestHandler.java
@@ -36,49 +36,39 @@
 import org.standlink.wire.SubmitJob;
 
 /**
- * Answers what callers ask of the leader.
+ * Handles the requests of callers: submissions, cancellations and queries of jobs.
  *
- * <p>{@code JobRequestHandler} is not thread-safe; the leader's loop owns it.
+ * <p>{@code JobRequestHandler} is not thread-safe; it is confined to the leader's event loop.
  */
 final class JobRequestHandler {
 
-    /** Why nothing was done, in answers and in the log. */
-    private static final String STORE_SILENT = "the store does not answer";
+    /** The reason given for a request that had no effect. */
+    private static final String STORE_UNAVAILABLE = "the store does not answer";
 
-    /** Why it is not known what was done. */
+    /** The reason given for an unknown outcome after a change of leader. */
     private static final String REPLACED = "the leader was replaced while it kept the job";
 
-    /** Why it is not known what was done, and not to be tried again at once. */
+    /** The reason given for an unknown outcome of a request that is not to be retried at once. */
     private static final String FAILED = "the leader failed while it handled the request";
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(JobRequestHandler.class);
 
-    /** The epoch of the leader. */
     private final Epoch epoch;
-
-    /** The jobs. */
-    private final JobRegistry board;
-
-    /** The workers. */
+    private final JobRegistry jobs;
     private final WorkerRegistry workers;
-
-    /** Keeps changes. */
     private final CommitQueue commits;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
     /** The time of day, in milliseconds since 1970. */
     private final LongSupplier wallClock;
 
-    /** Is told of jobs that have become final. */
-    private final Consumer<JobEntry> whenFinal;
+    /** Called with each job that a request has made final. */
+    private final Consumer<JobEntry> finalListener;
 
-    /** The submissions that have no answer yet, in the order in which they came. */
-    private final Set<Submission> open = new LinkedHashSet<>();
+    /** The submissions without an answer, in order of arrival. */
+    private final Set<Submission> openSubmissions = new LinkedHashSet<>();
 
-    /** A submission, where it came from, and its job. */
+    /** A submission with its connection, call number and job. */
     private record Submission(MessageChannel connection, long call, JobEntry job) {
 
         void answer(Message message) {
@@ -90,42 +80,42 @@
      * Constructor.
      *
      * @param epoch the epoch of the leader
-     * @param board the jobs
+     * @param jobs the jobs
      * @param workers the workers
-     * @param commits keeps changes
+     * @param commits persists changes
      * @param clock the clock
      * @param wallClock the time of day, in milliseconds since 1970
-     * @param whenFinal is told of jobs that have become final
+     * @param finalListener called with each job that a request has made final
      */
     JobRequestHandler(
             Epoch epoch,
-            JobRegistry board,
+            JobRegistry jobs,
             WorkerRegistry workers,
             CommitQueue commits,
             MonotonicClock clock,
             LongSupplier wallClock,
-            Consumer<JobEntry> whenFinal) {
+            Consumer<JobEntry> finalListener) {
         this.epoch = epoch;
-        this.board = board;
+        this.jobs = jobs;
         this.workers = workers;
         this.commits = commits;
         this.clock = clock;
         this.wallClock = wallClock;
-        this.whenFinal = whenFinal;
+        this.finalListener = finalListener;
     }
 
     /**
      * Handles a message of an entry.
      *
-     * @param connection where it came from
-     * @param call the number to answer under
-     * @param message the message; another one than callers cause is passed over
+     * @param connection the connection that it arrived on
+     * @param call the number of the call to answer
+     * @param message the message; ignored if it is not a request of a caller
      */
     void handle(MessageChannel connection, long call, Message message) {
         try {
             answer(connection, call, message);
         } catch (RuntimeException | Error defect) {
-            // Whoever asked another leader the same at once might end one after the other.
+            // A caller that repeated the request at once could end one leader after the other.
             connection.answer(call, JobAnswer.of(JobAnswer.Result.FAILED, FAILED));
             throw defect;
         }
@@ -137,73 +127,77 @@
         } else if (message instanceof CancelJob cancel) {
             cancel(connection, call, cancel);
         } else if (message instanceof JobQuery query) {
-            connection.answer(call, lookUp(query));
+            connection.answer(call, answerQuery(query));
         } else if (message instanceof QueueQuery query) {
-            connection.answer(call, waitingIn(query.queue()));
+            connection.answer(call, countWaiting(query.queue()));
         }
     }
 
     /**
-     * Refuses what no append has carried, if the store takes none at the moment: it surely was not
-     * kept, and its caller learns so while there is time to come again. What an append has carried
-     * waits for its answer, which alone tells.
+     * Rejects submissions that no append contains yet, if the store is not accepting appends. They
+     * are certainly not stored, and their callers learn so in time to retry. A submission that is
+     * part of an append waits for the answer to that append, which alone shows the outcome.
      */
     void rejectUnsentIfStalled() {
         if (!commits.isStalled()) {
             return;
         }
         List<Submission> unsent =
-                open.stream()
-                        .filter(one -> board.isUnsent(one.job()))
-                        // A cancel of it waits to be kept, too.
-                        .filter(one -> !one.job().getState().isFinal())
+                openSubmissions.stream()
+                        .filter(submission -> jobs.isUnsent(submission.job()))
+                        // The cancellation of such a job is waiting to be stored, too.
+                        .filter(submission -> !submission.job().getState().isFinal())
                         .toList();
-        for (Submission one : unsent) {
-            open.remove(one);
-            refuse(one.connection(), one.call(), one.job().getId());
+        for (Submission submission : unsent) {
+            openSubmissions.remove(submission);
+            reject(submission.connection(), submission.call(), submission.job().getId());
         }
         unsent.stream().map(Submission::job).distinct().forEach(this::withdraw);
     }
 
-    /** Sends callers on to the next leader, since this one keeps nothing any more. */
+    /**
+     * Answers the open submissions, since this leader stores nothing any more: callers whose
+     * submission no append contains are redirected to the next leader, for the others the outcome
+     * is unknown.
+     */
     void close() {
-        for (Submission one : open) {
-            boolean unsent = board.isUnsent(one.job());
-            one.answer(
+        for (Submission submission : openSubmissions) {
+            boolean unsent = jobs.isUnsent(submission.job());
+            submission.answer(
                     unsent
                             ? new LeaderNotice(epoch, "")
                             : JobAnswer.of(JobAnswer.Result.UNKNOWN, REPLACED));
         }
-        open.clear();
+        openSubmissions.clear();
     }
 
     // -----------------------------------------------------------------------
     private void submit(MessageChannel connection, long call, JobDefinition job) {
-        JobEntry known = board.find(job.id());
-        if (known == null && commits.isStalled()) {
-            refuse(connection, call, job.id());
+        JobEntry existing = jobs.find(job.id());
+        if (existing == null && commits.isStalled()) {
+            reject(connection, call, job.id());
             return;
         }
         LOG.info("received")
                 .with("job", job.id())
-                .with("again", known != null)
+                .with("again", existing != null)
                 .with("store-silent-millis", commits.getMillisSinceAppend())
                 .write();
-        JobEntry entry = known == null ? board.add(job) : known;
+        JobEntry entry = existing == null ? jobs.add(job) : existing;
         if (!entry.isAccepted()) {
             entry.markAccepted(clock.nowMillis(), wallClock.getAsLong());
-            board.markChanged(entry);
+            jobs.markChanged(entry);
         }
         long start = clock.nowMillis();
         Submission submission = new Submission(connection, call, entry);
-        open.add(submission);
+        openSubmissions.add(submission);
         commits.afterCommit(
                 () -> {
-                    if (open.remove(submission)) {
+                    if (openSubmissions.remove(submission)) {
                         LOG.info("accepted")
                                 .with("job", job.id())
                                 .with("queue", job.queue())
-                                .with("again", known != null)
+                                .with("again", existing != null)
                                 .with("kept-after-millis", clock.nowMillis() - start)
                                 .write();
                         submission.answer(JobAnswer.ofDone(entry.getPersistedState()));
@@ -211,47 +205,51 @@
                 });
     }
 
-    private void refuse(MessageChannel connection, long call, JobId job) {
-        LOG.info("refused").with("job", job).with("reason", STORE_SILENT).write();
-        connection.answer(call, JobAnswer.of(JobAnswer.Result.NOT_DONE, STORE_SILENT));
+    private void reject(MessageChannel connection, long call, JobId job) {
+        LOG.info("refused").with("job", job).with("reason", STORE_UNAVAILABLE).write();
+        connection.answer(call, JobAnswer.of(JobAnswer.Result.NOT_DONE, STORE_UNAVAILABLE));
     }
 
-    /** Takes back what was decided for a job that was refused; its orders wait and are dropped. */
+    /**
+     * Removes a rejected job and its assignments; its orders, which wait for an append, are
+     * dropped.
+     */
     private void withdraw(JobEntry job) {
         job.allTasks()
                 .filter(task -> task.getWorker() != null)
                 .forEach(task -> workers.removeTask(task, task.getWorker()));
-        board.withdraw(job);
+        jobs.withdraw(job);
     }
 
     private void cancel(MessageChannel connection, long call, CancelJob cancel) {
-        JobEntry known = board.find(cancel.job());
-        boolean cancelled = known != null && known.getState().isFinal();
-        if (!cancelled && commits.isStalled()) {
-            // Nothing could be stopped before the store is back; the caller may repeat it.
-            refuse(connection, call, cancel.job());
+        JobEntry existing = jobs.find(cancel.job());
+        boolean alreadyFinal = existing != null && existing.getState().isFinal();
+        if (!alreadyFinal && commits.isStalled()) {
+            // Nothing can be stopped until the store is available again; the caller may retry.
+            reject(connection, call, cancel.job());
             return;
         }
-        // Callers take the denial of a job for its cancel. Keeping the cancel proves that no other
-        // leader has taken the job, and bars a submission that is still under way.
-        JobEntry job = known == null ? board.add(withoutTasks(cancel)) : known;
+        // Callers treat the answer that a job does not exist as a cancellation. Storing the
+        // cancellation proves that no other leader has accepted the job, and rules out that a
+        // submission still in transit is accepted.
+        JobEntry job = existing == null ? jobs.add(withoutTasks(cancel)) : existing;
         if (!job.getDefinition().queue().equals(cancel.queue())) {
             connection.answer(call, JobAnswer.of(JobAnswer.Result.NO_SUCH_JOB, ""));
             return;
         }
         if (!job.getState().isFinal()) {
             job.cancel();
-            board.markChanged(job);
+            jobs.markChanged(job);
             LOG.info("cancelled").with("job", job.getId()).write();
-            whenFinal.accept(job);
+            finalListener.accept(job);
         }
         commits.afterCommit(() -> connection.answer(call, stateOf(job.getId(), cancel.queue())));
     }
 
-    /** Another leader may know a job that this one does not know, while the store is silent. */
-    private JobAnswer lookUp(JobQuery query) {
-        return board.find(query.job()) == null && commits.isStalled()
-                ? JobAnswer.of(JobAnswer.Result.NOT_DONE, STORE_SILENT)
+    /** While the store is unavailable, another leader may know a job that is unknown here. */
+    private JobAnswer answerQuery(JobQuery query) {
+        return jobs.find(query.job()) == null && commits.isStalled()
+                ? JobAnswer.of(JobAnswer.Result.NOT_DONE, STORE_UNAVAILABLE)
                 : stateOf(query.job(), query.queue());
     }
 
@@ -259,19 +257,19 @@
         return new JobDefinition(cancel.job(), cancel.queue(), "", List.of(), 0, 0, 0);
     }
 
-    /** Tells a job's state; one that is not kept yet counts as it was before. */
+    /** Returns the persisted state of a job; a change that is not durable yet is not shown. */
     private JobAnswer stateOf(JobId id, String queue) {
-        JobEntry job = board.find(id);
-        boolean there =
+        JobEntry job = jobs.find(id);
+        boolean exists =
                 job != null && job.isAccepted() && job.getDefinition().queue().equals(queue);
-        return there
+        return exists
                 ? JobAnswer.ofDone(job.getPersistedState())
                 : JobAnswer.of(JobAnswer.Result.NO_SUCH_JOB, "");
     }
 
-    private JobAnswer waitingIn(String queue) {
+    private JobAnswer countWaiting(String queue) {
         long waiting =
-                board.getJobs().stream()
+                jobs.getJobs().stream()
                         .filter(job -> job.getDefinition().queue().equals(queue))
                         .filter(job -> job.getPersistedState() == JobState.QUEUED)
                         .count();
--- a/src/main/java/org/standlink/cell/JobValue.java
+++ b/src/main/java/org/standlink/cell/JobValue.java
@@ -19,96 +19,105 @@
 import org.standlink.job.StepDefinition;
 
 /**
- * What a job is still worth to its caller, for each part of its work that is left. What is worth
- * most comes first, so that a crowd makes some jobs late and not all, and what has begun is
- * finished; none is given up.
+ * The remaining value of a job to its caller, per share of its work that is left. Jobs of the
+ * highest value are scheduled first, so that overload makes some jobs late rather than all, and
+ * started jobs are finished; no job is dropped.
  *
  * <p>{@code JobValue} is thread-safe and immutable.
  *
  * @param punctuality whether the job can be on time
- * @param valuePerWork its worth, as a share of its full worth, by the share of its work that is
- *     left
+ * @param valuePerWork its value as a share of its full value, divided by the share of its work that
+ *     is left
  */
 record JobValue(Punctuality punctuality, double valuePerWork) implements Comparable<JobValue> {
 
     /** Whether a job can be on time. */
     enum Punctuality {
-        /** It can be on time. */
+        /** The job can be on time. */
         ON_TIME(1),
-        /** It will be late, but still of some use to its caller. */
+        /** The job will be late, but still of some use to its caller. */
         LATE(0.15),
-        /** It comes too late to be of use. */
+        /** The job will be too late to be of use. */
         TOO_LATE(0);
 
-        /** What the job is worth, as a share of its full worth; the operators' sheets say so. */
-        private final double worth;
+        /** The value of the job as a share of its full value, as in the operators' value tables. */
+        private final double value;
 
-        Punctuality(double worth) {
-            this.worth = worth;
+        Punctuality(double value) {
+            this.value = value;
         }
     }
 
     /**
-     * The share of the guessed work that is taken to be left at least of a job that has begun,
-     * since guesses are off by half either way: it is only put back when even then it would be
-     * late.
+     * The minimum share of the estimated work that is assumed to be left of a started job.
+     * Estimates are off by up to half in either direction; such a job is deferred only if it would
+     * be late even with this share.
      */
-    private static final double BEGUN_WORK = 0.8;
+    private static final double STARTED_WORK_FACTOR = 0.8;
 
     /**
-     * The same for a job that has not begun, with some to spare for failures and for waiting
-     * between its steps: a job that is begun with none is late all the same and takes the place of
-     * another.
+     * The share of the estimated work assumed for a job that has not started, with a reserve for
+     * failures and for waiting between its steps. A job that is started without a reserve will be
+     * late all the same, and takes the place of another.
      */
-    private static final double NEW_WORK = 1.2;
+    private static final double NEW_WORK_FACTOR = 1.2;
 
-    /** How many times its target a job may take to be of some use, as the operators count it. */
-    private static final int USEFUL_TARGETS = 3;
+    /**
+     * The multiple of its target within which a late job is of some use, by the definition of the
+     * operators.
+     */
+    private static final int USEFUL_TARGET_FACTOR = 3;
 
-    /** The least share of its work that counts as left, so that worth by work has a bound. */
-    private static final double LEAST_LEFT = 0.02;
+    /** The minimum share of the work that counts as left, which bounds the value per work. */
+    private static final double MIN_REMAINING_SHARE = 0.02;
 
     /**
-     * Judges a job.
+     * Computes the value of a job.
      *
      * @param job the job
      * @param queue its queue
      * @param now the time on the leader's clock
-     * @return what it can still reach; a job that lasts or has times is worth most
+     * @return the value; long-running and timed jobs have the highest
      */
     static JobValue of(JobEntry job, QueueDefinition queue, long now) {
-        boolean lasts = job.getDefinition().steps().stream().anyMatch(step -> step.longRunning());
-        if (lasts || job.getDefinition().isTimed()) {
-            return new JobValue(Punctuality.ON_TIME, 1 / LEAST_LEFT);
+        boolean longRunning =
+                job.getDefinition().steps().stream().anyMatch(step -> step.longRunning());
+        if (longRunning || job.getDefinition().isTimed()) {
+            return new JobValue(Punctuality.ON_TIME, 1 / MIN_REMAINING_SHARE);
         }
         Punctuality punctuality = punctuality(job, queue, now);
-        double left = Math.max(LEAST_LEFT, remainingShare(job));
-        return new JobValue(punctuality, punctuality.worth / left);
+        double remaining = Math.max(MIN_REMAINING_SHARE, remainingShare(job));
+        return new JobValue(punctuality, punctuality.value / remaining);
     }
 
     /**
-     * Works out how much of the work is left, by what the caller guessed; 1 if it guessed nothing.
+     * Returns the share of the work that is left, by the caller's estimates; 1 without estimates.
      */
     private static double remainingShare(JobEntry job) {
-        double all = 0;
-        double left = 0;
+        double total = 0;
+        double remaining = 0;
         for (TaskEntry task : job.allTasks().toList()) {
             StepDefinition step = task.getStep();
             double work = (double) step.demand().milliCores() * step.estimatedMillis();
-            all += work;
-            left += task.isDone() ? 0 : work;
+            total += work;
+            remaining += task.isDone() ? 0 : work;
         }
-        return all == 0 ? 1 : left / all;
+        return total == 0 ? 1 : remaining / total;
     }
 
     private static Punctuality punctuality(JobEntry job, QueueDefinition queue, long now) {
-        double target = queue.targetMillis() + queue.stretch() * job.criticalPathMillis(false);
-        double work = (job.hasStarted() ? BEGUN_WORK : NEW_WORK) * job.criticalPathMillis(true);
-        double ready = now - job.getAcceptedAt() + work;
-        if (ready <= target) {
+        double targetMillis =
+                queue.targetMillis() + queue.stretch() * job.criticalPathMillis(false);
+        double work =
+                (job.hasStarted() ? STARTED_WORK_FACTOR : NEW_WORK_FACTOR)
+                        * job.criticalPathMillis(true);
+        double completionMillis = now - job.getAcceptedAt() + work;
+        if (completionMillis <= targetMillis) {
             return Punctuality.ON_TIME;
         }
-        return ready <= USEFUL_TARGETS * target ? Punctuality.LATE : Punctuality.TOO_LATE;
+        return completionMillis <= USEFUL_TARGET_FACTOR * targetMillis
+                ? Punctuality.LATE
+                : Punctuality.TOO_LATE;
     }
 
     // -----------------------------------------------------------------------
