--- a/src/main/java/org/standlink/cell/ChangeSource.java
+++ b/src/main/java/org/standlink/cell/ChangeSource.java
@@ -18,24 +18,28 @@
 import java.util.List;
 import org.standlink.store.KeyedRecord;
 
-/** A part of the leader's state whose changes are kept in the store. */
+/**
+ * A part of the leader's state whose changes are persisted in the store.
+ *
+ * <p>Implementations need not be thread-safe; they are confined to the leader's event loop.
+ */
 interface ChangeSource {
 
     /**
-     * Checks whether anything is to be kept.
+     * Checks whether there are changes to persist.
      *
      * @return true if so
      */
     boolean hasChanges();
 
     /**
-     * Takes the records of all that has changed; {@link #markPersisted()} must come before the next
-     * time.
+     * Takes the records of all changes since the last call; {@link #markPersisted()} must be called
+     * before the next one.
      *
      * @return the records
      */
     List<KeyedRecord> takeChanges();
 
-    /** Takes note that the records taken last have been kept. */
+    /** Marks the records taken last as persisted. */
     void markPersisted();
 }
--- a/src/main/java/org/standlink/cell/CommitQueue.java
+++ b/src/main/java/org/standlink/cell/CommitQueue.java
@@ -34,94 +34,88 @@
 import org.standlink.store.Writer;
 
 /**
- * Keeps the changes of a leader in the store, in order, one append at a time, and lets what depends
- * on them happen only then.
+ * Persists the changes of a leader in the store, in order and one append at a time, and runs the
+ * actions that depend on them only once they are durable.
  *
- * <p>An append without an answer is repeated under the same number until the store has taken it or
- * says that a newer leader has written.
+ * <p>An append without an answer is repeated under the same number until the store has accepted it
+ * or reports that a newer leader has written.
  *
- * <p>{@code CommitQueue} is not thread-safe; the leader's loop owns it.
+ * <p>{@code CommitQueue} is not thread-safe; it is confined to the leader's event loop.
  */
 final class CommitQueue {
 
     /**
-     * The most time between two appends, in milliseconds: four of them fit in the silence after
-     * which a leader is replaced; two more calls a second than half as many would be are a
-     * hundredth of all calls.
+     * The maximum time between two appends, in milliseconds. Four of them fit into the silence
+     * after which a leader is replaced. Compared with half this rate it costs two more calls a
+     * second, a hundredth of all calls.
      */
     static final long HEARTBEAT_MILLIS = 250;
 
-    /** How long an append may take before new work is refused, in milliseconds. */
+    /** How long an append may take before new work is rejected, in milliseconds. */
     static final long STALL_TIMEOUT_MILLIS = 700;
 
-    /** The pause before an append that was refused is repeated, in milliseconds. */
-    private static final long PAUSE_MILLIS = 100;
+    /** The pause before a rejected append or an empty read is repeated, in milliseconds. */
+    private static final long RETRY_PAUSE_MILLIS = 100;
 
     /**
-     * The time between two calls for one append without an answer, in milliseconds: an answer takes
-     * 10, and a call whose answer is lost is only given up after 1,000. It is also how soon a store
-     * that was silent is found again; leases that end before that cost the work of their runs.
+     * The time between two calls for an append without an answer, in milliseconds. An answer takes
+     * 10 ms, and a call whose answer is lost times out only after 1,000 ms. This is also how soon
+     * it is noticed that an unresponsive store answers again; leases that expire before that cost
+     * the work of their runs.
      */
     static final long RETRY_INTERVAL_MILLIS = 100;
 
-    /** The same as a multiple of what the last append took, in case the store is slow. */
-    private static final long AGAIN_FACTOR = 4;
+    /**
+     * The same interval as a multiple of the duration of the last append, in case the store is
+     * slow.
+     */
+    private static final long RETRY_FACTOR = 4;
 
     /**
-     * How many calls for one append may be under way at once: as many as fit at that pace into the
-     * time after which a call is given up, so that one goes out at every step of a long silence.
+     * The maximum number of calls in flight for one append: as many as fit at the retry interval
+     * into the timeout of a call, so that a call is sent at each interval of a long outage.
      */
     static final int MAX_CONCURRENT_CALLS = 10;
 
-    /** The key of the record that only says that the leader lives. */
+    /** The key of the record that only shows that the leader is alive. */
     private static final String HEARTBEAT_KEY = "heartbeat";
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(CommitQueue.class);
 
-    /** The store. */
     private final KeyedStore store;
-
-    /** The epoch of the leader. */
     private final Epoch epoch;
 
-    /** The parts of the state. */
+    /** The parts of the state that are persisted. */
     private final List<ChangeSource> sources;
 
-    /** Tells the time, and how long the store has been silent. */
-    private final LeaderAuthority contact;
-
-    /** The leader's loop. */
+    private final LeaderAuthority authority;
     private final Executor loop;
-
-    /** The timers. */
     private final ScheduledExecutorService timers;
 
-    /** What is told when a newer leader has written. */
-    private final Runnable whenFenced;
+    /** Called when a newer leader has written. */
+    private final Runnable fenceListener;
 
-    /** What happens after the next append. */
-    private List<Runnable> waiting = new ArrayList<>();
+    /** The actions to run after the next append. */
+    private List<Runnable> waitingActions = new ArrayList<>();
 
     /** The number of the last append. */
     private long sequence;
 
-    /** Where the topic ends, as far as this leader has written and read it. */
-    private long end;
+    /** The end of the topic, as far as this leader has written and read it. */
+    private long topicEnd;
 
-    /** When the append under way was begun; null if there is none. */
-    private ClockReading begun;
+    /** When the append in progress was started; null if there is none. */
+    private ClockReading startedAt;
 
-    /** When the last call was made, on the steady clock, in milliseconds. */
-    private long calledAt;
+    /** When the last call was sent, on the monotonic clock, in milliseconds. */
+    private long lastCallMillis;
 
-    /** How long the last append took that was taken, in milliseconds. */
-    private long tookMillis;
+    /** How long the last successful call took, in milliseconds. */
+    private long lastCallDurationMillis;
 
-    /** Whether the last append failed. */
+    /** Whether a call has failed since the last append was accepted. */
     private boolean failing;
 
-    /** Whether this queue is closed. */
     private boolean closed;
 
     /**
@@ -129,62 +123,62 @@
      *
      * @param store the store
      * @param epoch the epoch of the leader
-     * @param sources the parts of the state
-     * @param contact tells the time, and how long the store has been silent
-     * @param loop the leader's loop
+     * @param sources the parts of the state that are persisted
+     * @param authority reads the clocks, and records accepted appends
+     * @param loop the leader's event loop
      * @param timers the timers
-     * @param whenFenced what is told when a newer leader has written
+     * @param fenceListener called when a newer leader has written
      */
     CommitQueue(
             KeyedStore store,
             Epoch epoch,
             List<ChangeSource> sources,
-            LeaderAuthority contact,
+            LeaderAuthority authority,
             Executor loop,
             ScheduledExecutorService timers,
-            Runnable whenFenced) {
+            Runnable fenceListener) {
         this.store = store;
         this.epoch = epoch;
         this.sources = List.copyOf(sources);
-        this.contact = contact;
+        this.authority = authority;
         this.loop = loop;
         this.timers = timers;
-        this.whenFenced = whenFenced;
+        this.fenceListener = fenceListener;
     }
 
     /**
-     * Sets where the topic ends, once the state has been read.
+     * Sets the end of the topic once the state has been read.
      *
-     * @param offset the end up to which it was read
+     * @param offset the offset up to which the state was read
      */
     void setTopicEnd(long offset) {
-        end = offset;
+        topicEnd = offset;
     }
 
     /**
-     * Lets something happen once all changes so far have been kept.
+     * Runs an action once all changes so far are durable.
      *
-     * @param effect what happens
+     * @param action the action
      */
-    void afterCommit(Runnable effect) {
-        waiting.add(effect);
+    void afterCommit(Runnable action) {
+        waitingActions.add(action);
     }
 
     /**
-     * Begins an append if there is something to keep and none is under way. Whatever is thrown
-     * meanwhile closes this queue, as the changes that were taken by then are lost.
+     * Starts an append if there are changes to persist and no append is in progress. An exception
+     * closes this queue, since the changes that were taken from their sources by then are lost.
      */
     void startAppend() {
-        orClose(this::begin);
+        closeOnFailure(this::appendChanges);
     }
 
-    private void begin() {
-        if (closed || begun != null) {
+    private void appendChanges() {
+        if (closed || startedAt != null) {
             return;
         }
-        boolean beat = contact.getMillisSinceConfirmed() >= HEARTBEAT_MILLIS;
-        if (sources.stream().noneMatch(ChangeSource::hasChanges) && !beat) {
-            runEffects(takeWaiting());
+        boolean heartbeatDue = authority.getMillisSinceConfirmed() >= HEARTBEAT_MILLIS;
+        if (sources.stream().noneMatch(ChangeSource::hasChanges) && !heartbeatDue) {
+            runActions(takeWaitingActions());
             return;
         }
         List<KeyedRecord> records = new ArrayList<>();
@@ -194,66 +188,69 @@
             records.add(new KeyedRecord(HEARTBEAT_KEY, number));
         }
         sequence++;
-        begun = contact.now();
-        send(new PendingAppend(records, takeWaiting()));
+        startedAt = authority.now();
+        send(new PendingAppend(records, takeWaitingActions()));
     }
 
     /**
-     * Gets how long ago the store took an append.
+     * Gets the time since the store accepted an append.
      *
-     * @return the time since it was sent, in milliseconds
+     * @return the time since that append was sent, in milliseconds
      */
     long getMillisSinceAppend() {
-        return contact.getMillisSinceConfirmed();
+        return authority.getMillisSinceConfirmed();
     }
 
     /**
-     * Checks whether the store does not take appends at the moment.
+     * Checks whether the store is not accepting appends at the moment.
      *
-     * @return true if the append under way takes too long
+     * @return true if the append in progress is taking too long
      */
     boolean isStalled() {
-        return begun != null
-                && contact.now().monotonicMillis() - begun.monotonicMillis() > STALL_TIMEOUT_MILLIS;
+        return startedAt != null
+                && authority.now().monotonicMillis() - startedAt.monotonicMillis()
+                        > STALL_TIMEOUT_MILLIS;
     }
 
-    /** Ends this queue; effects that wait never happen. */
+    /** Closes this queue; waiting actions never run. */
     void close() {
         closed = true;
     }
 
     // -----------------------------------------------------------------------
-    private List<Runnable> takeWaiting() {
-        List<Runnable> taken = waiting;
-        waiting = new ArrayList<>();
+    private List<Runnable> takeWaitingActions() {
+        List<Runnable> taken = waitingActions;
+        waitingActions = new ArrayList<>();
         return taken;
     }
 
     /**
-     * Sends an append, once more if no answer comes. The store counts it once, by its number; and
-     * it is done only where the topic ends as it did before, so that a copy that is done late
-     * brings no older state back, whatever the store looks at then.
+     * Sends an append, and once more if no answer comes. The store applies it once, by its number,
+     * and only where the topic ends as it did before: a copy that is applied late cannot bring back
+     * an older state, whatever the store checks by then.
      */
     private void send(PendingAppend append) {
         if (closed || append.isAccepted()) {
             return;
         }
         append.callStarted();
-        ClockReading sent = contact.now();
-        calledAt = sent.monotonicMillis();
+        ClockReading sent = authority.now();
+        lastCallMillis = sent.monotonicMillis();
         Guarded.thenIn(
-                store.append(Topic.CELL, append.getRecords(), new Writer(epoch, sequence, end)),
+                store.append(
+                        Topic.CELL, append.getRecords(), new Writer(epoch, sequence, topicEnd)),
                 loop,
-                (to, failure) -> orClose(() -> answered(append, sent, failure)));
-        sendAgainLater(append, Math.max(RETRY_INTERVAL_MILLIS, AGAIN_FACTOR * tookMillis));
+                (newEnd, failure) -> closeOnFailure(() -> handleAnswer(append, sent, failure)));
+        scheduleRetry(
+                append, Math.max(RETRY_INTERVAL_MILLIS, RETRY_FACTOR * lastCallDurationMillis));
     }
 
-    /** Lets one more call follow the last one, unless another one has by then. */
-    private void sendAgainLater(PendingAppend append, long millis) {
-        int last = append.getLastCallNumber();
-        later(
+    /** Schedules one more call, unless another one has been sent by then. */
+    private void scheduleRetry(PendingAppend append, long millis) {
+        int lastCall = append.getLastCallNumber();
+        schedule(
                 () -> {
-                    if (append.getLastCallNumber() == last
+                    if (append.getLastCallNumber() == lastCall
                             && append.getCallsInFlight() < MAX_CONCURRENT_CALLS) {
                         send(append);
                     }
@@ -261,47 +258,49 @@
                 millis);
     }
 
-    private void later(Runnable work, long millis) {
-        timers.schedule(() -> loop.execute(() -> orClose(work)), millis, TimeUnit.MILLISECONDS);
+    private void schedule(Runnable work, long millis) {
+        timers.schedule(
+                () -> loop.execute(() -> closeOnFailure(work)), millis, TimeUnit.MILLISECONDS);
     }
 
-    private void answered(PendingAppend append, ClockReading sent, Throwable failure) {
+    private void handleAnswer(PendingAppend append, ClockReading sent, Throwable failure) {
         append.callFinished();
         if (append.isAccepted() || closed) {
             return;
         }
         if (failure == null) {
-            tookMillis = contact.now().monotonicMillis() - sent.monotonicMillis();
+            lastCallDurationMillis = authority.now().monotonicMillis() - sent.monotonicMillis();
         }
         boolean repeated = append.getLastCallNumber() > 1;
         if (failure == null && !repeated) {
-            taken(append, sent);
+            complete(append, sent);
         } else if (repeated
                 && (failure == null
                         || StoreFailureClassifier.codeOf(failure) == ErrorCode.CONDITION_FAILED)) {
-            // Only a number that is answered shows that no newer leader had begun by then.
-            confirm(append, failure == null ? sent : begun);
+            // Only an accepted number proves that no newer leader had started before the call.
+            readBack(append, failure == null ? sent : startedAt);
         } else {
-            failed(append, failure);
+            handleFailure(append, failure);
         }
     }
 
     /**
-     * Reads an append back that was called for more than once: the answer may be to a number that
-     * the store has seen, before what came under it is done, or that the topic has moved on. Costs
-     * one read for each append whose answer takes longer than the others.
+     * Reads back an append that was sent more than once. Its answer may say only that the store has
+     * seen the number, before the records under that number are written, or that the end of the
+     * topic has moved. This costs one read for each append whose answer takes longer than usual.
      */
-    private void confirm(PendingAppend append, ClockReading since) {
+    private void readBack(PendingAppend append, ClockReading since) {
         if (!append.isReadingBack()) {
             append.setReadingBack(true);
             Guarded.thenIn(
-                    store.read(Topic.CELL, end, 0),
+                    store.read(Topic.CELL, topicEnd, 0),
                     loop,
-                    (read, failure) -> orClose(() -> confirmed(append, since, read, failure)));
+                    (read, failure) ->
+                            closeOnFailure(() -> handleReadBack(append, since, read, failure)));
         }
     }
 
-    private void confirmed(
+    private void handleReadBack(
             PendingAppend append, ClockReading since, ReadResult read, Throwable failure) {
         append.setReadingBack(false);
         if (append.isAccepted() || closed) {
@@ -309,74 +308,74 @@
         }
         StoreFailureClassifier.rethrowDefect(failure);
         if (StoreFailureClassifier.codeOf(failure) == ErrorCode.LOG_GAP) {
-            // What became of it cannot be read any more; the next leader reads the state anew.
-            end(WorkFailures.causeOf(failure));
+            // Its outcome can no longer be read; the next leader reads the state again.
+            handleFenced(WorkFailures.causeOf(failure));
         } else if (read == null || read.records().isEmpty()) {
-            later(() -> confirmAgain(append, since), PAUSE_MILLIS);
+            schedule(() -> retryReadBack(append, since), RETRY_PAUSE_MILLIS);
         } else if (append.matches(read.records())) {
-            taken(append, since);
+            complete(append, since);
         } else {
-            end("another leader has written");
+            handleFenced("another leader has written");
         }
     }
 
-    private void confirmAgain(PendingAppend append, ClockReading since) {
+    private void retryReadBack(PendingAppend append, ClockReading since) {
         if (!append.isAccepted() && !closed) {
-            confirm(append, since);
+            readBack(append, since);
         }
     }
 
-    private void taken(PendingAppend append, ClockReading sent) {
+    private void complete(PendingAppend append, ClockReading sent) {
         append.markAccepted();
-        end += append.getRecords().size();
+        topicEnd += append.getRecords().size();
         if (failing) {
             failing = false;
-            LOG.info("store-regained").with("after", contact.getMillisSinceConfirmed()).write();
+            LOG.info("store-regained").with("after", authority.getMillisSinceConfirmed()).write();
         }
-        contact.appendAccepted(sent);
-        begun = null;
+        authority.appendAccepted(sent);
+        startedAt = null;
         sources.forEach(ChangeSource::markPersisted);
-        runEffects(append.getCallbacks());
+        runActions(append.getCallbacks());
         startAppend();
     }
 
-    private void runEffects(List<Runnable> effects) {
-        for (Runnable effect : effects) {
+    private void runActions(List<Runnable> actions) {
+        for (Runnable action : actions) {
             if (!closed) {
-                effect.run();
+                action.run();
             }
         }
     }
 
-    /** Closes this queue if a step throws, before anything that waits can take effect. */
-    private void orClose(Runnable step) {
-        boolean done = false;
+    /** Closes this queue if a step throws, before any waiting action can run. */
+    private void closeOnFailure(Runnable step) {
+        boolean completed = false;
         try {
             step.run();
-            done = true;
+            completed = true;
         } finally {
-            if (!done) {
+            if (!completed) {
                 close();
             }
         }
     }
 
-    private void end(Object cause) {
+    private void handleFenced(Object cause) {
         LOG.info("append-refused").with("epoch", epoch).with("cause", cause).write();
         close();
-        whenFenced.run();
+        fenceListener.run();
     }
 
-    private void failed(PendingAppend append, Throwable failure) {
+    private void handleFailure(PendingAppend append, Throwable failure) {
         StoreFailureClassifier.rethrowDefect(failure);
         Throwable cause = WorkFailures.causeOf(failure);
         ErrorCode code = StoreFailureClassifier.codeOf(failure);
-        boolean overtaken =
+        boolean superseded =
                 code == ErrorCode.EPOCH_FENCED
                         || code == ErrorCode.INTERNAL
                         || code == ErrorCode.CONDITION_FAILED;
-        if (overtaken) {
-            end(cause);
+        if (superseded) {
+            handleFenced(cause);
             return;
         }
         if (!failing) {
@@ -384,12 +383,13 @@
             LOG.warning("store-lost").with("sequence", sequence).with("cause", cause).write();
         }
         if (append.getCallsInFlight() == 0) {
-            sendAgainLater(append, PAUSE_MILLIS);
+            scheduleRetry(append, RETRY_PAUSE_MILLIS);
         } else if (append.getCallsInFlight() == MAX_CONCURRENT_CALLS - 1) {
-            // All that may be were under way, so none was to follow the last one. At a pace: a
-            // store that refuses answers at once, and each answer leads here again.
-            long since = contact.now().monotonicMillis() - calledAt;
-            sendAgainLater(append, Math.max(0, RETRY_INTERVAL_MILLIS - since));
+            // The maximum number of calls was in flight, so no repetition of the last one was
+            // scheduled. The interval is kept because a store that rejects calls answers at once,
+            // and each answer leads here again.
+            long since = authority.now().monotonicMillis() - lastCallMillis;
+            scheduleRetry(append, Math.max(0, RETRY_INTERVAL_MILLIS - since));
         }
     }
 }
--- a/src/main/java/org/standlink/cell/InterferenceLearner.java
+++ b/src/main/java/org/standlink/cell/InterferenceLearner.java
@@ -26,79 +26,73 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * Learns from the figures of workers which images harm which, and tells agents what is believed.
+ * Learns from the metrics of workers which images interfere with which, and provides the estimates
+ * for agents.
  *
- * <p>{@code InterferenceLearner} is not thread-safe; the leader's loop owns it.
+ * <p>{@code InterferenceLearner} is not thread-safe; it is confined to the leader's event loop.
  */
 final class InterferenceLearner {
 
-    /** The time that a worker's figures cover, in milliseconds. */
+    /** The period that a worker's metrics cover, in milliseconds. */
     private static final long SAMPLE_MILLIS = 450;
 
-    /** The jobs. */
-    private final JobRegistry board;
-
-    /** The clock. */
+    private final JobRegistry jobs;
     private final MonotonicClock clock;
+    private final InterferenceTable table;
 
-    /** What is believed of images. */
-    private final InterferenceTable harm;
-
-    /** Up to which change of it each agent has been told. */
-    private final Map<MessageChannel, Long> told = new WeakHashMap<>();
+    /** The version of the estimates last sent to each agent. */
+    private final Map<MessageChannel, Long> sentVersions = new WeakHashMap<>();
 
-    /**
-     * Constructor.
-     *
-     * @param board the jobs
-     * @param clock the clock
-     * @param harm what is believed of images
-     */
-    InterferenceLearner(JobRegistry board, MonotonicClock clock, InterferenceTable harm) {
-        this.board = board;
+    InterferenceLearner(JobRegistry jobs, MonotonicClock clock, InterferenceTable table) {
+        this.jobs = jobs;
         this.clock = clock;
-        this.harm = harm;
+        this.table = table;
     }
 
     /**
-     * Learns from the figures of a worker, once for each half second that they cover.
+     * Updates the estimates from the metrics of a worker, once for each half second that the
+     * metrics cover.
      *
      * @param worker the worker
-     * @param running what runs there
+     * @param running the runs that it reports
      */
     void learn(WorkerEntry worker, List<RunProgress> running) {
         if (!worker.getMetrics().beginSample(clock.nowMillis(), SAMPLE_MILLIS)) {
             return;
         }
-        Map<String, Double> tails = new HashMap<>();
-        Map<String, Long> used = new HashMap<>();
+        Map<String, Double> tailRatios = new HashMap<>();
+        Map<String, Long> bestEffortUsage = new HashMap<>();
         for (RunProgress progress : running) {
-            TaskEntry task = board.findTask(progress.run().task());
+            TaskEntry task = jobs.findTask(progress.run().task());
             if (task == null) {
                 continue;
             }
             StepDefinition step = task.getStep();
             if (step.targetMillis() > 0) {
-                tails.merge(step.image(), progress.measurement() / step.targetMillis(), Math::max);
+                tailRatios.merge(
+                        step.image(), progress.measurement() / step.targetMillis(), Math::max);
             } else if (step.bestEffort()) {
-                used.merge(step.image(), progress.measurement(), Long::sum);
+                bestEffortUsage.merge(step.image(), progress.measurement(), Long::sum);
             }
         }
         worker.getMetrics()
                 .setMaxTailRatio(
-                        tails.values().stream().mapToDouble(Double::doubleValue).max().orElse(0));
-        tails.forEach((image, ratio) -> harm.observe(image, ratio, used));
+                        tailRatios.values().stream()
+                                .mapToDouble(Double::doubleValue)
+                                .max()
+                                .orElse(0));
+        tailRatios.forEach((image, ratio) -> table.observe(image, ratio, bestEffortUsage));
     }
 
     /**
-     * Tells an agent what is believed of images, if that has changed since it was told last.
+     * Lists the estimates for an agent, if they have changed since they were last sent to it.
      *
      * @param agent the connection to the agent
-     * @return the beliefs, empty if they have not changed
+     * @return the estimates, empty if they have not changed
      */
     List<InterferenceTable.Entry> listIfChanged(MessageChannel agent) {
-        long version = harm.getVersion();
-        Long before = told.put(agent, version);
-        return before != null && before == version ? List.of() : harm.list();
+        long version = table.getVersion();
+        Long sentVersion = sentVersions.put(agent, version);
+        return sentVersion != null && sentVersion == version ? List.of() : table.list();
     }
 }
--- a/src/main/java/org/standlink/cell/InterferencePersistence.java
+++ b/src/main/java/org/standlink/cell/InterferencePersistence.java
@@ -24,67 +24,58 @@
 import org.standlink.store.Packing;
 
 /**
- * Keeps what has been learned of images in the store, so that a new leader need not harm serving
- * runs to learn it again. It causes no append of its own: it goes along with others.
+ * Persists the interference estimates, so that a new leader need not disturb serving runs to learn
+ * them again. It causes no append of its own: its records are added to other appends.
  *
- * <p>{@code InterferencePersistence} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code InterferencePersistence} is mutable and not thread-safe; it is confined to the leader's
+ * event loop.
  */
 final class InterferencePersistence implements ChangeSource {
 
-    /** The key of the beliefs. */
+    /** The key of the estimates in the store. */
     static final String KEY = "beliefs";
 
     /**
-     * The least time between two records, in milliseconds: some kilobytes each, against two seconds
-     * that a pair takes to be learned.
+     * The minimum time between two records, in milliseconds. A record takes some kilobytes, and a
+     * pair takes two seconds to be learned.
      */
-    private static final long PAUSE_MILLIS = 4000;
+    private static final long MIN_INTERVAL_MILLIS = 4000;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(InterferencePersistence.class);
 
-    /** The beliefs. */
-    private final InterferenceTable harm;
-
-    /** The clock. */
+    private final InterferenceTable table;
     private final MonotonicClock clock;
 
-    /** What was kept last. */
+    /** The estimates recorded last. */
     private List<InterferenceTable.Entry> recorded = List.of();
 
-    /** When it was kept. */
-    private long recordedAt;
+    /** When the estimates were last compared with the record, on the leader's clock. */
+    private long lastCheckMillis;
 
     /**
-     * What is kept.
+     * The stored form of the estimates.
      *
-     * @param estimates the beliefs
+     * @param estimates the estimates
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     record InterferenceRecord(List<InterferenceTable.Entry> estimates) {}
 
-    /**
-     * Constructor.
-     *
-     * @param harm the beliefs
-     * @param clock the clock
-     */
-    InterferencePersistence(InterferenceTable harm, MonotonicClock clock) {
-        this.harm = harm;
+    InterferencePersistence(InterferenceTable table, MonotonicClock clock) {
+        this.table = table;
         this.clock = clock;
-        this.recordedAt = clock.nowMillis();
+        this.lastCheckMillis = clock.nowMillis();
     }
 
     /**
-     * Takes over what was kept.
+     * Restores the estimates from the store.
      *
-     * @param records the records, in any order; those of other parts are passed over
+     * @param records the records, in any order; those of other sources are ignored
      */
     void restore(List<KeyedRecord> records) {
         for (KeyedRecord record : records) {
             if (record.key().equals(KEY) && record.value().length > 0) {
                 recorded = Packing.unpack(record.value(), InterferenceRecord.class).estimates();
-                harm.putAll(recorded);
+                table.putAll(recorded);
                 LOG.info("estimates-read").with("pairs", recorded.size()).write();
             }
         }
@@ -97,20 +88,20 @@
 
     @Override
     public List<KeyedRecord> takeChanges() {
-        if (clock.nowMillis() - recordedAt < PAUSE_MILLIS) {
+        if (clock.nowMillis() - lastCheckMillis < MIN_INTERVAL_MILLIS) {
             return List.of();
         }
-        recordedAt = clock.nowMillis();
-        List<InterferenceTable.Entry> present = harm.list();
-        if (present.equals(recorded)) {
+        lastCheckMillis = clock.nowMillis();
+        List<InterferenceTable.Entry> current = table.list();
+        if (current.equals(recorded)) {
             return List.of();
         }
-        recorded = present;
-        return List.of(new KeyedRecord(KEY, Packing.pack(new InterferenceRecord(present))));
+        recorded = current;
+        return List.of(new KeyedRecord(KEY, Packing.pack(new InterferenceRecord(current))));
     }
 
     @Override
     public void markPersisted() {
-        // Nothing waits for beliefs.
+        // Nothing waits for the estimates to be persisted.
     }
 }
