--- a/src/main/java/org/standlink/cell/AgentRegistry.java
+++ b/src/main/java/org/standlink/cell/AgentRegistry.java
@@ -25,75 +25,65 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * The agents that were heard, and the generation of each one's lease.
+ * The agents that have reported to this leader, and the generation of each agent's lease.
  *
- * <p>Whenever runs are given up because a lease is over, the generation rises: an order of an older
- * one is void at the agent and refused by the worker. Without it, an order that waits for its
- * worker or for a lease begins with the next lease, beside the run that has taken its place.
+ * <p>The generation is raised whenever runs are abandoned because a lease has expired: the agent
+ * drops orders of an earlier generation and the worker refuses them. Otherwise an order that waits
+ * for its worker or for a lease would be carried out under the next lease, beside the run that has
+ * replaced it.
  *
- * <p>{@code AgentRegistry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code AgentRegistry} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class AgentRegistry {
 
-    /** How long an agent may be silent before it is forgotten, in milliseconds; several leases. */
-    private static final long FORGET_MILLIS = 60_000;
+    /** How long an agent may be silent before it is removed, in milliseconds; several leases. */
+    private static final long RETENTION_MILLIS = 60_000;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(AgentRegistry.class);
 
-    /** The epoch. */
     private final Epoch epoch;
-
-    /** The workers. */
     private final WorkerRegistry workers;
-
-    /** The agents. */
     private final Map<Incarnation, Entry> agents = new HashMap<>();
 
-    /** The last generation that was given; no two leases share one. */
-    private LeaseGeneration last = LeaseGeneration.NONE;
+    /** The generation assigned last; no two leases share one. */
+    private LeaseGeneration lastGeneration = LeaseGeneration.NONE;
 
-    /** One agent. */
+    /** The state of one agent process. */
     private static final class Entry {
 
-        /** The machine's name. */
+        /** The name of the agent's machine. */
         private final String node;
 
         /** The generation of its lease, null before the first. */
         private LeaseGeneration generation;
 
-        /** Whether a later process of the agent is at work. */
+        /** Whether a later process of the same agent is running. */
         private boolean replaced;
 
         /** The number of its last report. */
         private long sequence;
 
-        /** When it was heard last, on the leader's clock. */
-        private long heardAt;
+        /** When its last report was received, on the leader's clock. */
+        private long lastReportMillis;
 
         Entry(String node) {
             this.node = node;
         }
     }
 
-    /**
-     * Constructor.
-     *
-     * @param epoch the epoch
-     * @param workers the workers
-     */
     AgentRegistry(Epoch epoch, WorkerRegistry workers) {
         this.epoch = epoch;
         this.workers = workers;
     }
 
     /**
-     * Takes note of a report.
+     * Registers a report, unless a later one has been received.
      *
      * @param report the report
      * @param now the time on the leader's clock, in milliseconds
-     * @return false if a later report, or a later process of the agent, has been heard before, so
-     *     that this one is not even to be answered
+     * @return false if a later report, or a report of a later process of the agent, has been
+     *     received before, so that this one is not even answered
      */
     boolean accept(AgentReport report, long now) {
         Entry agent = agents.computeIfAbsent(report.incarnation(), key -> new Entry(report.node()));
@@ -105,22 +95,23 @@
             return false;
         }
         agent.sequence = report.sequence();
-        agent.heardAt = now;
-        boolean asks = report.refused() && report.generation().equals(agent.generation);
-        if (agent.generation == null || asks) {
-            raiseGeneration(report.incarnation(), asks ? "asked" : "new");
+        agent.lastReportMillis = now;
+        boolean raiseRequested = report.refused() && report.generation().equals(agent.generation);
+        if (agent.generation == null || raiseRequested) {
+            raiseGeneration(report.incarnation(), raiseRequested ? "asked" : "new");
         }
         return true;
     }
 
     /**
-     * Checks whether a report names what this leader has told its sender. Only then does it count:
-     * one that was sent before cannot name it, whatever channel it comes over. Its process replaces
-     * those of its machine's agent that were heard before it; one that was heard after it may be
-     * the present one, though this has yet to count.
+     * Checks whether a report names the epoch and generation that this leader has sent to the
+     * agent. Only such a report is evaluated: one that was sent earlier cannot name them, whichever
+     * connection it arrives on. A current report marks the processes of the same machine's agent
+     * that have an earlier generation as replaced; one that has a later generation may be the
+     * present process, although none of its reports has been evaluated yet.
      *
      * @param report a report that was accepted
-     * @return false if its sender has yet to be told the generation of its lease
+     * @return false if the agent has not received the generation of its lease yet
      */
     boolean isCurrent(AgentReport report) {
         Entry agent = agents.get(report.incarnation());
@@ -136,13 +127,14 @@
     }
 
     /**
-     * Checks whether an agent that does not reach a worker tells of it while another one does. The
-     * worker has moved there, so that its silence here says nothing of what runs.
+     * Checks whether a worker that the reporting agent cannot reach is reached by another agent.
+     * The worker has then moved to the other agent, and its silence here says nothing about its
+     * runs.
      *
-     * @param agent the run of the agent that reports
-     * @param part what it reports of the worker
+     * @param agent the incarnation of the reporting agent
+     * @param part what it reports about the worker
      * @param now the time on the leader's clock, in milliseconds
-     * @return true if another agent looks after the worker
+     * @return true if another agent reaches the worker
      */
     boolean isReachedByAnotherAgent(Incarnation agent, WorkerReport part, long now) {
         WorkerEntry worker = workers.find(part.worker().incarnation());
@@ -157,8 +149,8 @@
     /**
      * Gets the generation of an agent's lease.
      *
-     * @param agent the run of the agent, null for none
-     * @return the generation, the one before the first if it was not heard
+     * @param agent the incarnation of the agent, null for none
+     * @return the generation, {@link LeaseGeneration#NONE} if the agent is not registered
      */
     LeaseGeneration getGeneration(Incarnation agent) {
         Entry entry = agents.get(agent);
@@ -166,35 +158,36 @@
     }
 
     /**
-     * Raises the generation of an agent's lease; its workers get nothing until it is told all anew.
+     * Raises the generation of an agent's lease. Its workers receive no orders until all orders
+     * have been synchronized under the new generation.
      *
-     * @param agent the run of the agent, null for none
-     * @param reason why, for the log
+     * @param agent the incarnation of the agent, null for none
+     * @param reason the reason, for the log
      */
     void raiseGeneration(Incarnation agent, String reason) {
         Entry entry = agents.get(agent);
         if (entry == null) {
             return;
         }
-        last = last.next();
-        entry.generation = last;
+        lastGeneration = lastGeneration.next();
+        entry.generation = lastGeneration;
         workers.getWorkers().stream()
                 .filter(worker -> agent.equals(worker.getAgent()))
                 .forEach(worker -> worker.setSyncedGeneration(LeaseGeneration.NONE));
         LOG.info("lease-generation")
                 .with("agent", agent)
                 .with("epoch", epoch)
-                .with("generation", last)
+                .with("generation", lastGeneration)
                 .with("reason", reason)
                 .write();
     }
 
     /**
-     * Forgets agents that have been silent for long.
+     * Removes agents that have not reported for a long time.
      *
      * @param now the time on the leader's clock, in milliseconds
      */
     void removeUnresponsive(long now) {
-        agents.values().removeIf(agent -> now - agent.heardAt > FORGET_MILLIS);
+        agents.values().removeIf(agent -> now - agent.lastReportMillis > RETENTION_MILLIS);
     }
 }
--- a/src/main/java/org/standlink/cell/CellTimes.java
+++ b/src/main/java/org/standlink/cell/CellTimes.java
@@ -16,40 +16,40 @@
 package org.standlink.cell;
 
 /**
- * The lengths of time on which leader and agents must agree.
+ * The durations on which the leader and the agents must agree.
  *
  * <p>{@code CellTimes} is thread-safe and immutable.
  *
- * @param leaseMillis for how long a worker keeps its runs without word from the leader, in
+ * @param leaseMillis how long a worker keeps its runs without a message from the leader, in
  *     milliseconds; at most what the workers allow
- * @param statusRetentionMillis for how long the state of a final job is kept, in milliseconds
+ * @param statusRetentionMillis how long the state of a final job is retained, in milliseconds
  */
 public record CellTimes(long leaseMillis, long statusRetentionMillis) {
 
     /**
-     * For how long a leader grants leases after the store took its last append, in milliseconds.
-     * Ordinary outages of the store, of about 4 s, must not cost work: this and a lease cover them.
-     * A successor waits as long for workers that it cannot hear.
+     * How long a leader grants leases after the store accepted its last append, in milliseconds.
+     * Ordinary outages of the store, of about 4 s, must not cost work: this time and a lease
+     * together cover them. A successor waits as long for workers that it receives no reports of.
      */
     public static final long AUTHORITY_MILLIS = 3000;
 
     /**
-     * The longest lease, in milliseconds: an agent whose machine lost power for 3.5 s is back
-     * within 5.5 s. A longer one would only keep the work of lost workers waiting.
+     * The maximum length of a lease, in milliseconds: an agent whose machine lost power for 3.5 s
+     * is back within 5.5 s. A longer lease would only delay the work of lost workers.
      */
     public static final long MAX_LEASE_MILLIS = 6000;
 
     /**
-     * What is added to every wait for somebody else's clock, in milliseconds: 2% of a lease of ten
-     * seconds, and the time a worker takes to kill.
+     * The margin added to every wait that depends on the clock of another process, in milliseconds:
+     * 2% of a lease of ten seconds, and the time that a worker takes to kill its runs.
      */
     public static final long SAFETY_MARGIN_MILLIS = 400;
 
     /**
-     * Gets for how long runs may go on that were ordered by a leader that is gone, on workers that
-     * nobody hears.
+     * Gets how long runs that a former leader ordered may continue on workers that no agent
+     * reports.
      *
-     * @return the time since that leader was fenced, in milliseconds
+     * @return the time since the former leader was fenced, in milliseconds
      */
     public long waitAfterFenceMillis() {
         return AUTHORITY_MILLIS + leaseMillis + SAFETY_MARGIN_MILLIS;
--- a/src/main/java/org/standlink/cell/JobCellLeader.java
+++ b/src/main/java/org/standlink/cell/JobCellLeader.java
@@ -40,114 +40,76 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * Leads a cell for one epoch: takes jobs, assigns their tasks and grants leases to agents.
+ * Leads a cell for one epoch: accepts jobs, assigns their tasks and grants leases to agents.
  *
- * <p>It first raises the writer's epoch in the store, so that nothing of an older leader can be
- * kept any more, and then reads the state, which is complete.
+ * <p>It first raises the epoch of the writer in the store, so that appends of older leaders are
+ * rejected, and then reads the state, which is therefore complete.
  *
- * <p>{@code BundleCellLeader} is thread-safe: every call is handed to the loop.
+ * <p>{@code JobCellLeader} is thread-safe: every call is handed over to the event loop.
  */
 public final class JobCellLeader implements AutoCloseable {
 
-    /** The time between two looks at leases and at jobs that have become due, in milliseconds. */
+    /** The interval between checks for expired leases and due jobs, in milliseconds. */
     private static final long TICK_MILLIS = 100;
 
     /**
-     * How long messages are gathered before the next decision, in milliseconds; an append takes
-     * twice as long.
+     * How long messages are collected before the next scheduling decision, in milliseconds; an
+     * append takes twice as long.
      */
-    private static final long GATHER_MILLIS = 4;
+    private static final long BATCH_MILLIS = 4;
 
-    /** The pause before a failed step of taking over is repeated, in milliseconds. */
-    private static final long PAUSE_MILLIS = 150;
+    /** The pause before a failed take-over is retried, in milliseconds. */
+    private static final long TAKE_OVER_RETRY_MILLIS = 150;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(JobCellLeader.class);
 
-    /** The epoch. */
     private final Epoch epoch;
-
-    /** The store. */
     private final KeyedStore store;
-
-    /** The lengths of time agreed on. */
     private final CellTimes times;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
     /** The time of day, in milliseconds since 1970. */
     private final LongSupplier wallClock;
 
-    /** The configuration in force. */
     private final Supplier<Configuration> configuration;
-
-    /** How many runs of a task may fail. */
-    private final AttemptLimits attempts;
-
-    /** The loop. */
+    private final AttemptLimits attemptLimits;
     private final LeaderLoop loop;
-
-    /** Is told when this leader leads no more. */
-    private final LeaderEndListener whenOver;
-
-    /** The jobs. */
-    private final JobRegistry board = new JobRegistry();
-
-    /** The workers. */
+    private final LeaderEndListener endListener;
+    private final JobRegistry jobs = new JobRegistry();
     private final WorkerRegistry workers;
-
-    /** Keeps what is believed of images. */
-    private final InterferencePersistence beliefs;
-
-    /** Assigns tasks. */
+    private final InterferencePersistence interferencePersistence;
     private final Scheduler scheduler;
-
-    /** Keeps changes. */
     private final CommitQueue commits;
-
-    /** Tells agents what to do. */
     private final OrderDispatcher orders;
-
-    /** Moves throttled runs. */
-    private final MovePlanner moves;
-
-    /** The agents. */
+    private final MovePlanner movePlanner;
     private final AgentRegistry agents;
-
-    /** Grants leases. */
     private final LeaseGranter leases;
-
-    /** Handles reports of agents. */
     private final AgentReportHandler reports;
-
-    /** Answers callers. */
-    private final JobRequestHandler callers;
+    private final JobRequestHandler requests;
 
     /** Whether the state has been read. */
-    private boolean active;
+    private boolean loaded;
 
-    /** Whether another process leads, or this one has stopped. */
+    /** Whether another process leads, or this leader was stopped. */
     private volatile boolean closed;
 
-    /** Whether a decision is due soon. */
-    private boolean deciding;
+    /** Whether a scheduling decision is due within {@link #BATCH_MILLIS}. */
+    private boolean decisionScheduled;
 
-    /** The timer of the loop. */
-    private ScheduledFuture<?> ticks;
+    private ScheduledFuture<?> tickTimer;
 
     /**
      * Constructor.
      *
      * @param epoch the epoch
      * @param store the store
-     * @param times the lengths of time agreed on
+     * @param times the durations agreed with the agents
      * @param clock the clock
      * @param wallClock the time of day, in milliseconds since 1970
      * @param configuration the configuration in force
      * @param evacuated the halls that this process knows to be evacuated
-     * @param loop the loop, of one thread
-     * @param whenOver is told when this leader leads no more
+     * @param loop the executor of the event loop, of one thread
+     * @param endListener is notified when this leader has ended
      */
     public JobCellLeader(
             Epoch epoch,
@@ -158,45 +120,45 @@
             Supplier<Configuration> configuration,
             Supplier<EvacuatedHalls> evacuated,
             ScheduledExecutorService loop,
-            LeaderEndListener whenOver) {
+            LeaderEndListener endListener) {
         this.epoch = epoch;
         this.store = store;
         this.times = times;
         this.clock = clock;
         this.wallClock = wallClock;
         this.configuration = configuration;
-        this.attempts = new AttemptLimits(configuration);
+        this.attemptLimits = new AttemptLimits(configuration);
         this.workers = new WorkerRegistry(evacuated);
         this.loop = new LeaderLoop(loop, this::fail);
-        this.whenOver = whenOver;
-        InterferenceTable harm = new InterferenceTable();
-        Placement placement = new LeastRequestedPlacement(harm);
-        this.scheduler = new Scheduler(board, workers, placement);
-        this.beliefs = new InterferencePersistence(harm, clock);
+        this.endListener = endListener;
+        InterferenceTable interference = new InterferenceTable();
+        Placement placement = new LeastRequestedPlacement(interference);
+        this.scheduler = new Scheduler(jobs, workers, placement);
+        this.interferencePersistence = new InterferencePersistence(interference, clock);
         this.commits =
                 new CommitQueue(
                         store,
                         epoch,
-                        List.of(board, workers, beliefs),
+                        List.of(jobs, workers, interferencePersistence),
                         new LeaderAuthority(clock, wallClock),
                         this.loop,
                         loop,
                         this::depose);
-        this.orders = new OrderDispatcher(epoch, board, workers, commits);
+        this.orders = new OrderDispatcher(epoch, jobs, workers, commits);
         MoveCostEstimator moveCost = new MoveCostEstimator();
-        this.moves = new MovePlanner(workers, placement, orders, commits, moveCost);
-        this.callers =
+        this.movePlanner = new MovePlanner(workers, placement, orders, commits, moveCost);
+        this.requests =
                 new JobRequestHandler(
-                        epoch, board, workers, commits, clock, wallClock, this::noteFinal);
+                        epoch, jobs, workers, commits, clock, wallClock, this::recordIfFinal);
         this.agents = new AgentRegistry(epoch, workers);
-        InterferenceLearner figures = new InterferenceLearner(board, clock, harm);
+        InterferenceLearner learner = new InterferenceLearner(jobs, clock, interference);
         this.reports =
                 new AgentReportHandler(
-                        board, workers, agents, orders, attempts, clock, figures, moveCost);
-        this.leases = new LeaseGranter(epoch, commits, agents, reports, figures, times, clock);
+                        jobs, workers, agents, orders, attemptLimits, clock, learner, moveCost);
+        this.leases = new LeaseGranter(epoch, commits, agents, reports, learner, times, clock);
     }
 
-    /** Begins to take over. */
+    /** Starts to take over the cell. */
     public void start() {
         LOG.info("taking-over").with("epoch", epoch).write();
         loop.execute(this::fence);
@@ -205,8 +167,8 @@
     /**
      * Handles a message of another process.
      *
-     * @param connection where it came from
-     * @param call the number to answer under
+     * @param connection the connection that it arrived on
+     * @param call the number of the call to answer
      * @param message the message
      */
     public void handle(MessageChannel connection, long call, Message message) {
@@ -222,9 +184,9 @@
     private void stop() {
         closed = true;
         commits.close();
-        callers.close();
-        if (ticks != null) {
-            ticks.cancel(false);
+        requests.close();
+        if (tickTimer != null) {
+            tickTimer.cancel(false);
         }
     }
 
@@ -232,16 +194,16 @@
         if (!closed) {
             LOG.info("deposed").with("epoch", epoch).write();
             stop();
-            whenOver.leaderDeposed();
+            endListener.leaderDeposed();
         }
     }
 
-    /** Ends this leader after a throw: nothing that waits to be kept is told to anybody. */
+    /** Ends this leader after an exception; actions that wait for an append never run. */
     private void fail() {
         if (!closed) {
             LOG.error("leader-failed").with("epoch", epoch).write();
             stop();
-            whenOver.leaderFailed();
+            endListener.leaderFailed();
         }
     }
 
@@ -259,39 +221,39 @@
         }
         if (failure != null) {
             Throwable cause = WorkFailures.causeOf(failure);
-            if (cause instanceof StandlinkException known
-                    && known.getCode() == ErrorCode.EPOCH_FENCED) {
+            if (cause instanceof StandlinkException exception
+                    && exception.getCode() == ErrorCode.EPOCH_FENCED) {
                 depose();
                 return;
             }
             LOG.warning("take-over-failed").with("epoch", epoch).with("cause", cause).write();
-            loop.schedule(PAUSE_MILLIS, this::fence);
+            loop.schedule(TAKE_OVER_RETRY_MILLIS, this::fence);
             return;
         }
         long now = clock.nowMillis();
         commits.setTopicEnd(state.next());
-        board.restore(state.records());
+        jobs.restore(state.records());
         workers.restore(state.records(), now + times.waitAfterFenceMillis());
-        beliefs.restore(state.records());
-        for (JobEntry job : board.getJobs()) {
+        interferencePersistence.restore(state.records());
+        for (JobEntry job : jobs.getJobs()) {
             job.restoreAcceptanceTime(now, wallClock.getAsLong());
             if (job.isFinalAndReleased()) {
-                // An earlier leader told of it; hundreds of such lines would hold up a start.
+                // An earlier leader logged its end; hundreds of such lines would delay the start.
                 job.setFinalAt(now);
             } else {
-                noteFinal(job);
+                recordIfFinal(job);
             }
             job.allTasks()
                     .filter(task -> task.getWorker() != null)
                     .forEach(task -> workers.addTask(task, now + times.waitAfterFenceMillis()));
         }
-        active = true;
+        loaded = true;
         LOG.info("leading")
                 .with("epoch", epoch)
-                .with("jobs", board.getJobs().size())
+                .with("jobs", jobs.getJobs().size())
                 .with("end", state.next())
                 .write();
-        ticks = loop.scheduleRepeating(TICK_MILLIS, this::tick);
+        tickTimer = loop.scheduleRepeating(TICK_MILLIS, this::tick);
     }
 
     private void tick() {
@@ -299,13 +261,13 @@
             return;
         }
         expire();
-        callers.rejectUnsentIfStalled();
+        requests.rejectUnsentIfStalled();
         reports.stopStalledRuns();
-        moves.moveThrottledRuns(clock.nowMillis());
+        movePlanner.moveThrottledRuns(clock.nowMillis());
         decide();
     }
 
-    /** Releases what ran on workers whose lease has surely run out, and forgets old jobs. */
+    /** Abandons the runs of workers whose lease has certainly expired, and removes old jobs. */
     private void expire() {
         long now = clock.nowMillis();
         for (WorkerEntry worker : List.copyOf(workers.getWorkers())) {
@@ -315,18 +277,18 @@
             }
         }
         agents.removeUnresponsive(now);
-        board.removeExpired(now - times.statusRetentionMillis());
+        jobs.removeExpired(now - times.statusRetentionMillis());
     }
 
-    /** Assigns what can be assigned, and keeps what has changed. */
+    /** Assigns tasks to workers and persists the changes. */
     private void decide() {
-        attempts.applyOnce(board).forEach(this::noteFinal);
+        attemptLimits.applyOnce(jobs).forEach(this::recordIfFinal);
         if (!commits.isStalled()) {
             List<TaskEntry> assigned =
                     scheduler.schedule(
                             configuration.get(), clock.nowMillis(), wallClock.getAsLong());
             assigned.stream()
-                    .map(task -> board.find(task.getName().job()))
+                    .map(task -> jobs.find(task.getName().job()))
                     .distinct()
                     .forEach(job -> job.updateState(Integer.MAX_VALUE));
             orders.startAfterCommit(assigned);
@@ -334,16 +296,16 @@
         commits.startAppend();
     }
 
-    /** Decides once for all messages that come within a few milliseconds. */
-    private void decideSoon() {
-        if (!deciding) {
-            deciding = true;
-            loop.schedule(GATHER_MILLIS, this::decideNow);
+    /** Schedules one decision for all messages that arrive within a few milliseconds. */
+    private void scheduleDecision() {
+        if (!decisionScheduled) {
+            decisionScheduled = true;
+            loop.schedule(BATCH_MILLIS, this::runScheduledDecision);
         }
     }
 
-    private void decideNow() {
-        deciding = false;
+    private void runScheduledDecision() {
+        decisionScheduled = false;
         if (!closed) {
             decide();
         }
@@ -357,15 +319,15 @@
         }
         if (message instanceof AgentReport report) {
             report(connection, call, report);
-        } else if (!active) {
-            // The caller asks again; the state is read within some tens of milliseconds.
+        } else if (!loaded) {
+            // The caller retries; the state is read within some tens of milliseconds.
             connection.answer(call, new LeaderNotice(epoch, ""));
             return;
         } else {
-            callers.handle(connection, call, message);
+            requests.handle(connection, call, message);
         }
-        if (active) {
-            decideSoon();
+        if (loaded) {
+            scheduleDecision();
         }
     }
 
@@ -375,14 +337,14 @@
             depose();
             return;
         }
-        AgentGrant grant = active ? leases.handle(connection, report) : leases.grantNoLease();
+        AgentGrant grant = loaded ? leases.handle(connection, report) : leases.grantNoLease();
         if (grant != null) {
-            reports.takeChangedJobs().forEach(this::noteFinal);
+            reports.takeChangedJobs().forEach(this::recordIfFinal);
             connection.answer(call, grant);
         }
     }
 
-    private void noteFinal(JobEntry job) {
+    private void recordIfFinal(JobEntry job) {
         if (job.getState().isFinal() && job.getFinalAt() < 0) {
             job.setFinalAt(clock.nowMillis());
             LOG.info("final")
--- a/src/main/java/org/standlink/cell/LeaderEndListener.java
+++ b/src/main/java/org/standlink/cell/LeaderEndListener.java
@@ -15,16 +15,20 @@
  */
 package org.standlink.cell;
 
-/** Is told that a leader of this process leads no more. */
+/**
+ * Receives notice that a leader of this process has ended.
+ *
+ * <p>It is called on the leader's event loop.
+ */
 @FunctionalInterface
 public interface LeaderEndListener {
 
-    /** Takes note that another process leads. */
+    /** Called when another process leads. */
     void leaderDeposed();
 
     /**
-     * Takes note that the leader has ended itself, since its work failed; nobody leads until the
-     * place is given up or found silent.
+     * Called when the leader has ended itself because its work failed. Nobody leads until the
+     * leadership is resigned or the leader is found unresponsive.
      */
     default void leaderFailed() {
         leaderDeposed();
--- a/src/main/java/org/standlink/cell/LeaderLoop.java
+++ b/src/main/java/org/standlink/cell/LeaderLoop.java
@@ -25,12 +25,12 @@
 import org.standlink.process.WorkFailures;
 
 /**
- * Runs all work of a leader on its loop, and ends the leader if any of it throws.
+ * Runs all work of a leader on its event loop, and ends the leader if any of it throws.
  *
- * <p>What a leader believes after a throw may be changed by half: records that were taken to be
- * kept are gone, while what waits for them would still be told. So it does nothing more, and
- * another one reads the state anew. That costs callers some hundred milliseconds; going on costs
- * them jobs that are lost or done twice.
+ * <p>After an exception the state of the leader may be half changed: records that were taken for an
+ * append are lost, while the actions that wait for them would still run. The leader therefore does
+ * nothing more, and another one reads the state again. That delays callers by some hundred
+ * milliseconds; going on would lose jobs or run them twice.
  *
  * <p>{@code LeaderLoop} is thread-safe.
  */
@@ -39,21 +39,20 @@
     /** The name of the work in the log. */
     private static final String NAME = "leader";
 
-    /** The thread. */
+    /** The executor, of one thread. */
     private final ScheduledExecutorService loop;
 
-    /** Ends the leader. */
-    private final Runnable whenFailed;
+    private final Runnable failureHandler;
 
     /**
      * Constructor.
      *
-     * @param loop the loop, of one thread
-     * @param whenFailed ends the leader; called on the loop
+     * @param loop the executor, of one thread
+     * @param failureHandler ends the leader; called on the event loop
      */
-    LeaderLoop(ScheduledExecutorService loop, Runnable whenFailed) {
+    LeaderLoop(ScheduledExecutorService loop, Runnable failureHandler) {
         this.loop = loop;
-        this.whenFailed = whenFailed;
+        this.failureHandler = failureHandler;
     }
 
     @Override
@@ -62,9 +61,9 @@
     }
 
     /**
-     * Runs work once, later.
+     * Runs work once after a delay.
      *
-     * @param millis after how long, in milliseconds
+     * @param millis the delay, in milliseconds
      * @param work the work
      */
     void schedule(long millis, Runnable work) {
@@ -72,25 +71,25 @@
     }
 
     /**
-     * Runs work again and again, the first time at once.
+     * Runs work repeatedly, the first time at once.
      *
      * @param pauseMillis the pause between two runs, in milliseconds
      * @param work the work
-     * @return the series, which can be cancelled
+     * @return the handle to cancel it
      */
     ScheduledFuture<?> scheduleRepeating(long pauseMillis, Runnable work) {
         return Guarded.repeat(NAME, loop, pauseMillis, () -> run(work));
     }
 
     /**
-     * Does something with the result of a future.
+     * Runs an action on the event loop once a future has completed.
      *
      * @param future the future
-     * @param then takes the value or the failure
+     * @param action the action, which takes the value or the failure
      * @param <T> the type of the value
      */
-    <T> void onCompletion(CompletableFuture<T> future, BiConsumer<? super T, Throwable> then) {
-        Guarded.thenIn(future, this, then);
+    <T> void onCompletion(CompletableFuture<T> future, BiConsumer<? super T, Throwable> action) {
+        Guarded.thenIn(future, this, action);
     }
 
     // -----------------------------------------------------------------------
@@ -98,7 +97,7 @@
         try {
             work.run();
         } catch (Throwable thrown) {
-            Guarded.work("leader-end", whenFailed).run();
+            Guarded.work("leader-end", failureHandler).run();
             WorkFailures.note(NAME, thrown);
         }
     }
--- a/src/main/java/org/standlink/cell/LeadershipManager.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -38,46 +38,37 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * The place of the leader in a process that may lead: takes it when a claim of this process is the
- * newest, leaves it when another one's is.
+ * Manages the leadership of a process that may lead: starts a leader when a claim of this process
+ * is the newest, and stops it when the claim of another process is.
  *
  * <p>{@code LeadershipManager} is thread-safe.
  */
 public final class LeadershipManager {
 
-    /** The pause before a place that could not be given up is given up again, in milliseconds. */
-    private static final long PAUSE_MILLIS = 500;
+    /** The pause before a failed resignation is retried, in milliseconds. */
+    private static final long RESIGNATION_RETRY_MILLIS = 500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(LeadershipManager.class);
 
-    /** The store. */
     private final KeyedStore store;
-
-    /** The lengths of time agreed on. */
     private final CellTimes times;
-
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** The loop. */
     private final ScheduledExecutorService loop;
 
-    /** The run of this process. */
+    /** The incarnation of this process. */
     private final Incarnation self;
 
-    /** The leader, as this process knows it. */
+    /** The leader known to this process. */
     private final LeaderLink link;
 
     /** The halls that this process knows to be evacuated. */
     private final Supplier<EvacuatedHalls> evacuated;
 
-    /** The configuration in force. */
     private final AtomicReference<Configuration> configuration =
             new AtomicReference<>(Configuration.NONE);
 
     /** The newest claim; guarded by this. */
-    private Claim newest = Claim.NONE;
+    private Claim newestClaim = Claim.NONE;
 
     /** The leader in this process, null if it does not lead; guarded by this. */
     private JobCellLeader leader;
@@ -86,11 +77,11 @@
      * Constructor.
      *
      * @param store the store
-     * @param times the lengths of time agreed on
+     * @param times the durations agreed with the agents
      * @param clock the clock
-     * @param loop the loop, of one thread
-     * @param self the run of this process
-     * @param link the leader, as this process knows it
+     * @param loop the executor of the event loop, of one thread
+     * @param self the incarnation of this process
+     * @param link the leader known to this process
      * @param evacuated the halls that this process knows to be evacuated
      */
     public LeadershipManager(
@@ -111,31 +102,31 @@
     }
 
     /**
-     * Takes note of a configuration; an older one than the one in force is passed over.
+     * Puts a configuration in force, unless it is older than the present one.
      *
      * @param offered the configuration
      */
     public void offerConfiguration(Configuration offered) {
         configuration.updateAndGet(
-                present -> offered.version() > present.version() ? offered : present);
+                current -> offered.version() > current.version() ? offered : current);
     }
 
     /**
-     * Takes note of a claim that was read; an older one than the newest is passed over.
+     * Applies a claim that was read from the store; one that is older than the newest is ignored.
      *
      * @param claim the claim
      */
     public synchronized void applyClaim(Claim claim) {
-        if (claim.epoch().compareTo(newest.epoch()) < 0 || claim.equals(newest)) {
+        if (claim.epoch().compareTo(newestClaim.epoch()) < 0 || claim.equals(newestClaim)) {
             return;
         }
-        newest = claim;
+        newestClaim = claim;
         LOG.info("claim-read")
                 .with("epoch", claim.epoch())
                 .with("address", claim.address())
                 .with("mine", claim.holder().equals(self))
                 .write();
-        leave();
+        stopLeader();
         if (!claim.isHeld()) {
             link.leaderResigned(claim.epoch());
             return;
@@ -151,101 +142,107 @@
                             configuration::get,
                             evacuated,
                             loop,
-                            new PlaceHolder(claim.epoch()));
+                            new EndHandler(claim.epoch()));
             leader.start();
         }
         link.offer(new LeaderNotice(claim.epoch(), claim.address()), "store");
     }
 
     /**
-     * Handles a message for the leader; a process that does not lead says who does.
+     * Handles a message for the leader; a process that does not lead answers with the leader it
+     * knows.
      *
-     * @param connection where it came from
-     * @param call the number to answer under
+     * @param connection the connection that it arrived on
+     * @param call the number of the call to answer
      * @param message the message
      */
     public void handle(MessageChannel connection, long call, Message message) {
-        JobCellLeader present;
+        JobCellLeader current;
         synchronized (this) {
-            present = leader;
+            current = leader;
         }
         if (message instanceof Hello) {
             return;
         }
         if (message instanceof LeaderNotice notice) {
             link.offer(notice, "announcement");
-        } else if (present == null) {
+        } else if (current == null) {
             connection.answer(call, link.getLeader());
         } else {
-            present.handle(connection, call, message);
+            current.handle(connection, call, message);
         }
     }
 
     /**
-     * Leaves the place in order, so that another process takes it at once.
+     * Resigns the leadership, so that another process can take over at once.
      *
-     * @param timeoutMillis how long it may take, in milliseconds
-     * @return done when the store has taken it; done at once if this process does not lead
+     * @param timeoutMillis the time allowed, in milliseconds; not enforced here
+     * @return completed when the store has accepted the resignation; at once if this process does
+     *     not lead
      */
     public synchronized CompletableFuture<Long> resign(long timeoutMillis) {
         if (leader == null) {
             return CompletableFuture.completedFuture(0L);
         }
-        leave();
-        LOG.info("resigning").with("epoch", newest.epoch()).write();
-        return vacate(newest.epoch());
+        stopLeader();
+        LOG.info("resigning").with("epoch", newestClaim.epoch()).write();
+        return appendResignation(newestClaim.epoch());
     }
 
     // -----------------------------------------------------------------------
-    private CompletableFuture<Long> vacate(Epoch epoch) {
-        Claim vacant = new Claim(epoch, "", self);
+    private CompletableFuture<Long> appendResignation(Epoch epoch) {
+        Claim resignation = new Claim(epoch, "", self);
         return store.readEnd(Topic.CLAIMS)
-                .thenCompose(end -> store.appendAt(Topic.CLAIMS, List.of(vacant.toRecord()), end));
+                .thenCompose(
+                        end -> store.appendAt(Topic.CLAIMS, List.of(resignation.toRecord()), end));
     }
 
-    /** Gives up the place of a leader that has failed, until the claim is seen to be over. */
-    private synchronized void giveUp(Epoch epoch) {
-        if (!newest.isHeld() || !newest.epoch().equals(epoch)) {
+    /** Resigns for a leader that has failed, until a claim shows that its leadership has ended. */
+    private synchronized void resignAfterFailure(Epoch epoch) {
+        if (!newestClaim.isHeld() || !newestClaim.epoch().equals(epoch)) {
             return;
         }
-        leave();
+        stopLeader();
         LOG.info("resigning-after-failure").with("epoch", epoch).write();
         Guarded.thenOn(
                 "resigning-after-failure",
-                vacate(epoch),
+                appendResignation(epoch),
                 loop,
-                (end, failure) -> gaveUp(epoch, failure));
+                (end, failure) -> handleResignation(epoch, failure));
     }
 
-    private void gaveUp(Epoch epoch, Throwable failure) {
+    private void handleResignation(Epoch epoch, Throwable failure) {
         if (failure != null) {
             LOG.info("resignation-failed").with("epoch", epoch).with("cause", failure).write();
-            loop.schedule(() -> giveUp(epoch), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> resignAfterFailure(epoch),
+                    RESIGNATION_RETRY_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Looks after the place of one leader. */
-    private final class PlaceHolder implements LeaderEndListener {
+    /** Ends the leadership of one leader. */
+    private final class EndHandler implements LeaderEndListener {
 
         /** The epoch of the leader. */
         private final Epoch epoch;
 
-        PlaceHolder(Epoch epoch) {
+        EndHandler(Epoch epoch) {
             this.epoch = epoch;
         }
 
         @Override
         public void leaderDeposed() {
-            leave();
+            stopLeader();
         }
 
         @Override
         public void leaderFailed() {
-            giveUp(epoch);
+            resignAfterFailure(epoch);
         }
     }
 
-    private synchronized void leave() {
+    private synchronized void stopLeader() {
         if (leader != null) {
             leader.close();
             leader = null;
--- a/src/main/java/org/standlink/cell/LeaseGranter.java
+++ b/src/main/java/org/standlink/cell/LeaseGranter.java
@@ -24,57 +24,33 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * Answers reports of agents with leases, for as long as the leader may grant any.
+ * Answers the reports of agents with leases, as long as the leader may grant any.
  *
- * <p>{@code LeaseGranter} is not thread-safe; the leader's loop owns it.
+ * <p>{@code LeaseGranter} is not thread-safe; it is confined to the leader's event loop.
  */
 final class LeaseGranter {
 
-    /** The epoch of the leader. */
     private final Epoch epoch;
-
-    /** Keeps changes, and tells how long the store has been silent. */
     private final CommitQueue commits;
-
-    /** The agents. */
     private final AgentRegistry agents;
-
-    /** Handles what is reported. */
     private final AgentReportHandler reports;
-
-    /** Tells agents what is believed of images. */
-    private final InterferenceLearner figures;
-
-    /** The lengths of time agreed on. */
+    private final InterferenceLearner learner;
     private final CellTimes times;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /**
-     * Constructor.
-     *
-     * @param epoch the epoch of the leader
-     * @param commits keeps changes, and tells how long the store has been silent
-     * @param agents the agents
-     * @param reports handles what is reported
-     * @param figures tells agents what is believed of images
-     * @param times the lengths of time agreed on
-     * @param clock the clock
-     */
     LeaseGranter(
             Epoch epoch,
             CommitQueue commits,
             AgentRegistry agents,
             AgentReportHandler reports,
-            InterferenceLearner figures,
+            InterferenceLearner learner,
             CellTimes times,
             MonotonicClock clock) {
         this.epoch = epoch;
         this.commits = commits;
         this.agents = agents;
         this.reports = reports;
-        this.figures = figures;
+        this.learner = learner;
         this.times = times;
         this.clock = clock;
     }
@@ -82,28 +58,28 @@
     /**
      * Handles a report.
      *
-     * @param connection where it came from
+     * @param connection the connection that it arrived on
      * @param report the report
-     * @return the answer, null if the report was overtaken and gets none
+     * @return the answer, null if a later report was received before and this one gets none
      */
     AgentGrant handle(MessageChannel connection, AgentReport report) {
         if (!agents.accept(report, clock.nowMillis())) {
             return null;
         }
-        long silent = commits.getMillisSinceAppend();
-        boolean entitled = silent < CellTimes.AUTHORITY_MILLIS;
-        long until = entitled ? clock.nowMillis() + times.leaseMillis() : 0;
-        boolean counts = reports.handle(connection, report, until);
+        long millisSinceAppend = commits.getMillisSinceAppend();
+        boolean authorized = millisSinceAppend < CellTimes.AUTHORITY_MILLIS;
+        long leaseUntil = authorized ? clock.nowMillis() + times.leaseMillis() : 0;
+        boolean evaluated = reports.handle(connection, report, leaseUntil);
         return new AgentGrant(
                 epoch,
                 agents.getGeneration(report.incarnation()),
-                entitled && counts ? times.leaseMillis() : 0,
-                silent,
-                figures.listIfChanged(connection));
+                authorized && evaluated ? times.leaseMillis() : 0,
+                millisSinceAppend,
+                learner.listIfChanged(connection));
     }
 
     /**
-     * Answers a report while the leader still reads its state.
+     * Answers a report while the leader is still reading its state.
      *
      * @return the answer, without a lease
      */
