--- a/src/main/java/org/standlink/cell/CellTimes.java
+++ b/src/main/java/org/standlink/cell/CellTimes.java
@@ -29,7 +29,7 @@
     /**
      * How long a leader grants leases after the store accepted its last append, in milliseconds.
      * Ordinary outages of the store, of about 4 s, must not cost work: this time and a lease
-     * together cover them. A successor waits as long for workers that it receives no reports of.
+     * together cover them. A new leader waits as long for workers that it receives no reports of.
      */
     public static final long AUTHORITY_MILLIS = 3000;
 
--- a/src/main/java/org/standlink/cell/JobRequestHandler.java
+++ b/src/main/java/org/standlink/cell/JobRequestHandler.java
@@ -115,7 +115,8 @@
         try {
             answer(connection, call, message);
         } catch (RuntimeException | Error defect) {
-            // A caller that repeated the request at once could end one leader after the other.
+            // Answered as failed, since a caller that repeated the request at once could end one
+            // leader after the other.
             connection.answer(call, JobAnswer.of(JobAnswer.Result.FAILED, FAILED));
             throw defect;
         }
--- a/src/main/java/org/standlink/cell/LeadershipManager.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -197,7 +197,10 @@
                         end -> store.appendAt(Topic.CLAIMS, List.of(resignation.toRecord()), end));
     }
 
-    /** Resigns for a leader that has failed, until a claim shows that its leadership has ended. */
+    /**
+     * Resigns on behalf of a failed leader; repeated until a claim shows that its leadership has
+     * ended.
+     */
     private synchronized void resignAfterFailure(Epoch epoch) {
         if (!newestClaim.isHeld() || !newestClaim.epoch().equals(epoch)) {
             return;
