--- a/src/main/java/org/standlink/cell/LeastRequestedPlacement.java
+++ b/src/main/java/org/standlink/cell/LeastRequestedPlacement.java
@@ -22,93 +22,96 @@
 import org.standlink.policy.InterferenceTable;
 
 /**
- * Chooses the worker with the most processors that nobody has asked for. Serving tasks are put
- * together; a best-effort task goes where it harms nobody, and waits when it would find no
- * processors.
+ * Selects the worker with the most processors that are not requested by other tasks.
  *
- * <p>{@code LeastRequestedPlacement} is thread-safe and immutable.
+ * <p>Serving tasks are packed together. A best-effort task is placed where little interference with
+ * serving tasks is expected, and waits if the idle processors would not suffice.
+ *
+ * <p>{@code LeastRequestedPlacement} is not thread-safe, since it caches interference estimates; it
+ * is confined to the leader's event loop.
  */
 final class LeastRequestedPlacement implements Placement {
 
-    /** What a worker near the data is worth, in thousandths of a core. */
-    private static final long NEAR_BONUS = 100_000;
+    /** The score of a worker on the rack that holds the task's data, in thousandths of a core. */
+    private static final long DATA_LOCALITY_BONUS_MILLICORES = 100_000;
 
-    /** What a worker where the task failed last costs, in thousandths of a core. */
-    private static final long FAILED_PENALTY = 1_000_000;
+    /**
+     * The penalty of the worker where the task failed, stalled or was throttled last, in
+     * thousandths of a core.
+     */
+    private static final long LAST_FAILURE_PENALTY_MILLICORES = 1_000_000;
 
     /**
-     * What each failure in a row on a worker costs, in thousandths of a core: half the idle room of
-     * a common worker, since a worker that fails all that it starts is always idle.
+     * The penalty for each consecutive failure on a worker, in thousandths of a core: half the idle
+     * capacity of a typical worker, because a worker that fails every run is always idle and would
+     * otherwise be preferred.
      */
-    private static final long FAILURE_PENALTY = 15_000;
+    private static final long CONSECUTIVE_FAILURE_PENALTY_MILLICORES = 15_000;
 
-    /** By how much that counts more for a task that has failed before and has few runs left. */
-    private static final long LAST_CHANCE_FACTOR = 10;
+    /** The factor of that penalty for a task that has failed before and has few attempts left. */
+    private static final long FAILED_TASK_PENALTY_FACTOR = 10;
 
-    /** How much a serving task seeks others, for each core that they ask for. */
-    private static final long TOGETHER_WEIGHT = 4;
+    /** The weight of the processors requested by serving tasks, in the score of a serving task. */
+    private static final long SERVING_AFFINITY_WEIGHT = 4;
 
-    /** What full harm to a serving task costs, in thousandths of a core. */
-    private static final long HARM_PENALTY = 200_000;
+    /** The penalty for the highest interference with a serving task, in thousandths of a core. */
+    private static final long INTERFERENCE_PENALTY_MILLICORES = 200_000;
 
     /**
-     * What a harmless place beside serving tasks is worth, in thousandths of a core: the places
-     * where nobody serves are left to those that harm.
+     * The score of a worker with serving tasks for a task that does not interfere with them, in
+     * thousandths of a core. Workers without serving tasks are left to tasks that interfere.
      */
-    private static final long BESIDE_BONUS = 20_000;
+    private static final long COLOCATION_BONUS_MILLICORES = 20_000;
 
     /**
-     * The share of their wish that serving tasks are taken to use, in hundredths: an assumption,
-     * not learnt from figures; too much leaves processors idle.
+     * The share of their requested processors that serving tasks are assumed to use, in percent. A
+     * higher share leaves processors idle.
      */
-    private static final long SERVING_PERCENT = 50;
+    private static final long SERVING_USAGE_PERCENT = 50;
 
-    /** The share of a best-effort task's wish that must be free for it to start, in hundredths. */
-    private static final long BEST_EFFORT_PERCENT = 70;
+    /**
+     * The share of its requested processors that must be idle for a best-effort task to start, in
+     * percent.
+     */
+    private static final long MIN_BEST_EFFORT_PERCENT = 70;
 
     /**
-     * The tail of serving runs, as a share of their target, above which nothing is put beside them
-     * that may harm them; throttling begins at 0.88.
+     * The tail latency of serving runs, relative to their target, above which no interfering task
+     * is placed beside them. Throttling begins at 0.88.
      */
-    private static final double TIGHT_TAIL = 0.8;
+    private static final double MAX_TAIL_RATIO = 0.8;
 
     /**
-     * The share of a worker's processors that runs which may harm serving ones may ask for
-     * together, each weighted by what is believed: an image that has all processors lengthens tails
-     * up to fivefold, and tails are at about half of their target without it.
+     * The share of a worker's processors that interfering tasks may request together, each weighted
+     * by its estimated interference. An image that uses all processors lengthens tail latency up to
+     * fivefold, and without it the tail latency is about half of the target.
      */
-    private static final double MOST_PRESSURE = 0.15;
+    private static final double MAX_PRESSURE_RATIO = 0.15;
 
-    /** What such runs there cost a further one, for each core so weighted. */
+    /** The penalty for each weighted core that such tasks already request on the worker. */
     private static final double PRESSURE_WEIGHT = 4;
 
-    /** What is believed of images. */
-    private final WorkerInterference harm;
+    private final WorkerInterference interference;
 
-    /**
-     * Constructor.
-     *
-     * @param harm what is believed of images
-     */
-    LeastRequestedPlacement(InterferenceTable harm) {
-        this.harm = new WorkerInterference(harm);
+    LeastRequestedPlacement(InterferenceTable interferenceTable) {
+        this.interference = new WorkerInterference(interferenceTable);
     }
 
     @Override
     public WorkerEntry choose(TaskEntry task, Collection<WorkerEntry> workers) {
-        boolean choosy =
+        boolean avoidsInterference =
                 task.getStep().bestEffort()
                         && workers.stream()
                                 .anyMatch(
-                                        one ->
-                                                harm(task, one)
+                                        candidate ->
+                                                estimateInterference(task, candidate)
                                                         < InterferenceTable.HIGH_INTERFERENCE);
-        return best(task, workers, worker -> isFit(task, worker, choosy));
+        return chooseBest(task, workers, worker -> isEligible(task, worker, avoidsInterference));
     }
 
     @Override
     public WorkerEntry chooseAllowingInterference(TaskEntry task, Collection<WorkerEntry> workers) {
-        return best(
+        return chooseBest(
                 task,
                 workers,
                 worker ->
@@ -118,15 +121,15 @@
 
     @Override
     public WorkerEntry chooseAllowingCrashRisk(TaskEntry task, Collection<WorkerEntry> workers) {
-        return best(task, workers, worker -> Placement.isAllowed(task, worker));
+        return chooseBest(task, workers, worker -> Placement.isAllowed(task, worker));
     }
 
-    private WorkerEntry best(
-            TaskEntry task, Collection<WorkerEntry> workers, Predicate<WorkerEntry> fit) {
+    private WorkerEntry chooseBest(
+            TaskEntry task, Collection<WorkerEntry> workers, Predicate<WorkerEntry> eligible) {
         WorkerEntry best = null;
         long bestScore = Long.MIN_VALUE;
         for (WorkerEntry worker : workers) {
-            if (!fit.test(worker)) {
+            if (!eligible.test(worker)) {
                 continue;
             }
             long score = score(task, worker);
@@ -140,78 +143,82 @@
 
     @Override
     public boolean isInterferenceAcceptable(TaskEntry task, WorkerEntry worker) {
-        double belief = harm(task, worker);
-        if (belief < InterferenceTable.LOW_INTERFERENCE) {
+        double estimate = estimateInterference(task, worker);
+        if (estimate < InterferenceTable.LOW_INTERFERENCE) {
             return true;
         }
-        boolean tight = worker.getMetrics().getMaxTailRatio() > TIGHT_TAIL;
-        return !tight
-                && belief < InterferenceTable.HIGH_INTERFERENCE
-                && !isCrowded(task, worker, belief);
+        boolean nearTarget = worker.getMetrics().getMaxTailRatio() > MAX_TAIL_RATIO;
+        return !nearTarget
+                && estimate < InterferenceTable.HIGH_INTERFERENCE
+                && !isCrowded(task, worker, estimate);
     }
 
-    private boolean isCrowded(TaskEntry task, WorkerEntry worker, double belief) {
-        double more = belief * task.getStep().demand().milliCores();
+    private boolean isCrowded(TaskEntry task, WorkerEntry worker, double estimate) {
+        double additional = estimate * task.getStep().demand().milliCores();
         long capacity = worker.getDescription().capacity().milliCores();
-        double before = harm.getPressure(worker);
-        return before > 0 && before + more > MOST_PRESSURE * capacity;
+        double present = interference.getPressure(worker);
+        return present > 0 && present + additional > MAX_PRESSURE_RATIO * capacity;
     }
 
     // -----------------------------------------------------------------------
-    private boolean isFit(TaskEntry task, WorkerEntry worker, boolean choosy) {
+    private boolean isEligible(TaskEntry task, WorkerEntry worker, boolean avoidsInterference) {
         if (!Placement.isAllowed(task, worker) || !CrashIsolation.isStartAllowed(task, worker)) {
             return false;
         }
         if (!task.getStep().bestEffort()) {
             return true;
         }
-        return idleMilliCores(worker) >= wanted(task.getStep(), worker)
-                && (!choosy || isInterferenceAcceptable(task, worker));
+        return idleMilliCores(worker) >= requiredIdleMilliCores(task.getStep(), worker)
+                && (!avoidsInterference || isInterferenceAcceptable(task, worker));
     }
 
-    private static long wanted(StepDefinition step, WorkerEntry worker) {
+    private static long requiredIdleMilliCores(StepDefinition step, WorkerEntry worker) {
         Resources capacity = worker.getDescription().capacity();
-        long wish = Math.min(step.demand().milliCores(), capacity.milliCores());
-        return wish * BEST_EFFORT_PERCENT / 100;
+        long requested = Math.min(step.demand().milliCores(), capacity.milliCores());
+        return requested * MIN_BEST_EFFORT_PERCENT / 100;
     }
 
     private static long idleMilliCores(WorkerEntry worker) {
         long capacity = worker.getDescription().capacity().milliCores();
-        long serving = worker.getLoad().getServingMilliCores() * SERVING_PERCENT / 100;
+        long serving = worker.getLoad().getServingMilliCores() * SERVING_USAGE_PERCENT / 100;
         return capacity - serving - worker.getLoad().getBatchMilliCores();
     }
 
-    private double harm(TaskEntry task, WorkerEntry worker) {
-        return harm.get(task.getStep().image(), worker);
+    private double estimateInterference(TaskEntry task, WorkerEntry worker) {
+        return interference.get(task.getStep().image(), worker);
     }
 
-    private long apartScore(TaskEntry task, WorkerEntry worker) {
+    private long colocationScore(TaskEntry task, WorkerEntry worker) {
         if (task.getStep().longRunning()) {
-            return worker.getLoad().getServingMilliCores() * TOGETHER_WEIGHT;
+            return worker.getLoad().getServingMilliCores() * SERVING_AFFINITY_WEIGHT;
         }
         if (!task.getStep().bestEffort() || worker.getLoad().getServingMilliCores() == 0) {
             return 0;
         }
-        double belief = harm(task, worker);
-        if (belief < InterferenceTable.LOW_INTERFERENCE) {
-            return BESIDE_BONUS;
+        double estimate = estimateInterference(task, worker);
+        if (estimate < InterferenceTable.LOW_INTERFERENCE) {
+            return COLOCATION_BONUS_MILLICORES;
         }
-        return -(long) (belief * HARM_PENALTY + harm.getPressure(worker) * PRESSURE_WEIGHT);
+        return -(long)
+                (estimate * INTERFERENCE_PENALTY_MILLICORES
+                        + interference.getPressure(worker) * PRESSURE_WEIGHT);
     }
 
     private static long failurePenalty(TaskEntry task, WorkerEntry worker) {
-        long penalty = worker.getHealth().getConsecutiveFailures() * FAILURE_PENALTY;
-        return task.getFailures() > 0 ? penalty * LAST_CHANCE_FACTOR : penalty;
+        long penalty =
+                worker.getHealth().getConsecutiveFailures()
+                        * CONSECUTIVE_FAILURE_PENALTY_MILLICORES;
+        return task.getFailures() > 0 ? penalty * FAILED_TASK_PENALTY_FACTOR : penalty;
     }
 
     private long score(TaskEntry task, WorkerEntry worker) {
         String rack = task.getStep().dataRack();
-        boolean near = !rack.isEmpty() && worker.getDescription().labels().contains(rack);
+        boolean nearData = !rack.isEmpty() && worker.getDescription().labels().contains(rack);
         boolean failedHere = worker.getIncarnation().equals(task.getFailedOn());
         return idleMilliCores(worker)
-                + apartScore(task, worker)
-                + (near ? NEAR_BONUS : 0)
-                - (failedHere ? FAILED_PENALTY : 0)
+                + colocationScore(task, worker)
+                + (nearData ? DATA_LOCALITY_BONUS_MILLICORES : 0)
+                - (failedHere ? LAST_FAILURE_PENALTY_MILLICORES : 0)
                 - failurePenalty(task, worker)
                 - CrashIsolation.penalty(task, worker);
     }
--- a/src/main/java/org/standlink/cell/MoveCostEstimator.java
+++ b/src/main/java/org/standlink/cell/MoveCostEstimator.java
@@ -16,51 +16,53 @@
 package org.standlink.cell;
 
 /**
- * Learns how long a move holds a task up: from the decision until the next run is further than the
- * last one was. Stop, start, restoring and the work since the last saved state are part of it.
+ * Estimates how long a move delays a task: from the decision until the next run has progressed
+ * further than the previous one. This includes stopping, starting, restoring the checkpoint and
+ * repeating the work done since that checkpoint.
  *
- * <p>{@code MoveCostEstimator} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code MoveCostEstimator} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class MoveCostEstimator {
 
-    /** What a move is taken to cost before any was seen, in milliseconds. */
+    /** The estimate before any move was observed, in milliseconds. */
     private static final double PRIOR_MILLIS = 1000;
 
-    /** The weight of a new sample: some ten moves outweigh what was known before. */
+    /** The weight of a new sample; about ten moves outweigh the earlier estimate. */
     private static final double SAMPLE_WEIGHT = 0.1;
 
     /**
-     * The time after which half of what was learnt counts, in milliseconds: moves that were held up
-     * by an outage would keep all others from being made, and so from showing that it is over.
+     * The half-life of the samples, in milliseconds. Without decay, moves that were delayed by an
+     * outage would prevent all further moves, and so the samples that show that the outage is over.
      */
     private static final double HALF_LIFE_MILLIS = 30_000;
 
-    /** What a move cost when that was learnt last, in milliseconds. */
-    private double millis = PRIOR_MILLIS;
+    /** The estimate at the time of the last sample, in milliseconds. */
+    private double lastEstimateMillis = PRIOR_MILLIS;
 
-    /** When that was, on the leader's clock. */
-    private long learntAt;
+    /** The time of the last sample, on the leader's clock. */
+    private long lastSampleAt;
 
     /**
-     * Learns from a move.
+     * Adds the duration of a move.
      *
-     * @param took how long it held the task up, in milliseconds
-     * @param now the time on the leader's clock
+     * @param durationMillis how long the move delayed the task, in milliseconds
+     * @param now the time on the leader's clock, in milliseconds
      */
-    void addSample(long took, long now) {
-        double before = estimateMillis(now);
-        millis = before + SAMPLE_WEIGHT * (took - before);
-        learntAt = now;
+    void addSample(long durationMillis, long now) {
+        double previous = estimateMillis(now);
+        lastEstimateMillis = previous + SAMPLE_WEIGHT * (durationMillis - previous);
+        lastSampleAt = now;
     }
 
     /**
-     * Gets what a move costs.
+     * Estimates the cost of a move.
      *
-     * @param now the time on the leader's clock
-     * @return the expected time, in milliseconds
+     * @param now the time on the leader's clock, in milliseconds
+     * @return the expected delay, in milliseconds
      */
     double estimateMillis(long now) {
-        double kept = Math.pow(0.5, (now - learntAt) / HALF_LIFE_MILLIS);
-        return PRIOR_MILLIS + (millis - PRIOR_MILLIS) * kept;
+        double weight = Math.pow(0.5, (now - lastSampleAt) / HALF_LIFE_MILLIS);
+        return PRIOR_MILLIS + (lastEstimateMillis - PRIOR_MILLIS) * weight;
     }
 }
--- a/src/main/java/org/standlink/cell/MovePlanner.java
+++ b/src/main/java/org/standlink/cell/MovePlanner.java
@@ -23,57 +23,44 @@
 import org.standlink.process.EventLog;
 
 /**
- * Moves best-effort runs that are throttled for the sake of serving ones to workers where they harm
- * nobody. A job ends with its slowest task, and a run that saves its state loses little by a stop.
+ * Moves best-effort runs that are throttled in favour of serving runs to workers where little
+ * interference is expected. A job ends with its slowest task, and a run with a checkpoint loses
+ * little when it is stopped.
  *
- * <p>{@code MovePlanner} is not thread-safe; the leader's loop owns it.
+ * <p>{@code MovePlanner} is not thread-safe; it is confined to the leader's event loop.
  */
 final class MovePlanner {
 
     /**
-     * How long a run must have been held back before it is moved, in milliseconds; two decisions on
-     * throttling, so that one rough figure moves nothing.
+     * How long a run must have been throttled before it is moved, in milliseconds: two throttling
+     * decisions, so that a single imprecise measurement moves nothing.
      */
-    private static final long HELD_BACK_MILLIS = 600;
+    private static final long MIN_THROTTLED_MILLIS = 600;
 
     /**
-     * The time between two rounds of moves, in milliseconds; a stop is listed within half of it.
+     * The interval between two rounds of moves, in milliseconds; a stop is reported within half of
+     * it.
      */
-    private static final long ROUND_MILLIS = 500;
+    private static final long ROUND_INTERVAL_MILLIS = 500;
 
-    /** How many times its cost a move must save. */
-    private static final double LEAST_GAIN = 2;
+    /** The factor by which the time saved by a move must exceed its cost. */
+    private static final double MIN_GAIN_FACTOR = 2;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(MovePlanner.class);
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** Chooses workers. */
     private final Placement placement;
 
-    /** Tells agents what to do. */
     private final OrderDispatcher orders;
 
-    /** Tells whether the store takes anything. */
     private final CommitQueue commits;
 
-    /** What a move costs. */
     private final MoveCostEstimator cost;
 
-    /** When the last round was, on the leader's clock. */
-    private long roundAt;
+    /** The time of the last round, on the leader's clock. */
+    private long lastRoundAt;
 
-    /**
-     * Constructor.
-     *
-     * @param workers the workers
-     * @param placement chooses workers
-     * @param orders tells agents what to do
-     * @param commits tells whether the store takes anything
-     * @param cost what a move costs
-     */
     MovePlanner(
             WorkerRegistry workers,
             Placement placement,
@@ -88,23 +75,25 @@
     }
 
     /**
-     * Stops runs that can go on elsewhere, if it is time to; the scheduler starts them there. Each
-     * worker is the aim of one move a round, so that no crowd forms. Nothing is moved while the
-     * store is silent: its stop would wait, and by then the idle room that it was decided for is
-     * taken by what was assigned meanwhile.
+     * Stops throttled runs that can continue on another worker, at most once per interval; the
+     * scheduler then restarts them there.
+     *
+     * <p>Each worker is the target of one move per round, which avoids concentrating the runs.
+     * Nothing is moved while the store is unresponsive: the stop would be delayed, and by then the
+     * idle capacity on which the decision rested would be taken by later assignments.
      *
      * @param now the time on the leader's clock, in milliseconds
      */
     void moveThrottledRuns(long now) {
-        if (now - roundAt < ROUND_MILLIS || commits.isStalled()) {
+        if (now - lastRoundAt < ROUND_INTERVAL_MILLIS || commits.isStalled()) {
             return;
         }
-        roundAt = now;
+        lastRoundAt = now;
         List<TaskEntry> moved = new ArrayList<>();
-        Set<WorkerEntry> taken = new HashSet<>();
+        Set<WorkerEntry> targets = new HashSet<>();
         for (WorkerEntry worker : workers.getWorkers()) {
             if (worker.getDescription() != null) {
-                moveFrom(worker, now, taken, moved);
+                moveFrom(worker, now, targets, moved);
             }
         }
         orders.stopAfterCommit(moved);
@@ -112,14 +101,14 @@
 
     // -----------------------------------------------------------------------
     private void moveFrom(
-            WorkerEntry worker, long now, Set<WorkerEntry> taken, List<TaskEntry> moved) {
+            WorkerEntry worker, long now, Set<WorkerEntry> targets, List<TaskEntry> moved) {
         for (TaskEntry task : worker.listTasks()) {
             if (!isMovable(task, worker, now)) {
                 continue;
             }
-            List<WorkerEntry> others = new ArrayList<>(usable(worker, now));
-            others.removeAll(taken);
-            WorkerEntry target = placement.choose(task, others);
+            List<WorkerEntry> candidates = new ArrayList<>(findOtherUsable(worker, now));
+            candidates.removeAll(targets);
+            WorkerEntry target = placement.choose(task, candidates);
             boolean better =
                     target != null
                             && placement.isInterferenceAcceptable(task, target)
@@ -128,7 +117,7 @@
                 continue;
             }
             task.beginMoveFromThrottled(now);
-            taken.add(target);
+            targets.add(target);
             moved.add(task);
             LOG.info("moving-throttled")
                     .with("run", task.getRun())
@@ -143,17 +132,20 @@
         }
     }
 
-    private List<WorkerEntry> usable(WorkerEntry worker, long now) {
+    private List<WorkerEntry> findOtherUsable(WorkerEntry worker, long now) {
         return workers.findUsable(worker.getDescription().service(), now).stream()
                 .filter(other -> other != worker)
                 .toList();
     }
 
-    /** A move must save twice its cost, since the next place may be held back as well. */
-    private boolean isWorthIt(TaskEntry task, WorkerEntry worker, long now) {
+    /**
+     * Requires that a move saves twice its cost, because the run may be throttled on the next
+     * worker as well.
+     */
+    private boolean isGainSufficient(TaskEntry task, WorkerEntry worker, long now) {
         double share = worker.getMetrics().getRunShare(task.getStep().image());
         double gain = task.getProgress().getRemainingMillis(now) * (1 - share);
-        return gain > LEAST_GAIN * cost.estimateMillis(now);
+        return gain > MIN_GAIN_FACTOR * cost.estimateMillis(now);
     }
 
     private boolean isMovable(TaskEntry task, WorkerEntry worker, long now) {
@@ -162,7 +154,7 @@
                 && step.checkpointing()
                 && !step.gang()
                 && task.isRunning()
-                && worker.getMetrics().isThrottled(step.image(), now, HELD_BACK_MILLIS)
-                && isWorthIt(task, worker, now);
+                && worker.getMetrics().isThrottled(step.image(), now, MIN_THROTTLED_MILLIS)
+                && isGainSufficient(task, worker, now);
     }
 }
--- a/src/main/java/org/standlink/cell/Placement.java
+++ b/src/main/java/org/standlink/cell/Placement.java
@@ -19,14 +19,15 @@
 import org.standlink.job.StepDefinition;
 
 /**
- * Chooses the worker for a task's next run.
+ * Selects the worker for a task's next run.
  *
- * <p>Implementations are immutable and decide from their arguments only.
+ * <p>Implementations decide from their arguments and the estimated interference only. They need not
+ * be thread-safe; they are used on the leader's event loop.
  */
 interface Placement {
 
     /**
-     * Chooses a worker.
+     * Selects a worker.
      *
      * @param task the task
      * @param workers the workers that may be used
@@ -35,37 +36,38 @@
     WorkerEntry choose(TaskEntry task, Collection<WorkerEntry> workers);
 
     /**
-     * Chooses a worker for a task that has waited long enough: one with room, also if the task will
-     * be crowded or throttled there.
+     * Selects a worker with sufficient free capacity for a task that has waited, even if the task
+     * will share overcommitted processors or be throttled there.
      *
      * @param task the task
      * @param workers the workers that may be used
-     * @return the worker, null if none has room
+     * @return the worker, null if none has sufficient capacity
      */
     WorkerEntry chooseAllowingInterference(TaskEntry task, Collection<WorkerEntry> workers);
 
     /**
-     * Chooses a worker for a task that can wait no longer: one with room, also if the task or one
-     * there may crash it.
+     * Selects a worker with sufficient free capacity for a task that cannot wait any longer, even
+     * if this task or one already running there may crash the worker.
      *
      * @param task the task
      * @param workers the workers that may be used
-     * @return the worker, null if none has room
+     * @return the worker, null if none has sufficient capacity
      */
     WorkerEntry chooseAllowingCrashRisk(TaskEntry task, Collection<WorkerEntry> workers);
 
     /**
-     * Checks whether a best-effort task is not expected to lengthen the tails of serving runs
-     * beyond their targets.
+     * Checks whether a task is not expected to lengthen the tail latency of serving runs beyond
+     * their targets.
      *
-     * @param task the task
+     * @param task the best-effort task
      * @param worker the worker
-     * @return true if it may work there all the time, as far as is known
+     * @return true if the task is expected to run there without being throttled
      */
     boolean isInterferenceAcceptable(TaskEntry task, WorkerEntry worker);
 
     /**
-     * Checks what holds for every placement: room, label and the most tasks of the step.
+     * Checks the constraints that hold for every placement: free capacity, the required label and
+     * the maximum number of tasks of the step on one worker.
      *
      * @param task the task
      * @param worker the worker
--- a/src/main/java/org/standlink/cell/Scheduler.java
+++ b/src/main/java/org/standlink/cell/Scheduler.java
@@ -26,91 +26,81 @@
 import org.standlink.process.EventLog;
 
 /**
- * Assigns tasks whose turn has come to workers.
+ * Assigns ready tasks to workers, in the order of priority and job value.
  *
- * <p>{@code Scheduler} is not thread-safe; the leader's loop owns it.
+ * <p>{@code Scheduler} is not thread-safe; it is confined to the leader's event loop.
  */
 final class Scheduler {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(Scheduler.class);
 
-    /** The time between two tellings of how many tasks wait, in milliseconds. */
-    private static final long TELL_MILLIS = 2000;
+    /** The interval between two log lines about waiting tasks, in milliseconds. */
+    private static final long WAITING_LOG_INTERVAL_MILLIS = 2000;
 
     /**
-     * How long nothing of a job may run before one of its tasks takes any room, in milliseconds;
-     * three times as long is too long for a caller while there is room.
+     * How long nothing of a job may run before its tasks accept any free capacity, despite
+     * interference and throttling, in milliseconds. With three times as long, callers wait too long
+     * while there is free capacity.
      */
-    private static final long MOST_STARVED_MILLIS = 1000;
+    private static final long INTERFERENCE_WAIT_MILLIS = 1000;
 
     /**
-     * How long nothing of a job may run, or a suspected task wait, before a task is put beside
-     * those that may crash their workers, in milliseconds; three seconds are too long for a caller
-     * while there is room.
+     * How long nothing of a job may run, or a suspected task wait for isolation, before a task is
+     * placed despite the risk of worker crashes, in milliseconds. Three seconds are too long for a
+     * caller while there is free capacity.
      */
-    private static final long LONGEST_STARVED_MILLIS = 2500;
+    private static final long CRASH_RISK_WAIT_MILLIS = 2500;
 
-    /** The jobs. */
-    private final JobRegistry board;
+    private final JobRegistry jobs;
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** Chooses workers. */
     private final Placement placement;
 
-    /** How many tasks of each job found no worker when this was told last. */
+    /** The number of tasks without a worker at the last scheduling, by job. */
     private final Map<String, Integer> waiting = new LinkedHashMap<>();
 
-    /** When it was told last how many tasks wait, on the leader's clock. */
-    private long toldAt;
+    /** When waiting tasks were logged last, on the leader's clock. */
+    private long waitingLoggedAt;
 
-    /** A job that may have tasks to start, its queue, and what it can still reach. */
-    private record Candidate(JobEntry job, QueueDefinition queue, JobValue outlook) {}
+    /** A job that may have tasks to start, its queue and its value. */
+    private record Candidate(JobEntry job, QueueDefinition queue, JobValue value) {}
 
-    /**
-     * Constructor.
-     *
-     * @param board the jobs
-     * @param workers the workers
-     * @param placement chooses workers
-     */
-    Scheduler(JobRegistry board, WorkerRegistry workers, Placement placement) {
-        this.board = board;
+    Scheduler(JobRegistry jobs, WorkerRegistry workers, Placement placement) {
+        this.jobs = jobs;
         this.workers = workers;
         this.placement = placement;
     }
 
     /**
-     * Assigns what can be assigned.
+     * Assigns ready tasks to usable workers and marks their jobs as changed.
      *
      * @param configuration the configuration in force
      * @param now the time on the leader's clock, in milliseconds
      * @param wallMillis the time of day, in milliseconds since 1970
-     * @return the tasks that were assigned; the change is marked on the board
+     * @return the assigned tasks
      */
     List<TaskEntry> schedule(Configuration configuration, long now, long wallMillis) {
         List<TaskEntry> assigned = new ArrayList<>();
         waiting.clear();
-        Map<String, List<WorkerEntry>> usable = new LinkedHashMap<>();
+        Map<String, List<WorkerEntry>> usableByService = new LinkedHashMap<>();
         for (Candidate candidate : candidates(configuration, now)) {
             String service = candidate.queue().service();
-            List<WorkerEntry> fit =
-                    usable.computeIfAbsent(service, name -> workers.findUsable(name, now));
-            if (!fit.isEmpty()) {
-                assign(candidate.job(), fit, now, wallMillis, assigned);
+            List<WorkerEntry> eligibleWorkers =
+                    usableByService.computeIfAbsent(service, name -> workers.findUsable(name, now));
+            if (!eligibleWorkers.isEmpty()) {
+                assign(candidate.job(), eligibleWorkers, now, wallMillis, assigned);
             } else if (!workers.getEvacuatedHalls().isEmpty()) {
                 countWaiting(candidate.job(), wallMillis);
             }
         }
-        tellWaiting(now);
+        logWaiting(now);
         return assigned;
     }
 
-    private void tellWaiting(long now) {
-        if (!waiting.isEmpty() && now - toldAt >= TELL_MILLIS) {
-            toldAt = now;
+    private void logWaiting(long now) {
+        if (!waiting.isEmpty() && now - waitingLoggedAt >= WAITING_LOG_INTERVAL_MILLIS) {
+            waitingLoggedAt = now;
             waiting.forEach(
                     (job, tasks) ->
                             LOG.info("waiting")
@@ -131,7 +121,7 @@
     // -----------------------------------------------------------------------
     private List<Candidate> candidates(Configuration configuration, long now) {
         List<Candidate> found = new ArrayList<>();
-        for (JobEntry job : board.getJobs()) {
+        for (JobEntry job : jobs.getJobs()) {
             if (!job.getState().isFinal()) {
                 configuration
                         .findQueue(job.getDefinition().queue())
@@ -143,28 +133,34 @@
             }
         }
         found.sort(
-                Comparator.comparingInt((Candidate one) -> one.queue().priority())
-                        .thenComparing(Candidate::outlook)
-                        .thenComparingLong(one -> one.job().getOrder()));
+                Comparator.comparingInt((Candidate candidate) -> candidate.queue().priority())
+                        .thenComparing(Candidate::value)
+                        .thenComparingLong(candidate -> candidate.job().getOrder()));
         return found;
     }
 
-    private WorkerEntry choose(JobEntry job, TaskEntry task, List<WorkerEntry> fit, long now) {
-        WorkerEntry worker = placement.choose(task, fit);
+    private WorkerEntry choose(
+            JobEntry job, TaskEntry task, List<WorkerEntry> eligibleWorkers, long now) {
+        WorkerEntry worker = placement.choose(task, eligibleWorkers);
         if (worker != null) {
             return worker;
         }
-        // A suspected task waits for a place apart while others of its job run.
+        // The wait of a suspected task for isolation also counts while other tasks of its job run.
         long waited = Math.max(job.recordStarvation(now), task.getTrial().recordIsolationWait(now));
-        if (waited >= MOST_STARVED_MILLIS) {
-            worker = placement.chooseAllowingInterference(task, fit);
+        if (waited >= INTERFERENCE_WAIT_MILLIS) {
+            worker = placement.chooseAllowingInterference(task, eligibleWorkers);
         }
-        boolean inNeed = worker == null && waited >= LONGEST_STARVED_MILLIS;
-        return inNeed && isRoomy(fit) ? placement.chooseAllowingCrashRisk(task, fit) : worker;
+        boolean acceptsCrashRisk = worker == null && waited >= CRASH_RISK_WAIT_MILLIS;
+        return acceptsCrashRisk && hasFreeHalf(eligibleWorkers)
+                ? placement.chooseAllowingCrashRisk(task, eligibleWorkers)
+                : worker;
     }
 
-    /** Where more than half is taken, a job waits for room as well as for a safe place. */
-    private static boolean isRoomy(List<WorkerEntry> workers) {
+    /**
+     * Checks whether at least half of the processors are free. With less, a job waits for capacity
+     * as well as for isolation.
+     */
+    private static boolean hasFreeHalf(List<WorkerEntry> workers) {
         long capacity = 0;
         long free = 0;
         for (WorkerEntry worker : workers) {
@@ -176,18 +172,21 @@
 
     private void assign(
             JobEntry job,
-            List<WorkerEntry> fit,
+            List<WorkerEntry> eligibleWorkers,
             long now,
             long wallMillis,
             List<TaskEntry> assigned) {
-        TaskName full = null;
+        TaskName withoutWorker = null;
         for (TaskEntry task : job.listReadyTasks(wallMillis)) {
-            // The tasks of a step are alike, but for those that are to begin apart: if one finds no
-            // worker, the next does not, either.
-            boolean waits = full != null && full.isOfSameStep(task.getName());
-            WorkerEntry worker = waits ? null : choose(job, task, fit, now);
+            // All tasks of a step have the same requirements, except those that require isolation:
+            // if no worker is found for one of them, none is found for the next.
+            boolean stepWaits = withoutWorker != null && withoutWorker.isOfSameStep(task.getName());
+            WorkerEntry worker = stepWaits ? null : choose(job, task, eligibleWorkers, now);
             if (worker == null) {
-                full = task.getTrial().getCrashes().requiresIsolation() ? full : task.getName();
+                withoutWorker =
+                        task.getTrial().getCrashes().requiresIsolation()
+                                ? withoutWorker
+                                : task.getName();
                 waiting.merge(job.getId().toString(), 1, Integer::sum);
                 continue;
             }
@@ -195,14 +194,14 @@
             task.assign(worker.getIncarnation());
             workers.addTask(task, worker.getLeaseExpiryMillis());
             if (!workers.recordAssignment(worker, now)) {
-                fit.remove(worker);
+                eligibleWorkers.remove(worker);
             }
-            board.markChanged(job);
+            jobs.markChanged(job);
             assigned.add(task);
             LOG.info("assigned")
                     .with("run", task.getRun())
                     .with("worker", worker.getIncarnation())
-                    .with("candidates", fit.size())
+                    .with("candidates", eligibleWorkers.size())
                     .write();
         }
     }
--- a/src/main/java/org/standlink/cell/WorkerInterference.java
+++ b/src/main/java/org/standlink/cell/WorkerInterference.java
@@ -23,39 +23,42 @@
 import org.standlink.policy.InterferenceTable;
 
 /**
- * What best-effort images are believed to do to the serving runs of each worker. It is worked out
- * once for as long as neither the worker's tasks nor the beliefs change.
+ * The estimated interference of best-effort images with the serving runs of each worker. Results
+ * are cached until the worker's tasks or the estimates change.
  *
- * <p>{@code WorkerInterference} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerInterference} is mutable and not thread-safe; it is confined to the leader's
+ * event loop.
  */
 final class WorkerInterference {
 
-    /** What is believed of images. */
-    private final InterferenceTable harm;
+    private final InterferenceTable estimates;
 
-    /** What was worked out for each worker. */
-    private final Map<WorkerEntry, View> views = new WeakHashMap<>();
+    /** The results by worker; weak keys, so that removed workers do not accumulate. */
+    private final Map<WorkerEntry, CachedResults> cache = new WeakHashMap<>();
 
-    /** What was worked out for one worker. */
-    private static final class View {
+    /** The cached results for one worker. */
+    private static final class CachedResults {
 
-        /** The number of changes of the worker's tasks that it rests on. */
-        private final long taskChanges;
+        /** The version of the worker's tasks on which the results rest. */
+        private final long taskVersion;
 
-        /** The version of the beliefs that it rests on. */
+        /** The version of the estimates on which the results rest. */
         private final long version;
 
         /** The images of serving runs that have a target. */
         private final List<String> serving;
 
-        /** The worst belief of each best-effort image that was asked for. */
+        /** The highest estimate for each best-effort image requested so far. */
         private final Map<String, Double> byImage = new HashMap<>();
 
-        /** The processors that best-effort runs there ask for, weighted by belief; or negative. */
+        /**
+         * The processors that best-effort runs request, weighted by their estimates, in thousandths
+         * of a core; negative if not calculated yet.
+         */
         private double pressure = -1;
 
-        View(WorkerEntry worker, long version) {
-            this.taskChanges = worker.getTaskVersion();
+        CachedResults(WorkerEntry worker, long version) {
+            this.taskVersion = worker.getTaskVersion();
             this.version = version;
             this.serving =
                     worker.listTasks().stream()
@@ -67,68 +70,64 @@
         }
     }
 
-    /**
-     * Constructor.
-     *
-     * @param harm what is believed of images
-     */
-    WorkerInterference(InterferenceTable harm) {
-        this.harm = harm;
+    WorkerInterference(InterferenceTable estimates) {
+        this.estimates = estimates;
     }
 
     /**
-     * Gets how much a best-effort image is believed to harm the serving runs of a worker.
+     * Gets the estimated interference of a best-effort image with the serving runs of a worker.
      *
      * @param image the image
      * @param worker the worker
-     * @return 0 for not at all, or if nothing serves there, to 1
+     * @return 0 for none, or if there are no serving runs with a target, to 1
      */
     double get(String image, WorkerEntry worker) {
-        return get(image, view(worker));
+        return get(image, getResults(worker));
     }
 
     /**
-     * Gets how many processors best-effort runs ask for that may harm the serving runs there.
+     * Gets the processors that best-effort runs on a worker request, weighted by their estimated
+     * interference with the serving runs there.
      *
      * @param worker the worker
-     * @return the sum in thousandths of a core, each weighted by what is believed
+     * @return the weighted sum, in thousandths of a core
      */
     double getPressure(WorkerEntry worker) {
-        View view = view(worker);
-        if (view.pressure < 0) {
-            view.pressure = 0;
+        CachedResults results = getResults(worker);
+        if (results.pressure < 0) {
+            results.pressure = 0;
             for (TaskEntry task : worker.listTasks()) {
                 StepDefinition step = task.getStep();
                 if (step.bestEffort()) {
-                    view.pressure += step.demand().milliCores() * get(step.image(), view);
+                    results.pressure += step.demand().milliCores() * get(step.image(), results);
                 }
             }
         }
-        return view.pressure;
+        return results.pressure;
     }
 
     // -----------------------------------------------------------------------
-    private View view(WorkerEntry worker) {
-        long version = harm.getVersion();
-        View known = views.get(worker);
-        if (known == null
-                || known.version != version
-                || known.taskChanges != worker.getTaskVersion()) {
-            known = new View(worker, version);
-            views.put(worker, known);
+    private CachedResults getResults(WorkerEntry worker) {
+        long version = estimates.getVersion();
+        CachedResults results = cache.get(worker);
+        if (results == null
+                || results.version != version
+                || results.taskVersion != worker.getTaskVersion()) {
+            results = new CachedResults(worker, version);
+            cache.put(worker, results);
         }
-        return known;
+        return results;
     }
 
-    private double get(String image, View view) {
-        return view.byImage.computeIfAbsent(
+    private double get(String image, CachedResults results) {
+        return results.byImage.computeIfAbsent(
                 image,
                 key -> {
-                    double worst = 0;
-                    for (String serving : view.serving) {
-                        worst = Math.max(worst, harm.get(serving, key));
+                    double max = 0;
+                    for (String serving : results.serving) {
+                        max = Math.max(max, estimates.get(serving, key));
                     }
-                    return worst;
+                    return max;
                 });
     }
 }
