--- a/src/main/java/org/standlink/cell/AgentReportHandler.java
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -33,188 +33,185 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Handles what agents report of their workers.
+ * Handles the reports of agents about their workers.
  *
- * <p>{@code AgentReportHandler} is not thread-safe; the leader's loop owns it.
+ * <p>{@code AgentReportHandler} is not thread-safe; it is confined to the leader's event loop.
  */
 final class AgentReportHandler {
 
-    /** For how long a worker that says it is unwell gets nothing new, in milliseconds. */
-    private static final long UNWELL_MILLIS = 1500;
+    /** How long a worker that reports itself as unhealthy gets no new runs, in milliseconds. */
+    private static final long UNHEALTHY_BACKOFF_MILLIS = 1500;
 
     /**
-     * How long a run may stand still, in milliseconds: a run of 6 s, on a worker slowed sixfold and
-     * crowded twofold, shows a further percent within half of it.
+     * How long a run may make no progress, in milliseconds. A run of 6 s, on a worker that is
+     * slowed sixfold and overcommitted twofold, progresses by a further percent within half of it.
      */
-    private static final long STALL_MILLIS = 1500;
+    private static final long STALL_TIMEOUT_MILLIS = 1500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(AgentReportHandler.class);
 
-    /** The jobs. */
-    private final JobRegistry board;
+    private final JobRegistry jobs;
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** The agents. */
     private final AgentRegistry agents;
 
-    /** Tells agents what to do. */
     private final OrderDispatcher orders;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** Learns what moves cost. */
     private final MoveCostEstimator moveCost;
 
-    /** Learns from figures. */
-    private final InterferenceLearner figures;
+    private final InterferenceLearner interferenceLearner;
 
-    /** Finds tasks that crash their workers. */
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
 
-    /** Takes runs off their workers. */
-    private final RunReleaser releases;
+    private final RunReleaser releaser;
 
-    /** Decides what becomes of the runs of workers that have started again. */
-    private final WorkerRestartHandler succession;
+    private final WorkerRestartHandler restartHandler;
 
-    /** Compares what runs with what should. */
-    private final RunReconciler comparison;
+    private final RunReconciler reconciler;
 
     /**
      * Constructor.
      *
-     * @param board the jobs
+     * @param jobs the jobs
      * @param workers the workers
      * @param agents the agents
-     * @param orders tells agents what to do
-     * @param mostAttempts tells how many runs of a job's task may fail
-     * @param clock the clock
-     * @param figures learns from figures
-     * @param moveCost learns what moves cost
+     * @param orders sends orders to the agents
+     * @param maxAttempts gets how many runs of a task of a job may fail
+     * @param clock the leader's clock
+     * @param interferenceLearner learns interference from the measurements
+     * @param moveCost learns the cost of moves
      */
     AgentReportHandler(
-            JobRegistry board,
+            JobRegistry jobs,
             WorkerRegistry workers,
             AgentRegistry agents,
             OrderDispatcher orders,
-            ToIntFunction<JobEntry> mostAttempts,
+            ToIntFunction<JobEntry> maxAttempts,
             MonotonicClock clock,
-            InterferenceLearner figures,
+            InterferenceLearner interferenceLearner,
             MoveCostEstimator moveCost) {
-        this.board = board;
+        this.jobs = jobs;
         this.workers = workers;
         this.agents = agents;
         this.orders = orders;
         this.clock = clock;
-        this.figures = figures;
+        this.interferenceLearner = interferenceLearner;
         this.moveCost = moveCost;
-        this.crashes = new CrashDetector(clock);
-        this.releases = new RunReleaser(board, workers, mostAttempts);
-        this.succession = new WorkerRestartHandler(workers, agents, crashes, releases, clock);
-        this.comparison = new RunReconciler(board, agents, orders);
+        this.crashDetector = new CrashDetector(clock);
+        this.releaser = new RunReleaser(jobs, workers, maxAttempts);
+        this.restartHandler =
+                new WorkerRestartHandler(workers, agents, crashDetector, releaser, clock);
+        this.reconciler = new RunReconciler(jobs, agents, orders);
     }
 
     /**
      * Handles a report.
      *
-     * @param connection where it came from
+     * @param connection the connection on which the report arrived
      * @param report the report
-     * @param leaseUntil until when the agent is granted a lease, on the leader's clock; 0 for none
-     * @return false if it does not count, so that nothing was done
+     * @param leaseExpiryMillis until when the agent is granted a lease, on the leader's clock; 0
+     *     for none
+     * @return false if the report was ignored, because it is out of date or because it revealed the
+     *     restart of a worker
      */
-    boolean handle(MessageChannel connection, AgentReport report, long leaseUntil) {
-        if (!agents.isCurrent(report) || succession.detectRestarts(report)) {
+    boolean handle(MessageChannel connection, AgentReport report, long leaseExpiryMillis) {
+        if (!agents.isCurrent(report) || restartHandler.detectRestarts(report)) {
             return false;
         }
-        for (WorkerReport part : report.workers()) {
-            WorkerEntry worker = workers.getOrAdd(part.worker().incarnation(), leaseUntil);
+        for (WorkerReport workerReport : report.workers()) {
+            WorkerEntry worker =
+                    workers.getOrAdd(workerReport.worker().incarnation(), leaseExpiryMillis);
             if (worker.isEnded()) {
                 continue;
             }
-            worker.extendLease(leaseUntil);
-            if (agents.isReachedByAnotherAgent(report.incarnation(), part, clock.nowMillis())) {
+            worker.extendLease(leaseExpiryMillis);
+            if (agents.isReachedByAnotherAgent(
+                    report.incarnation(), workerReport, clock.nowMillis())) {
                 continue;
             }
-            boolean first = worker.getDescription() == null;
-            worker.receiveReport(part.worker(), connection, part.reachable(), clock.nowMillis());
+            boolean firstReport = worker.getDescription() == null;
+            worker.receiveReport(
+                    workerReport.worker(), connection, workerReport.reachable(), clock.nowMillis());
             worker.setAgent(report.incarnation());
-            if (first) {
+            if (firstReport) {
                 workers.persistAddress(worker);
-                workers.findReplacedBy(worker).forEach(this::replaced);
+                workers.findReplacedBy(worker).forEach(this::handleReplacement);
             }
-            if (part.reachable()) {
-                crashes.recordContact(worker).forEach(releases::markTaskChanged);
+            if (workerReport.reachable()) {
+                crashDetector.recordContact(worker).forEach(releaser::markTaskChanged);
             }
-            if (!succession.isResolutionPending(worker, part)) {
-                handleWorker(worker, part, report);
+            if (!restartHandler.isResolutionPending(worker, workerReport)) {
+                handleWorker(worker, workerReport, report);
             }
         }
-        for (WorkerIncarnation dead : report.dead()) {
-            WorkerEntry worker = workers.find(dead);
+        for (WorkerIncarnation ended : report.dead()) {
+            WorkerEntry worker = workers.find(ended);
             if (worker != null && worker.isEnded()) {
-                // Its runs stay placed until the life that follows has listed its own.
+                // Its runs stay assigned until the next incarnation has listed its own.
                 continue;
             }
             if (worker != null) {
-                replaced(worker);
+                handleReplacement(worker);
             } else {
-                crashes.recordEnd(dead).forEach(releases::markTaskChanged);
+                crashDetector.recordEnd(ended).forEach(releaser::markTaskChanged);
             }
         }
         return true;
     }
 
-    private void replaced(WorkerEntry worker) {
-        crashes.recordCrash(worker).forEach(releases::markTaskChanged);
-        releases.releaseAll(worker, "worker-replaced");
+    private void handleReplacement(WorkerEntry worker) {
+        crashDetector.recordCrash(worker).forEach(releaser::markTaskChanged);
+        releaser.releaseAll(worker, "worker-replaced");
         workers.remove(worker);
     }
 
     /**
-     * Takes the jobs that have changed since this was called last.
+     * Returns the jobs that have changed since the last call, and clears the list.
      *
      * @return the jobs
      */
     Set<JobEntry> takeChangedJobs() {
-        return releases.takeChangedJobs();
+        return releaser.takeChangedJobs();
     }
 
     /**
-     * Gives up all runs of a worker, since its lease is over; orders for them are void from now on.
+     * Abandons all runs of a worker because its lease has expired. Earlier orders for them are
+     * superseded.
      *
      * @param worker the worker
-     * @param reason why, for the log
+     * @param reason the reason to be logged
      */
     void abandonRuns(WorkerEntry worker, String reason) {
         if (!worker.listTasks().isEmpty()) {
             if (!worker.isEnded()) {
-                crashes.recordLeaseExpiry(worker);
+                crashDetector.recordLeaseExpiry(worker);
             }
             agents.raiseGeneration(worker.getAgent(), reason);
-            releases.releaseAll(worker, reason);
+            releaser.releaseAll(worker, reason);
         }
     }
 
-    /** Stops runs that stand still, so that they go on elsewhere. */
+    /** Stops runs that make no progress, so that they continue on other workers. */
     void stopStalledRuns() {
         long now = clock.nowMillis();
-        crashes.removeExpired();
+        crashDetector.removeExpired();
         for (WorkerEntry worker : workers.getWorkers()) {
             if (!worker.isReachable()) {
-                // Its figures are old; its lease decides what becomes of its runs.
+                // Its progress reports are out of date; its runs are handled when its lease
+                // expires.
                 continue;
             }
             List<TaskEntry> stalled =
                     worker.listTasks().stream()
-                            .filter(task -> !isHeldBack(task, worker, now))
+                            .filter(task -> !isThrottled(task, worker, now))
                             .filter(
                                     task ->
                                             task.detectStall(
-                                                    worker.getLastReportMillis(), STALL_MILLIS))
+                                                    worker.getLastReportMillis(),
+                                                    STALL_TIMEOUT_MILLIS))
                             .toList();
             for (TaskEntry task : stalled) {
                 LOG.info("stalled")
@@ -227,43 +224,45 @@
         }
     }
 
-    /** A run that is throttled stands still on purpose. */
-    private static boolean isHeldBack(TaskEntry task, WorkerEntry worker, long now) {
+    /** Checks whether a run is throttled; such a run may make no progress intentionally. */
+    private static boolean isThrottled(TaskEntry task, WorkerEntry worker, long now) {
         return worker.getMetrics().isThrottled(task.getStep().image(), now, 0);
     }
 
     // -----------------------------------------------------------------------
-    private void handleWorker(WorkerEntry worker, WorkerReport part, AgentReport report) {
-        if (part.lapsed()) {
+    private void handleWorker(WorkerEntry worker, WorkerReport workerReport, AgentReport report) {
+        if (workerReport.lapsed()) {
             abandonRuns(worker, "lease-lapsed");
         }
-        part.running().forEach(progress -> saveProgress(progress, part.reachable()));
-        worker.getMetrics().updateThrottled(part.throttled(), clock.nowMillis());
-        figures.learn(worker, part.running());
-        handleEnds(worker, part.ended());
-        for (StartRefusal refusal : part.refused()) {
-            refused(worker, refusal);
+        workerReport
+                .running()
+                .forEach(progress -> saveProgress(progress, workerReport.reachable()));
+        worker.getMetrics().updateThrottled(workerReport.throttled(), clock.nowMillis());
+        interferenceLearner.learn(worker, workerReport.running());
+        handleEnds(worker, workerReport.ended());
+        for (StartRefusal refusal : workerReport.refused()) {
+            handleRefusal(worker, refusal);
         }
-        for (RunId run : part.gone()) {
+        for (RunId run : workerReport.gone()) {
             releaseRun(worker, run, "stopped-before-start");
         }
-        if (part.known()) {
-            comparison.reconcile(worker, part, report.incarnation());
+        if (workerReport.known()) {
+            reconciler.reconcile(worker, workerReport, report.incarnation());
         }
-        if (part.worker().draining()) {
+        if (workerReport.worker().draining()) {
             evacuate(worker);
         }
-        takeBackWhatIsOver(worker);
+        withdrawExcessOrders(worker);
     }
 
     private void saveProgress(RunProgress progress, boolean reachable) {
-        TaskEntry task = board.findTask(progress.run().task());
+        TaskEntry task = jobs.findTask(progress.run().task());
         if (task != null && task.getRun().equals(progress.run())) {
             task.saveCheckpoint(progress.checkpoint());
             task.getProgress().update(progress.percent(), clock.nowMillis());
-            long took = task.takeMoveDurationMillis(clock.nowMillis());
-            if (took >= 0) {
-                moveCost.addSample(took, clock.nowMillis());
+            long moveMillis = task.takeMoveDurationMillis(clock.nowMillis());
+            if (moveMillis >= 0) {
+                moveCost.addSample(moveMillis, clock.nowMillis());
             }
             if (reachable) {
                 task.getTrial().recordRunning(clock.nowMillis());
@@ -272,20 +271,20 @@
     }
 
     private void handleEnds(WorkerEntry worker, List<RunEnd> ends) {
-        long before = worker.getEnds().getLastHandled();
+        long lastHandled = worker.getEnds().getLastHandled();
         for (RunEnd end : ends) {
             if (end.number() > worker.getEnds().getLastHandled()) {
                 worker.getEnds().markHandled(end.number());
                 handleEnd(worker, end);
             }
         }
-        if (!ends.isEmpty() || worker.getEnds().getLastHandled() > before) {
+        if (!ends.isEmpty() || worker.getEnds().getLastHandled() > lastHandled) {
             orders.acknowledgeEndsAfterCommit(worker);
         }
     }
 
     private void handleEnd(WorkerEntry worker, RunEnd end) {
-        TaskEntry task = board.findTask(end.run().task());
+        TaskEntry task = jobs.findTask(end.run().task());
         LOG.info("ended")
                 .with("run", end.run())
                 .with("worker", worker.getIncarnation())
@@ -299,40 +298,40 @@
         if (end.kind() == RunEndKind.DONE || end.kind() == RunEndKind.FAILED) {
             workers.recordOutcome(worker, end.kind() == RunEndKind.DONE, clock.nowMillis());
         }
-        WorkerIncarnation place = task.getWorker();
+        WorkerIncarnation formerWorker = task.getWorker();
         if (!task.recordEnd(worker.getIncarnation(), end)) {
             return;
         }
-        if (place != null && task.getWorker() == null) {
-            workers.removeTask(task, place);
-        } else if (task.isDone() && place != null) {
-            // Another run of a task that is done by now has nothing left to do.
+        if (formerWorker != null && task.getWorker() == null) {
+            workers.removeTask(task, formerWorker);
+        } else if (task.isDone() && formerWorker != null) {
+            // Another run of the task has completed it, so this one is not needed.
             orders.stopAfterCommit(List.of(task));
         }
-        releases.markTaskChanged(task);
+        releaser.markTaskChanged(task);
     }
 
-    private void refused(WorkerEntry worker, StartRefusal refusal) {
+    private void handleRefusal(WorkerEntry worker, StartRefusal refusal) {
         if (refusal.unwell()) {
-            worker.getHealth().avoidUntil(clock.nowMillis() + UNWELL_MILLIS);
+            worker.getHealth().avoidUntil(clock.nowMillis() + UNHEALTHY_BACKOFF_MILLIS);
         }
         releaseRun(worker, refusal.run(), refusal.reason());
     }
 
     private void releaseRun(WorkerEntry worker, RunId run, String reason) {
-        TaskEntry task = board.findTask(run.task());
+        TaskEntry task = jobs.findTask(run.task());
         boolean current =
                 task != null
                         && task.getRun().equals(run)
                         && worker.getIncarnation().equals(task.getWorker());
         if (current) {
-            releases.release(task, worker.getIncarnation(), reason);
+            releaser.release(task, worker.getIncarnation(), reason);
         }
     }
 
     /**
-     * Stops what can go on elsewhere without loss, while a leaving worker can still save it; the
-     * rest may end there in time.
+     * Stops runs that can continue elsewhere without loss while a draining worker can still save
+     * their state; other runs may finish there in time.
      */
     private void evacuate(WorkerEntry worker) {
         List<TaskEntry> movable =
@@ -353,26 +352,26 @@
     }
 
     /**
-     * Takes back orders that a worker may not have had yet and that its room does not hold any
-     * more; what is at work there may go on.
+     * Withdraws orders that a worker may not have received yet and that exceed its present
+     * capacity. Runs that the worker has listed may continue.
      */
-    private void takeBackWhatIsOver(WorkerEntry worker) {
-        Resources room = worker.getDescription().capacity();
-        Resources taken = worker.getLoad().getReserved();
-        List<TaskEntry> back = new ArrayList<>();
+    private void withdrawExcessOrders(WorkerEntry worker) {
+        Resources capacity = worker.getDescription().capacity();
+        Resources reserved = worker.getLoad().getReserved();
+        List<TaskEntry> withdrawn = new ArrayList<>();
         for (TaskEntry task : worker.listTasks()) {
-            boolean over = !taken.fitsIn(room);
-            if (over && !task.isListed() && task.beginMove()) {
-                taken = taken.minus(task.getStep().requiredCapacity());
-                back.add(task);
+            boolean exceeded = !reserved.fitsIn(capacity);
+            if (exceeded && !task.isListed() && task.beginMove()) {
+                reserved = reserved.minus(task.getStep().requiredCapacity());
+                withdrawn.add(task);
             }
         }
-        if (!back.isEmpty()) {
+        if (!withdrawn.isEmpty()) {
             LOG.info("orders-withdrawn")
                     .with("worker", worker.getIncarnation())
-                    .with("runs", back.size())
+                    .with("runs", withdrawn.size())
                     .write();
-            orders.stopAfterCommit(back);
+            orders.stopAfterCommit(withdrawn);
         }
     }
 }
--- a/src/main/java/org/standlink/cell/OrderDispatcher.java
+++ b/src/main/java/org/standlink/cell/OrderDispatcher.java
@@ -30,49 +30,38 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * Tells agents which runs to start and to stop, once the decision has been kept.
+ * Sends orders to start and stop runs to agents, once the decisions are durable.
  *
- * <p>What an agent did not hear it is told again when it has connected anew.
+ * <p>Orders that an agent did not receive are sent again after it has reconnected.
  *
- * <p>{@code OrderDispatcher} is not thread-safe; the leader's loop owns it.
+ * <p>{@code OrderDispatcher} is not thread-safe; it is confined to the leader's event loop.
  */
 final class OrderDispatcher {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(OrderDispatcher.class);
 
-    /** The epoch. */
     private final Epoch epoch;
 
-    /** The jobs. */
-    private final JobRegistry board;
+    private final JobRegistry jobs;
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** Keeps decisions. */
     private final CommitQueue commits;
 
-    /** An order to start the last run of a task, as it was decided. */
-    private record Start(TaskEntry task, StartOrder order) {}
-
     /**
-     * Constructor.
-     *
-     * @param epoch the epoch
-     * @param board the jobs
-     * @param workers the workers
-     * @param commits keeps decisions
+     * An order to start the last run of a task, with the task as it was when the decision was made.
      */
-    OrderDispatcher(Epoch epoch, JobRegistry board, WorkerRegistry workers, CommitQueue commits) {
+    private record Start(TaskEntry task, StartOrder order) {}
+
+    OrderDispatcher(Epoch epoch, JobRegistry jobs, WorkerRegistry workers, CommitQueue commits) {
         this.epoch = epoch;
-        this.board = board;
+        this.jobs = jobs;
         this.workers = workers;
         this.commits = commits;
     }
 
     /**
-     * Has runs started once all changes so far have been kept.
+     * Sends orders to start runs once all changes so far are durable.
      *
      * @param tasks the tasks whose last run is to be started
      */
@@ -83,16 +72,16 @@
         }
         byWorker.forEach(
                 (id, list) -> {
-                    List<Start> starts = list.stream().map(this::start).toList();
-                    LeaseGeneration given = workers.find(id).getSyncedGeneration();
-                    commits.afterCommit(() -> send(id, given, starts, List.of()));
+                    List<Start> starts = list.stream().map(this::toStart).toList();
+                    LeaseGeneration generation = workers.find(id).getSyncedGeneration();
+                    commits.afterCommit(() -> send(id, generation, starts, List.of()));
                 });
     }
 
     /**
-     * Has runs stopped once all changes so far have been kept.
+     * Sends orders to stop runs once all changes so far are durable.
      *
-     * @param tasks the tasks; those that run nowhere are passed over
+     * @param tasks the tasks; those without a worker are ignored
      */
     void stopAfterCommit(List<TaskEntry> tasks) {
         Map<WorkerIncarnation, List<RunId>> byWorker = new LinkedHashMap<>();
@@ -102,49 +91,51 @@
                         .add(task.getRun());
             }
         }
-        byWorker.forEach((id, runs) -> commits.afterCommit(() -> sendNow(id, List.of(), runs)));
+        byWorker.forEach(
+                (id, runs) ->
+                        commits.afterCommit(() -> sendUnderCurrentGeneration(id, List.of(), runs)));
     }
 
     /**
-     * Stops runs that should not be there.
+     * Stops runs that are not expected on a worker.
      *
-     * @param id the worker
+     * @param id the incarnation of the worker
      * @param runs the runs
      */
     void stopUnexpected(WorkerIncarnation id, List<RunId> runs) {
         if (!runs.isEmpty()) {
             LOG.info("unexpected-runs").with("worker", id).with("runs", runs).write();
-            commits.afterCommit(() -> sendNow(id, List.of(), runs));
+            commits.afterCommit(() -> sendUnderCurrentGeneration(id, List.of(), runs));
         }
     }
 
     /**
-     * Tells a worker's agent which ends have been recorded, once they have.
+     * Acknowledges the recorded ends to a worker's agent once the records are durable.
      *
      * @param worker the worker
      */
     void acknowledgeEndsAfterCommit(WorkerEntry worker) {
-        // Ends that are handled while the append is under way are not part of it.
+        // Ends that are handled while the append is in flight are not covered by it.
         long number = worker.getEnds().getLastHandled();
         commits.afterCommit(
                 () -> {
                     worker.getEnds().markRecorded(number);
-                    sendNow(worker.getIncarnation(), List.of(), List.of());
+                    sendUnderCurrentGeneration(worker.getIncarnation(), List.of(), List.of());
                 });
     }
 
     /**
-     * Tells an agent that has connected anew all that should run on a worker.
+     * Sends a reconnected agent all orders for a worker.
      *
      * @param worker the worker
-     * @param present the runs that are there already
+     * @param present the expected runs that the worker already has
      */
     void syncAfterCommit(WorkerEntry worker, List<RunId> present) {
         List<Start> starts = new ArrayList<>();
         List<RunId> stops = new ArrayList<>();
         for (TaskEntry task : worker.listTasks()) {
             if (shouldRun(task)) {
-                starts.add(start(task));
+                starts.add(toStart(task));
             } else {
                 stops.add(task.getRun());
             }
@@ -155,29 +146,29 @@
                 .with("starts", starts.size())
                 .with("stops", stops.size())
                 .write();
-        LeaseGeneration given = worker.getSyncedGeneration();
-        commits.afterCommit(() -> send(worker.getIncarnation(), given, starts, stops));
+        LeaseGeneration generation = worker.getSyncedGeneration();
+        commits.afterCommit(() -> send(worker.getIncarnation(), generation, starts, stops));
     }
 
     /**
-     * Checks whether a task should run.
+     * Checks whether the last run of a task should be running.
      *
      * @param task the task
-     * @return false if it is done or to go on elsewhere, or if its job is final
+     * @return false if the task is done or is being moved, or if its job is in a final state
      */
     boolean shouldRun(TaskEntry task) {
         return !task.isDone()
                 && !task.isStopping()
-                && !board.find(task.getName().job()).getState().isFinal();
+                && !jobs.find(task.getName().job()).getState().isFinal();
     }
 
     // -----------------------------------------------------------------------
-    private Start start(TaskEntry task) {
+    private Start toStart(TaskEntry task) {
         StepDefinition step = task.getStep();
         StartOrder order =
                 new StartOrder(
                         task.getRun(),
-                        board.find(task.getName().job()).getDefinition().specification(),
+                        jobs.find(task.getName().job()).getDefinition().specification(),
                         task.getCheckpoint(),
                         step.bestEffort(),
                         step.targetMillis(),
@@ -186,17 +177,18 @@
     }
 
     /**
-     * Checks whether an order still holds. A job that was refused and handed in again has other
-     * tasks under the same names, whose record may not have been kept yet.
+     * Checks whether an order is still valid. A job that was rejected and submitted again has other
+     * tasks under the same names, whose records may not be durable yet.
      */
-    private boolean isInForce(Start start, WorkerIncarnation id) {
+    private boolean isValid(Start start, WorkerIncarnation id) {
         TaskEntry task = start.task();
-        return board.findTask(task.getName()) == task
+        return jobs.findTask(task.getName()) == task
                 && task.getRun().equals(start.order().run())
                 && id.equals(task.getWorker());
     }
 
-    private void sendNow(WorkerIncarnation id, List<Start> starts, List<RunId> stops) {
+    private void sendUnderCurrentGeneration(
+            WorkerIncarnation id, List<Start> starts, List<RunId> stops) {
         WorkerEntry worker = workers.find(id);
         if (worker != null) {
             send(id, worker.getSyncedGeneration(), starts, stops);
@@ -204,28 +196,32 @@
     }
 
     /**
-     * An order names the lease under which it was given, though it leaves once it has been kept.
+     * Sends orders under the lease generation that was current at the decision, which may have been
+     * superseded by the time the decision is durable.
      */
     private void send(
-            WorkerIncarnation id, LeaseGeneration given, List<Start> starts, List<RunId> stops) {
+            WorkerIncarnation id,
+            LeaseGeneration generation,
+            List<Start> starts,
+            List<RunId> stops) {
         WorkerEntry worker = workers.find(id);
         if (worker == null || worker.getConnection() == null) {
             return;
         }
-        List<StartOrder> present =
-                starts.stream().filter(start -> isInForce(start, id)).map(Start::order).toList();
+        List<StartOrder> validStarts =
+                starts.stream().filter(start -> isValid(start, id)).map(Start::order).toList();
         try {
             worker.getConnection()
                     .send(
                             new RunOrders(
                                     epoch,
-                                    given,
+                                    generation,
                                     id,
-                                    present,
+                                    validStarts,
                                     stops,
                                     worker.getEnds().getLastRecorded()));
-        } catch (StandlinkException lost) {
-            LOG.info("orders-not-sent").with("worker", id).with("cause", lost).write();
+        } catch (StandlinkException failure) {
+            LOG.info("orders-not-sent").with("worker", id).with("cause", failure).write();
         }
     }
 }
--- a/src/main/java/org/standlink/cell/RunReconciler.java
+++ b/src/main/java/org/standlink/cell/RunReconciler.java
@@ -25,58 +25,49 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Compares what a worker runs with what it should run: tells a new agent all, and stops what should
- * not be there.
+ * Compares the runs that a worker reports with those that should be there: sends all orders to a
+ * new agent, and stops unexpected runs.
  *
- * <p>{@code RunReconciler} is not thread-safe; the leader's loop owns it.
+ * <p>{@code RunReconciler} is not thread-safe; it is confined to the leader's event loop.
  */
 final class RunReconciler {
 
-    /** The jobs. */
-    private final JobRegistry board;
+    private final JobRegistry jobs;
 
-    /** The agents. */
     private final AgentRegistry agents;
 
-    /** Tells agents what to do. */
     private final OrderDispatcher orders;
 
-    /**
-     * Constructor.
-     *
-     * @param board the jobs
-     * @param agents the agents
-     * @param orders tells agents what to do
-     */
-    RunReconciler(JobRegistry board, AgentRegistry agents, OrderDispatcher orders) {
-        this.board = board;
+    RunReconciler(JobRegistry jobs, AgentRegistry agents, OrderDispatcher orders) {
+        this.jobs = jobs;
         this.agents = agents;
         this.orders = orders;
     }
 
     /**
-     * Compares what a worker runs with what it should run.
+     * Compares the runs of a worker with those that should be there.
      *
      * @param worker the worker
-     * @param part what is reported of it
-     * @param agent the run of the agent that reports
+     * @param workerReport the report about the worker
+     * @param agent the incarnation of the agent that reports
      */
-    void reconcile(WorkerEntry worker, WorkerReport part, Incarnation agent) {
+    void reconcile(WorkerEntry worker, WorkerReport workerReport, Incarnation agent) {
         List<RunId> present = new ArrayList<>();
-        List<RunId> stray = new ArrayList<>();
-        Resources strayRoom = Resources.NONE;
-        for (RunProgress progress : part.running()) {
+        List<RunId> unexpected = new ArrayList<>();
+        Resources unexpectedUsage = Resources.NONE;
+        for (RunProgress progress : workerReport.running()) {
             TaskEntry task = worker.findTask(progress.run().task());
-            boolean placed = task != null && task.getRun().equals(progress.run());
-            // A run that is to end stays placed here until it has; an order to stop it may be lost.
-            boolean expected = placed && orders.shouldRun(task);
-            (expected ? present : stray).add(progress.run());
-            if (!placed) {
-                strayRoom = strayRoom.plus(roomOf(worker, progress.run()));
+            boolean assigned = task != null && task.getRun().equals(progress.run());
+            // A run that is being stopped stays assigned until it has ended, because the order may
+            // be lost.
+            boolean expected = assigned && orders.shouldRun(task);
+            (expected ? present : unexpected).add(progress.run());
+            if (!assigned) {
+                unexpectedUsage = unexpectedUsage.plus(requiredCapacity(worker, progress.run()));
             }
         }
-        worker.getLoad().setUnexpectedUsage(strayRoom);
-        orders.stopUnexpected(worker.getIncarnation(), stray);
+        worker.getLoad().setUnexpectedUsage(unexpectedUsage);
+        orders.stopUnexpected(worker.getIncarnation(), unexpected);
         LeaseGeneration generation = agents.getGeneration(agent);
         if (!generation.equals(worker.getSyncedGeneration())) {
             worker.setSyncedGeneration(generation);
@@ -84,9 +75,12 @@
         }
     }
 
-    /** The room of a run whose job is not known any more may be all that there is. */
-    private Resources roomOf(WorkerEntry worker, RunId run) {
-        TaskEntry task = board.findTask(run.task());
+    /**
+     * Gets the capacity that an unexpected run may use: all of the worker's if its job is not known
+     * any more.
+     */
+    private Resources requiredCapacity(WorkerEntry worker, RunId run) {
+        TaskEntry task = jobs.findTask(run.task());
         return task == null
                 ? worker.getDescription().capacity()
                 : task.getStep().requiredCapacity();
--- a/src/main/java/org/standlink/cell/RunReleaser.java
+++ b/src/main/java/org/standlink/cell/RunReleaser.java
@@ -23,45 +23,36 @@
 import org.standlink.process.EventLog;
 
 /**
- * Takes runs that are over without an end off their workers, and remembers which jobs have changed.
+ * Releases runs from their workers that are over without having reported an end, and collects the
+ * jobs that have changed.
  *
- * <p>{@code RunReleaser} is not thread-safe; the leader's loop owns it.
+ * <p>{@code RunReleaser} is not thread-safe; it is confined to the leader's event loop.
  */
 final class RunReleaser {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(AgentReportHandler.class);
 
-    /** The jobs. */
-    private final JobRegistry board;
+    private final JobRegistry jobs;
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** Tells how many runs of a job's task may fail. */
-    private final ToIntFunction<JobEntry> mostAttempts;
+    /** Gets how many runs of a task of a job may fail. */
+    private final ToIntFunction<JobEntry> maxAttempts;
 
-    /** The jobs that have changed since they were taken last. */
-    private Set<JobEntry> touched = new LinkedHashSet<>();
+    /** The jobs changed since the last call of {@link #takeChangedJobs()}. */
+    private Set<JobEntry> changedJobs = new LinkedHashSet<>();
 
-    /**
-     * Constructor.
-     *
-     * @param board the jobs
-     * @param workers the workers
-     * @param mostAttempts tells how many runs of a job's task may fail
-     */
-    RunReleaser(JobRegistry board, WorkerRegistry workers, ToIntFunction<JobEntry> mostAttempts) {
-        this.board = board;
+    RunReleaser(JobRegistry jobs, WorkerRegistry workers, ToIntFunction<JobEntry> maxAttempts) {
+        this.jobs = jobs;
         this.workers = workers;
-        this.mostAttempts = mostAttempts;
+        this.maxAttempts = maxAttempts;
     }
 
     /**
-     * Takes all runs off a worker.
+     * Releases all runs of a worker.
      *
      * @param worker the worker
-     * @param reason why, for the log
+     * @param reason the reason to be logged
      */
     void releaseAll(WorkerEntry worker, String reason) {
         for (TaskEntry task : List.copyOf(worker.listTasks())) {
@@ -70,47 +61,47 @@
     }
 
     /**
-     * Takes the last run of a task off its worker.
+     * Releases the last run of a task from its worker.
      *
      * @param task the task
-     * @param place the worker
-     * @param reason why, for the log
+     * @param incarnation the worker
+     * @param reason the reason to be logged
      */
-    void release(TaskEntry task, WorkerIncarnation place, String reason) {
+    void release(TaskEntry task, WorkerIncarnation incarnation, String reason) {
         LOG.info("released")
                 .with("run", task.getRun())
-                .with("worker", place)
+                .with("worker", incarnation)
                 .with("reason", reason)
                 .write();
         task.release();
-        workers.removeTask(task, place);
+        workers.removeTask(task, incarnation);
         markTaskChanged(task);
     }
 
     /**
-     * Takes note that something of a task has changed.
+     * Updates the state of a task's job and marks the job as changed.
      *
-     * @param task the task
+     * @param task the task; ignored if its job is not registered any more
      */
     void markTaskChanged(TaskEntry task) {
-        JobEntry job = board.find(task.getName().job());
+        JobEntry job = jobs.find(task.getName().job());
         if (job == null || job.findTask(task.getName()) != task) {
-            // A crash that is told late may be of a job that is forgotten by now.
+            // A crash that is reported late may concern a job that has been removed.
             return;
         }
-        job.updateState(mostAttempts.applyAsInt(job));
-        board.markChanged(job);
-        touched.add(job);
+        job.updateState(maxAttempts.applyAsInt(job));
+        jobs.markChanged(job);
+        changedJobs.add(job);
     }
 
     /**
-     * Takes the jobs that have changed since this was called last.
+     * Returns the jobs that have changed since the last call, and clears the list.
      *
      * @return the jobs
      */
     Set<JobEntry> takeChangedJobs() {
-        Set<JobEntry> taken = touched;
-        touched = new LinkedHashSet<>();
+        Set<JobEntry> taken = changedJobs;
+        changedJobs = new LinkedHashSet<>();
         return taken;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerRestartHandler.java
+++ b/src/main/java/org/standlink/cell/WorkerRestartHandler.java
@@ -26,156 +26,156 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Decides what becomes of the runs of a worker that has started again under its id.
+ * Resolves the runs of a worker that has restarted under its id.
  *
- * <p>A call names the id alone, so one that was meant for the former life may be carried out late
- * by the present one: a start given up too early would begin beside the run that takes its place,
- * and a renewal would make the worker forget ends that nobody has heard of. Therefore the
- * generation of the agent's lease rises first, and the runs stay placed until the present life has
- * listed what it runs under that generation. From then on it refuses all that came before. Runs
- * that it lists go on there; the others ended with the former life.
+ * <p>Calls to a worker carry only its id, so a call that was meant for the previous incarnation may
+ * be executed late by the current one: a start that was abandoned too early would begin beside the
+ * run that replaces it, and a lease renewal would make the worker discard ends that nobody has
+ * received. Therefore the generation of the agent's lease is raised first, and the runs stay
+ * assigned until the current incarnation has listed its runs under that generation. From then on it
+ * refuses calls of earlier generations. Runs that it lists continue there; the others ended with
+ * the previous incarnation.
  *
- * <p>{@code WorkerRestartHandler} is not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerRestartHandler} is not thread-safe; it is confined to the leader's event loop.
  */
 final class WorkerRestartHandler {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerRestartHandler.class);
 
-    /** The workers. */
     private final WorkerRegistry workers;
 
-    /** The agents. */
     private final AgentRegistry agents;
 
-    /** Finds tasks that crash their workers. */
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
 
-    /** Takes runs off their workers. */
-    private final RunReleaser releases;
+    private final RunReleaser releaser;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /**
-     * Constructor.
-     *
-     * @param workers the workers
-     * @param agents the agents
-     * @param crashes finds tasks that crash their workers
-     * @param releases takes runs off their workers
-     * @param clock the clock
-     */
     WorkerRestartHandler(
             WorkerRegistry workers,
             AgentRegistry agents,
-            CrashDetector crashes,
-            RunReleaser releases,
+            CrashDetector crashDetector,
+            RunReleaser releaser,
             MonotonicClock clock) {
         this.workers = workers;
         this.agents = agents;
-        this.crashes = crashes;
-        this.releases = releases;
+        this.crashDetector = crashDetector;
+        this.releaser = releaser;
         this.clock = clock;
     }
 
     /**
-     * Takes note of the lives that are over, as another one of the same worker has answered.
+     * Marks incarnations as ended if another incarnation of the same worker has answered.
      *
-     * @param report a report that names what this leader has told its sender
-     * @return true if the generation of the sender's lease has risen, so that the report counts for
-     *     nothing more
+     * @param report a report that carries the current lease generation of its sender
+     * @return true if the generation of the sender's lease was raised, so that the report must be
+     *     ignored
      */
     boolean detectRestarts(AgentReport report) {
-        boolean begun = false;
-        for (WorkerReport part : report.workers()) {
-            for (WorkerEntry former : workers.findOtherIncarnations(part.worker().incarnation())) {
-                boolean over =
+        boolean raised = false;
+        for (WorkerReport workerReport : report.workers()) {
+            for (WorkerEntry former :
+                    workers.findOtherIncarnations(workerReport.worker().incarnation())) {
+                boolean ended =
                         former.isEnded()
                                 || report.dead().contains(former.getIncarnation())
-                                || isFollowed(former, part, report.incarnation());
-                begun |= over && end(former, part.worker().incarnation(), report.incarnation());
+                                || isReplaced(former, workerReport, report.incarnation());
+                raised |=
+                        ended
+                                && endIncarnation(
+                                        former,
+                                        workerReport.worker().incarnation(),
+                                        report.incarnation());
             }
         }
-        return begun;
+        return raised;
     }
 
     /**
-     * Checks whether it is still open what became of the runs of a worker's former lives; once it
-     * is not, they go on where they are listed or are taken off.
+     * Checks whether the runs of a worker's previous incarnations are still to be resolved. If the
+     * report allows it, resolves them: they continue where they are listed, and are released
+     * otherwise.
      *
-     * @param present the present life
-     * @param part what is reported of it
-     * @return true if the report of it counts for nothing more
+     * @param current the current incarnation
+     * @param workerReport the report about the current incarnation
+     * @return true if the runs are still unresolved, so that the report must be ignored
      */
-    boolean isResolutionPending(WorkerEntry present, WorkerReport part) {
-        List<WorkerEntry> formers =
-                workers.findOtherIncarnations(present.getIncarnation()).stream()
+    boolean isResolutionPending(WorkerEntry current, WorkerReport workerReport) {
+        List<WorkerEntry> endedIncarnations =
+                workers.findOtherIncarnations(current.getIncarnation()).stream()
                         .filter(WorkerEntry::isEnded)
                         .toList();
-        boolean open = !formers.isEmpty() && !(part.listed() && part.reachable());
-        if (!open) {
-            formers.forEach(former -> settle(former, present, part));
+        boolean pending =
+                !endedIncarnations.isEmpty()
+                        && !(workerReport.listed() && workerReport.reachable());
+        if (!pending) {
+            endedIncarnations.forEach(former -> resolveRuns(former, current, workerReport));
         }
-        return open;
+        return pending;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Tells whether a life follows another one. Both may be told of by different agents, if the
-     * worker has moved; then the one that does not answer any more, or was born first, is over.
+     * Checks whether an incarnation has been replaced by another one. If the worker has moved,
+     * different agents may report the two; then the one that does not respond any more, or that
+     * started earlier, has ended.
      */
-    private boolean isFollowed(WorkerEntry former, WorkerReport part, Incarnation agent) {
-        boolean silent =
+    private boolean isReplaced(WorkerEntry former, WorkerReport workerReport, Incarnation agent) {
+        boolean unresponsive =
                 !former.isReachable()
                         || clock.nowMillis() - former.getLastReportMillis()
                                 >= WorkerRegistry.REPORT_TIMEOUT_MILLIS;
-        return part.reachable()
-                && (silent
+        return workerReport.reachable()
+                && (unresponsive
                         || agent.equals(former.getAgent())
-                        || part.worker().incarnation().isStartedAfter(former.getIncarnation()));
+                        || workerReport
+                                .worker()
+                                .incarnation()
+                                .isStartedAfter(former.getIncarnation()));
     }
 
-    /** Ends a life; false if all orders of it are barred already where the next one is. */
-    private boolean end(WorkerEntry former, WorkerIncarnation present, Incarnation agent) {
-        LeaseGeneration known = agents.getGeneration(agent);
-        if (former.isEnded() && !former.getFenceGeneration().isAfter(known)) {
+    /** Ends an incarnation; returns false if its orders are already refused by the current one. */
+    private boolean endIncarnation(
+            WorkerEntry former, WorkerIncarnation current, Incarnation agent) {
+        LeaseGeneration generation = agents.getGeneration(agent);
+        if (former.isEnded() && !former.getFenceGeneration().isAfter(generation)) {
             return false;
         }
         if (!former.isEnded() && former.getIncarnation().hasStartTime()) {
-            crashes.recordCrash(former).forEach(releases::markTaskChanged);
+            crashDetector.recordCrash(former).forEach(releaser::markTaskChanged);
         }
         agents.raiseGeneration(agent, "worker-started-again");
         former.markEnded(agents.getGeneration(agent));
         LOG.info("worker-started-again")
                 .with("former", former.getIncarnation())
-                .with("present", present)
+                .with("present", current)
                 .with("runs", former.listTasks().size())
                 .with("generation", former.getFenceGeneration())
                 .write();
         return true;
     }
 
-    private void settle(WorkerEntry former, WorkerEntry present, WorkerReport part) {
+    private void resolveRuns(WorkerEntry former, WorkerEntry current, WorkerReport workerReport) {
         for (TaskEntry task : List.copyOf(former.listTasks())) {
-            if (isListed(part, task.getRun())) {
+            if (isListed(workerReport, task.getRun())) {
                 LOG.info("taken-over")
                         .with("run", task.getRun())
-                        .with("worker", present.getIncarnation())
+                        .with("worker", current.getIncarnation())
                         .write();
                 former.removeTask(task);
-                task.setWorker(present.getIncarnation());
-                present.addTask(task);
-                releases.markTaskChanged(task);
+                task.setWorker(current.getIncarnation());
+                current.addTask(task);
+                releaser.markTaskChanged(task);
             } else {
-                releases.release(task, former.getIncarnation(), "worker-started-again");
+                releaser.release(task, former.getIncarnation(), "worker-started-again");
             }
         }
         workers.remove(former);
     }
 
-    private static boolean isListed(WorkerReport part, RunId run) {
-        return part.running().stream().anyMatch(one -> one.run().equals(run))
-                || part.ended().stream().anyMatch(end -> end.run().equals(run));
+    private static boolean isListed(WorkerReport workerReport, RunId run) {
+        return workerReport.running().stream().anyMatch(progress -> progress.run().equals(run))
+                || workerReport.ended().stream().anyMatch(end -> end.run().equals(run));
     }
 }
