--- a/src/main/java/org/standlink/cell/FinishedJobRecord.java
+++ b/src/main/java/org/standlink/cell/FinishedJobRecord.java
@@ -22,26 +22,27 @@
 import org.standlink.job.JobState;
 
 /**
- * What is kept of a final job of which nothing runs any more: what callers may still ask.
+ * The stored record of a job that is in a final state and has no runs left: what callers may still
+ * query.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>Serialised as an array, so new components may only be appended.
  *
  * <p>{@code FinishedJobRecord} is thread-safe and immutable.
  *
- * @param order the place in the order of acceptance
+ * @param order the position in the order of acceptance
  * @param state the state
- * @param queue the name of its queue
+ * @param queue the name of the job's queue
  * @param acceptedWallMillis when the job was accepted, in milliseconds since 1970
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 record FinishedJobRecord(long order, JobState state, String queue, long acceptedWallMillis) {
 
     /**
-     * Makes what is kept of a job.
+     * Makes the record of a finished job.
      *
-     * @param queue the name of its queue
-     * @param record what was kept of it so far
-     * @return the rest
+     * @param queue the name of the job's queue
+     * @param record the record of the job so far
+     * @return the reduced record
      */
     static FinishedJobRecord of(String queue, JobRecord record) {
         return new FinishedJobRecord(
@@ -49,7 +50,7 @@
     }
 
     /**
-     * Makes a definition without any step.
+     * Makes a definition without steps.
      *
      * @param id the identifier
      * @return the definition
@@ -59,7 +60,7 @@
     }
 
     /**
-     * Makes a record without any task.
+     * Makes a record without tasks.
      *
      * @return the record
      */
--- a/src/main/java/org/standlink/cell/LeaderAuthority.java
+++ b/src/main/java/org/standlink/cell/LeaderAuthority.java
@@ -19,73 +19,73 @@
 import org.standlink.lease.MonotonicClock;
 
 /**
- * Tells how long it is since the leader surely led, which its leases rest on: since the store took
- * an append of its epoch.
+ * Measures the time since this process was last certain to be the leader: since the store accepted
+ * an append of its epoch. The leases that it grants rest on this.
  *
- * <p>Two clocks count. The steady one stands still while the machine is suspended; the time of day
- * goes on, but may be set. Whichever says that more time has gone by is believed: a time of day
- * that jumps ahead costs no more than the leases until the next append, a quarter of a second.
+ * <p>The time is taken from two clocks. The monotonic clock stops while the machine is suspended;
+ * the time of day continues, but may be set. The longer of the two elapsed times is used: a forward
+ * jump of the time of day costs no more than the leases until the next append, a quarter of a
+ * second later.
  *
- * <p>{@code LeaderAuthority} is not thread-safe; the leader's loop owns it.
+ * <p>{@code LeaderAuthority} is not thread-safe; it is confined to the leader's event loop.
  */
 final class LeaderAuthority {
 
-    /** The steady clock. */
     private final MonotonicClock clock;
 
     /** The time of day, in milliseconds since 1970. */
     private final LongSupplier wallClock;
 
-    /** When the last append that was taken had been sent. */
-    private ClockReading taken;
+    /** When the last accepted append was sent. */
+    private ClockReading lastAccepted;
 
     /**
-     * A moment on both clocks.
+     * The time on both clocks.
      *
-     * @param monotonicMillis the time on the steady clock, in milliseconds
+     * @param monotonicMillis the time on the monotonic clock, in milliseconds
      * @param wallMillis the time of day, in milliseconds since 1970
      */
     record ClockReading(long monotonicMillis, long wallMillis) {}
 
     /**
-     * Constructor. The leader is taken to lead at first.
+     * Constructor. The leader is assumed to have authority initially.
      *
-     * @param clock the steady clock
+     * @param clock the monotonic clock
      * @param wallClock the time of day, in milliseconds since 1970
      */
     LeaderAuthority(MonotonicClock clock, LongSupplier wallClock) {
         this.clock = clock;
         this.wallClock = wallClock;
-        this.taken = now();
+        this.lastAccepted = now();
     }
 
     /**
-     * Gets the present moment.
+     * Reads both clocks.
      *
-     * @return the moment
+     * @return the present time
      */
     ClockReading now() {
         return new ClockReading(clock.nowMillis(), wallClock.getAsLong());
     }
 
     /**
-     * Takes note that the store took an append.
+     * Records that the store has accepted an append.
      *
-     * @param sent when it had been sent
+     * @param sent when the append was sent
      */
     void appendAccepted(ClockReading sent) {
-        taken = sent;
+        lastAccepted = sent;
     }
 
     /**
-     * Gets how long it is since the last append that was taken had been sent.
+     * Gets the time since the last accepted append was sent.
      *
      * @return the time, in milliseconds
      */
     long getMillisSinceConfirmed() {
         ClockReading now = now();
         return Math.max(
-                now.monotonicMillis() - taken.monotonicMillis(),
-                now.wallMillis() - taken.wallMillis());
+                now.monotonicMillis() - lastAccepted.monotonicMillis(),
+                now.wallMillis() - lastAccepted.wallMillis());
     }
 }
--- a/src/main/java/org/standlink/cell/PendingAppend.java
+++ b/src/main/java/org/standlink/cell/PendingAppend.java
@@ -19,64 +19,58 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * One append, from its first call to the answer.
+ * An append to the store, from its first call until it has been answered.
  *
- * <p>{@code PendingAppend} is mutable and not thread-safe; the commit queue owns it.
+ * <p>{@code PendingAppend} is mutable and not thread-safe; it is confined to the commit queue.
  */
 final class PendingAppend {
 
-    /** What is to be kept. */
     private final List<KeyedRecord> records;
 
-    /** What happens once it is kept. */
-    private final List<Runnable> effects;
+    private final List<Runnable> callbacks;
 
-    /** How many calls for it are under way. */
-    private int calls;
+    private int callsInFlight;
 
-    /** The number of the last call for it. */
-    private int lastCall;
+    private int lastCallNumber;
 
-    /** Whether it was taken. */
     private boolean accepted;
 
-    /** Whether it is being read back. */
-    private boolean confirming;
+    private boolean readingBack;
 
     /**
      * Constructor.
      *
-     * @param records what is to be kept
-     * @param effects what happens once it is kept
+     * @param records the records to be persisted
+     * @param callbacks the actions to run once the records are durable
      */
-    PendingAppend(List<KeyedRecord> records, List<Runnable> effects) {
+    PendingAppend(List<KeyedRecord> records, List<Runnable> callbacks) {
         this.records = records;
-        this.effects = effects;
+        this.callbacks = callbacks;
     }
 
-    /** Takes note that a call is sent. */
+    /** Records that a call is sent. */
     void callStarted() {
-        calls++;
-        lastCall++;
+        callsInFlight++;
+        lastCallNumber++;
     }
 
-    /** Takes note that a call is over, with or without an answer. */
+    /** Records that a call has ended, with or without an answer. */
     void callFinished() {
-        calls--;
+        callsInFlight--;
     }
 
-    /** Takes note that the store has taken it. */
+    /** Records that the store has accepted the append. */
     void markAccepted() {
         accepted = true;
     }
 
     /**
-     * Sets whether it is being read back.
+     * Sets whether the records are being read back, after a call whose outcome is unknown.
      *
-     * @param reading whether it is
+     * @param active true while they are being read back
      */
-    void setReadingBack(boolean reading) {
-        confirming = reading;
+    void setReadingBack(boolean active) {
+        readingBack = active;
     }
 
     List<KeyedRecord> getRecords() {
@@ -84,15 +78,15 @@
     }
 
     List<Runnable> getCallbacks() {
-        return effects;
+        return callbacks;
     }
 
     int getCallsInFlight() {
-        return calls;
+        return callsInFlight;
     }
 
     int getLastCallNumber() {
-        return lastCall;
+        return lastCallNumber;
     }
 
     boolean isAccepted() {
@@ -100,15 +94,15 @@
     }
 
     boolean isReadingBack() {
-        return confirming;
+        return readingBack;
     }
 
     /**
-     * Checks whether it was read back.
+     * Checks whether records read from the store are those of this append.
      *
-     * @param read the records from where it should begin; a read may end before, but appends are
-     *     whole
-     * @return true if these are its records
+     * @param read the records from the expected position on; a read may end before the last record,
+     *     but appends are atomic
+     * @return true if the records read match those of this append
      */
     boolean matches(List<KeyedRecord> read) {
         int common = Math.min(read.size(), records.size());
--- a/src/main/java/org/standlink/cell/StoreFailureClassifier.java
+++ b/src/main/java/org/standlink/cell/StoreFailureClassifier.java
@@ -20,20 +20,19 @@
 import org.standlink.process.WorkFailures;
 
 /**
- * Tells failures of the store from those of this process.
+ * Distinguishes failures of the store from defects of this process.
  *
  * <p>{@code StoreFailureClassifier} is thread-safe and immutable.
  */
 final class StoreFailureClassifier {
 
-    /** No instances. */
     private StoreFailureClassifier() {}
 
     /**
-     * Gets the code of a failure.
+     * Gets the error code of a failure.
      *
-     * @param failure the failure of a call, null if it went well
-     * @return the code, null if there is none
+     * @param failure the failure of a call, null if the call succeeded
+     * @return the code, null if the failure has none
      */
     static ErrorCode codeOf(Throwable failure) {
         return WorkFailures.causeOf(failure) instanceof StandlinkException known
@@ -42,9 +41,10 @@
     }
 
     /**
-     * Throws what is no failure of the store but of this process, which no repetition mends.
+     * Rethrows a failure that was not caused by the store but by a defect of this process, where a
+     * retry is of no use.
      *
-     * @param failure the failure of a call, null if it went well
+     * @param failure the failure of a call, null if the call succeeded
      */
     static void rethrowDefect(Throwable failure) {
         Throwable cause = WorkFailures.causeOf(failure);
--- a/src/main/java/org/standlink/cell/SubmittedTaskRecord.java
+++ b/src/main/java/org/standlink/cell/SubmittedTaskRecord.java
@@ -18,20 +18,20 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * What is kept of a task.
+ * The stored record of a task.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>Serialised as an array, so new components may only be appended.
  *
  * <p>{@code SubmittedTaskRecord} is thread-safe and immutable.
  *
  * @param lastRun the number of the last run, 0 before the first
- * @param failures how many runs have failed
+ * @param failures the number of failed runs
  * @param lastFailedRun the number of the last run that was counted as failed
- * @param done whether a run has ended well
+ * @param done whether a run has completed
  * @param worker where the last run may still be, empty if nowhere
- * @param checkpoint the state that was saved last, empty if none
- * @param crashes how many workers crashed right after a run had begun
- * @param lateCrashes how many workers crashed under a run later
+ * @param checkpoint the last checkpoint, empty if none
+ * @param crashes how many workers crashed shortly after a run had started
+ * @param lateCrashes how many workers crashed later during a run
  * @param suspicion how likely it is that the task crashes its workers, in thousandths
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
--- a/src/main/java/org/standlink/cell/TaskEntry.java
+++ b/src/main/java/org/standlink/cell/TaskEntry.java
@@ -23,57 +23,47 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * The state of one task: its runs so far and where it runs now.
+ * The state of one task: its past runs and the worker of the last one.
  *
- * <p>{@code TaskEntry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code TaskEntry} is mutable and not thread-safe; it is confined to the leader's event loop.
  */
 final class TaskEntry {
 
-    /** The name. */
     private final TaskName name;
 
-    /** The step. */
     private final StepDefinition step;
 
     /** The number of the last run, 0 before the first. */
     private int lastRun;
 
-    /** How many runs have failed. */
+    /** The number of failed runs. */
     private int failures;
 
     /** The number of the last run that was counted as failed. */
     private int lastFailedRun;
 
-    /** Whether a run has ended well. */
+    /** Whether a run has completed. */
     private boolean done;
 
     /** Where the last run may still be, null if nowhere. */
     private WorkerIncarnation worker;
 
-    /** The state that was saved last, empty if none. */
+    /** The last checkpoint, empty if none. */
     private String checkpoint = "";
 
     /**
-     * Where the last run that failed, stood still or was held back was, null if none; not kept in
-     * the store.
+     * Where the last run that failed, stalled or was throttled had been, null if none; not
+     * persisted.
      */
     private WorkerIncarnation failedOn;
 
-    /** How far the last run is, and what moves have cost the task. */
     private final TaskProgress progress = new TaskProgress();
 
-    /** Whether the task may crash its workers. */
     private final TaskTrial trial = new TaskTrial();
 
-    /** Whether the last run is being stopped, since it stands still or its worker leaves. */
+    /** Whether the last run is being stopped, because it has stalled or is to be moved. */
     private boolean stopping;
 
-    /**
-     * Constructor.
-     *
-     * @param name the name
-     * @param step the step
-     */
     TaskEntry(TaskName name, StepDefinition step) {
         this.name = name;
         this.step = step;
@@ -81,7 +71,7 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Takes over what was kept.
+     * Restores the persisted state.
      *
      * @param record the record
      */
@@ -96,19 +86,19 @@
     }
 
     /**
-     * Makes the record to be kept.
+     * Makes the record to be persisted.
      *
      * @return the record
      */
     SubmittedTaskRecord toRecord() {
         CrashHistory crashes = trial.getCrashes();
-        String place = worker == null ? "" : worker.toString();
+        String incarnation = worker == null ? "" : worker.toString();
         return new SubmittedTaskRecord(
                 lastRun,
                 failures,
                 lastFailedRun,
                 done,
-                place,
+                incarnation,
                 checkpoint,
                 crashes.getStartupCrashes(),
                 crashes.getLateCrashes(),
@@ -119,36 +109,37 @@
     /**
      * Begins the next run.
      *
-     * @param place where
+     * @param incarnation the worker
      */
-    void assign(WorkerIncarnation place) {
+    void assign(WorkerIncarnation incarnation) {
         lastRun++;
-        worker = place;
+        worker = incarnation;
         progress.begin();
         trial.begin();
         stopping = false;
     }
 
     /**
-     * Takes note that the last run is on another life of its worker, which its start has reached.
+     * Records that the last run is on another incarnation of its worker, which has executed the
+     * order to start it.
      *
-     * @param place that life
+     * @param incarnation the incarnation
      */
-    void setWorker(WorkerIncarnation place) {
-        worker = place;
+    void setWorker(WorkerIncarnation incarnation) {
+        worker = incarnation;
     }
 
-    /** Takes note that the last run is over, or never began. */
+    /** Records that the last run has ended, or was never started. */
     void release() {
         worker = null;
     }
 
     /**
-     * Takes note of an end.
+     * Records the end of a run.
      *
-     * @param from the worker that listed it
+     * @param from the worker that reported it
      * @param end the end
-     * @return true if this changed anything
+     * @return true if this changed the task
      */
     boolean recordEnd(WorkerIncarnation from, RunEnd end) {
         if (done) {
@@ -177,37 +168,39 @@
     }
 
     /**
-     * Takes note of a saved state.
+     * Records a checkpoint.
      *
-     * @param saved the state, empty if none
+     * @param newCheckpoint the checkpoint, empty if none
      */
-    void saveCheckpoint(String saved) {
-        if (!saved.isEmpty()) {
-            checkpoint = saved;
+    void saveCheckpoint(String newCheckpoint) {
+        if (!newCheckpoint.isEmpty()) {
+            checkpoint = newCheckpoint;
         }
     }
 
     /**
-     * Checks whether no more runs are to begin.
+     * Checks whether the task has failed permanently, so that no more runs are started.
      *
-     * @param mostAttempts how many runs may fail, but for tasks that last
-     * @return true if too many have failed, or if the task crashes its workers
+     * @param maxAttempts how many runs may fail; ignored for long-running tasks
+     * @return true if too many runs have failed, or if the task crashes its workers
      */
-    boolean hasFailedPermanently(int mostAttempts) {
-        boolean failed = !step.longRunning() && failures >= mostAttempts;
+    boolean hasFailedPermanently(int maxAttempts) {
+        boolean failed = !step.longRunning() && failures >= maxAttempts;
         return !done && (failed || trial.getCrashes().isFailedPermanently());
     }
 
     /**
-     * Checks whether the last run has stood still for a while; tells so once.
+     * Checks whether the last run has made no progress for a while; returns true only once for a
+     * run.
      *
-     * @param heardAt when its worker's agent was heard last, on the leader's clock
-     * @param millis how long a run may stand still, in milliseconds
-     * @return true if it is to be stopped
+     * @param lastReportMillis when the last report of the worker's agent arrived, on the leader's
+     *     clock
+     * @param timeoutMillis how long a run may make no progress, in milliseconds
+     * @return true if the run is to be stopped
      */
-    boolean detectStall(long heardAt, long millis) {
-        boolean judged = worker != null && isListed() && !step.longRunning() && !step.gang();
-        if (!judged || stopping || heardAt - progress.getChangedAt() < millis) {
+    boolean detectStall(long lastReportMillis, long timeoutMillis) {
+        boolean observed = worker != null && isListed() && !step.longRunning() && !step.gang();
+        if (!observed || stopping || lastReportMillis - progress.getChangedAt() < timeoutMillis) {
             return false;
         }
         stopping = true;
@@ -216,7 +209,7 @@
     }
 
     /**
-     * Takes note that the last run is to go on elsewhere.
+     * Records that the last run is being stopped, to be continued on another worker.
      *
      * @return false if it is being stopped already
      */
@@ -227,7 +220,8 @@
     }
 
     /**
-     * Takes note that the last run is to go on elsewhere, since it is held back where it is.
+     * Records that the last run is being stopped because it is throttled, to be continued on
+     * another worker.
      *
      * @param now the time on the leader's clock
      * @return false if it is being stopped already
@@ -242,7 +236,7 @@
     }
 
     /**
-     * Checks whether the last run is being stopped, so that it goes on elsewhere.
+     * Checks whether the last run is being stopped, to be continued on another worker.
      *
      * @return true if so
      */
@@ -260,7 +254,7 @@
     }
 
     /**
-     * Checks whether the last run is known to be at work, and not being stopped.
+     * Checks whether the last run is known to be running, and is not being stopped.
      *
      * @return true if so
      */
@@ -269,35 +263,20 @@
     }
 
     // -----------------------------------------------------------------------
-    /**
-     * Gets the name.
-     *
-     * @return the name
-     */
     TaskName getName() {
         return name;
     }
 
-    /**
-     * Gets the step.
-     *
-     * @return the step
-     */
     StepDefinition getStep() {
         return step;
     }
 
-    /**
-     * Gets the last run.
-     *
-     * @return the run
-     */
     RunId getRun() {
         return new RunId(name, lastRun);
     }
 
     /**
-     * Checks whether a run was ever ordered.
+     * Checks whether a start was ever ordered.
      *
      * @return true if so
      */
@@ -305,45 +284,41 @@
         return lastRun > 0;
     }
 
-    /**
-     * Gets how many runs have failed.
-     *
-     * @return the number
-     */
     int getFailures() {
         return failures;
     }
 
     /**
-     * Takes how long the last move has held the task up, if it has just come to its end.
+     * Takes the duration of the last move, if the move has just been completed.
      *
      * @param now the time on the leader's clock
-     * @return the time, in milliseconds; negative if no move has come to its end
+     * @return how long the move delayed the task, in milliseconds; negative if no move was
+     *     completed
      */
     long takeMoveDurationMillis(long now) {
         return stopping ? TaskProgress.UNKNOWN : progress.takeMoveDurationMillis(now);
     }
 
     /**
-     * Gets how far the last run is.
+     * Gets the progress of the last run.
      *
-     * @return the progress, which changes
+     * @return the progress, which is updated with each report
      */
     TaskProgress getProgress() {
         return progress;
     }
 
     /**
-     * Gets whether the task may crash its workers.
+     * Gets the evidence on whether the task crashes its workers.
      *
-     * @return what is known of that
+     * @return the trial of the task
      */
     TaskTrial getTrial() {
         return trial;
     }
 
     /**
-     * Checks whether a run has ended well.
+     * Checks whether a run has completed.
      *
      * @return true if so
      */
@@ -361,16 +336,16 @@
     }
 
     /**
-     * Gets the state that was saved last.
+     * Gets the last checkpoint.
      *
-     * @return the state, empty if none
+     * @return the checkpoint, empty if none
      */
     String getCheckpoint() {
         return checkpoint;
     }
 
     /**
-     * Gets where the last failed run was.
+     * Gets where the last run that failed, stalled or was throttled had been.
      *
      * @return the worker, null if none
      */
--- a/src/main/java/org/standlink/cell/TaskProgress.java
+++ b/src/main/java/org/standlink/cell/TaskProgress.java
@@ -16,55 +16,59 @@
 package org.standlink.cell;
 
 /**
- * How far the last run of a task is, how long it still takes, and how long a move has held the task
- * up.
+ * The progress of a task's last run, its estimated remaining time, and the time by which a move has
+ * delayed the task.
  *
- * <p>{@code TaskProgress} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code TaskProgress} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class TaskProgress {
 
-    /** The share of the work that is done at the end, in percent. */
-    private static final int DONE_PERCENT = 100;
+    /** The progress of a completed run, in percent. */
+    private static final int COMPLETE_PERCENT = 100;
 
-    /** Stands for a percentage or a time that is not known. */
+    /** Stands for an unknown percentage or time. */
     static final int UNKNOWN = -1;
 
-    /** How much of the work is done, in percent; {@link #UNKNOWN} if the run is not listed. */
+    /** The progress, in percent; {@link #UNKNOWN} if the run is not listed. */
     private int percent = UNKNOWN;
 
-    /** When that has changed last, on the leader's clock. */
+    /** When the progress changed last, on the leader's clock. */
     private long changedAt;
 
-    /** How much of the work was done when the run was first listed, in percent. */
-    private int firstPercent;
+    /** The progress when the run was first listed, in percent. */
+    private int initialPercent;
 
     /** When the run was first listed, on the leader's clock. */
-    private long firstAt;
+    private long listedAt;
 
-    /** How much of the work was done when the last move was decided, in percent. */
-    private int movedPercent;
+    /** The progress when the last move was decided, in percent. */
+    private int moveStartPercent;
 
-    /** When that was, on the leader's clock; {@link #UNKNOWN} once the task is further. */
-    private long movedAt = UNKNOWN;
+    /**
+     * When the last move was decided, on the leader's clock; {@link #UNKNOWN} once the task has
+     * progressed further.
+     */
+    private long moveStartedAt = UNKNOWN;
 
-    /** Begins the next run. */
+    /** Resets the progress for the next run. */
     void begin() {
         percent = UNKNOWN;
     }
 
     /**
-     * Records how much of the work is done.
+     * Records the progress.
      *
-     * @param told in percent
+     * @param reportedPercent the progress, in percent
      * @param now the time on the leader's clock
      */
-    void update(int told, long now) {
+    void update(int reportedPercent, long now) {
         if (percent == UNKNOWN) {
-            firstPercent = told;
-            firstAt = now;
+            initialPercent = reportedPercent;
+            listedAt = now;
         }
-        if (told != percent) {
-            percent = told;
+        if (reportedPercent != percent) {
+            percent = reportedPercent;
             changedAt = now;
         }
     }
@@ -75,8 +79,8 @@
      * @param now the time on the leader's clock
      */
     void beginMove(long now) {
-        movedPercent = percent;
-        movedAt = now;
+        moveStartPercent = percent;
+        moveStartedAt = now;
     }
 
     // -----------------------------------------------------------------------
@@ -90,7 +94,7 @@
     }
 
     /**
-     * Gets when the run made progress last.
+     * Gets when the progress changed last.
      *
      * @return the time on the leader's clock
      */
@@ -99,7 +103,7 @@
     }
 
     /**
-     * Predicts how long the run still takes at the rate that it has had.
+     * Estimates the remaining time of the run from its rate of progress so far.
      *
      * @param now the time on the leader's clock
      * @return the time, in milliseconds; 0 if the run is not listed
@@ -108,22 +112,23 @@
         if (!isReported()) {
             return 0;
         }
-        double elapsed = now - firstAt;
-        return (DONE_PERCENT - percent) * elapsed / Math.max(1, percent - firstPercent);
+        double elapsed = now - listedAt;
+        return (COMPLETE_PERCENT - percent) * elapsed / Math.max(1, percent - initialPercent);
     }
 
     /**
-     * Takes how long the last move has held the task up, if it has just come to its end.
+     * Takes the duration of the last move, if the move has just been completed.
      *
      * @param now the time on the leader's clock
-     * @return the time, in milliseconds; negative if no move has come to its end
+     * @return how long the move delayed the task, in milliseconds; negative if no move was
+     *     completed
      */
     long takeMoveDurationMillis(long now) {
-        if (movedAt == UNKNOWN || percent <= movedPercent) {
+        if (moveStartedAt == UNKNOWN || percent <= moveStartPercent) {
             return UNKNOWN;
         }
-        long took = now - movedAt;
-        movedAt = UNKNOWN;
-        return took;
+        long durationMillis = now - moveStartedAt;
+        moveStartedAt = UNKNOWN;
+        return durationMillis;
     }
 }
--- a/src/main/java/org/standlink/cell/TaskTrial.java
+++ b/src/main/java/org/standlink/cell/TaskTrial.java
@@ -16,43 +16,50 @@
 package org.standlink.cell;
 
 /**
- * What the runs of one task have shown of whether it crashes the workers that start it.
+ * The evidence, from the runs of one task, on whether it crashes the workers that start it.
  *
- * <p>{@code TaskTrial} is not thread-safe; the leader's loop owns it.
+ * <p>{@code TaskTrial} is not thread-safe; it is confined to the leader's event loop.
  */
 final class TaskTrial {
 
     /**
-     * How long a run must have been at work to show that its start does not crash its worker, in
-     * milliseconds: that a worker is gone is told within 900, the time limit of a renewal, and a
-     * report.
+     * How long a run must have been running to prove that its start does not crash the worker, in
+     * milliseconds. The loss of a worker is reported within 900 ms, the time limit of a lease
+     * renewal, plus a report interval.
      */
-    private static final long PROVEN_MILLIS = 1500;
+    private static final long START_PROOF_MILLIS = 1500;
 
     /**
-     * How long a run must have been at work for late crashes to count no more, in milliseconds.
-     * Tasks that last outlive crashes that others cause, unless these come faster than that.
+     * How long a run must have been running for late crashes to be disregarded, in milliseconds.
+     * Long-running tasks thereby outlast crashes caused by other tasks, unless these recur at
+     * shorter intervals.
      */
-    private static final long FORGIVEN_MILLIS = 10_000;
+    private static final long LATE_CRASH_RESET_MILLIS = 10_000;
 
-    /** What is known of the workers that crashed under the task. */
     private CrashHistory crashes = CrashHistory.NONE;
 
-    /** When the last run was first listed as at work, on the leader's clock; negative if not. */
-    private long seenAt = -1;
+    /**
+     * When the last run was first listed as running, on the leader's clock; negative if it was not.
+     */
+    private long runningSince = -1;
 
-    /** Whether the last run was at work for long enough to show that it crashes no worker. */
+    /**
+     * Whether the last run was running for long enough to prove that its start crashes no worker.
+     */
     private boolean proven;
 
-    /** Since when the next run waits for a place apart, on the leader's clock; negative if not. */
-    private long waitingSince = -1;
+    /**
+     * Since when the next run has waited for isolation, on the leader's clock; negative if it has
+     * not.
+     */
+    private long isolationWaitSince = -1;
 
-    /** How many runs were given up of which it is not known whether they crashed their worker. */
-    private int unclear;
+    /** The number of abandoned runs of which it is not known whether they crashed their worker. */
+    private int unresolvedRuns;
 
     // -----------------------------------------------------------------------
     /**
-     * Takes over what was kept.
+     * Restores the persisted state.
      *
      * @param record the record
      */
@@ -60,30 +67,33 @@
         crashes = CrashHistory.of(record.crashes(), record.lateCrashes(), record.suspicion());
     }
 
-    /** Takes note that the next run begins. */
+    /** Resets the evidence of the last run when the next run begins. */
     void begin() {
-        seenAt = -1;
+        runningSince = -1;
         proven = false;
-        waitingSince = -1;
+        isolationWaitSince = -1;
     }
 
     /**
-     * Takes note that the last run is at work on a worker that answers.
+     * Records that the last run is running on a worker that responds.
      *
      * @param now the time on the leader's clock
      */
     void recordRunning(long now) {
-        seenAt = seenAt < 0 ? now : seenAt;
-        long atWork = now - seenAt;
-        if (atWork >= PROVEN_MILLIS) {
+        runningSince = runningSince < 0 ? now : runningSince;
+        long runningMillis = now - runningSince;
+        if (runningMillis >= START_PROOF_MILLIS) {
             proven = true;
-            crashes = atWork >= FORGIVEN_MILLIS ? CrashHistory.NONE : crashes.withProvenStart();
+            crashes =
+                    runningMillis >= LATE_CRASH_RESET_MILLIS
+                            ? CrashHistory.NONE
+                            : crashes.withProvenStart();
         }
     }
 
     /**
-     * Checks whether the last run was at work for long enough to show that its start does not crash
-     * its worker.
+     * Checks whether the last run was running for long enough to prove that its start does not
+     * crash the worker.
      *
      * @return true if so
      */
@@ -92,57 +102,59 @@
     }
 
     /**
-     * Checks whether the last run was ever listed as at work on a worker that answered.
+     * Checks whether the last run was ever listed as running on a worker that responded.
      *
      * @return true if so
      */
     boolean wasReportedRunning() {
-        return seenAt >= 0;
+        return runningSince >= 0;
     }
 
     /**
-     * Takes note that the next run found no place, if the task is to begin apart from others.
+     * Records that no worker was found for the next run, if the task requires isolation.
      *
      * @param now the time on the leader's clock
-     * @return for how long it has waited, in milliseconds; 0 if it is not to begin apart
+     * @return how long the run has waited, in milliseconds; 0 if the task does not require
+     *     isolation
      */
     long recordIsolationWait(long now) {
         if (!crashes.requiresIsolation()) {
             return 0;
         }
-        waitingSince = waitingSince < 0 ? now : waitingSince;
-        return now - waitingSince;
+        isolationWaitSince = isolationWaitSince < 0 ? now : isolationWaitSince;
+        return now - isolationWaitSince;
     }
 
     /**
-     * Takes note of a run that was given up, or of what became of it.
+     * Adjusts the number of abandoned runs of which it is not known whether they crashed their
+     * worker.
      *
-     * @param change 1 if it is not known whether the run crashed its worker, -1 once it is
+     * @param change 1 for a run that is abandoned, -1 once its outcome is known
      */
     void adjustUnresolvedRuns(int change) {
-        unclear += change;
+        unresolvedRuns += change;
     }
 
     /**
-     * Checks whether the next run has to wait until it is known what became of earlier ones.
+     * Checks whether the next run has to wait until the outcome of earlier runs is known.
      *
      * @return true if so
      */
     boolean isAwaitingOutcomes() {
-        return unclear > 0 && crashes.requiresKnownOutcome();
+        return unresolvedRuns > 0 && crashes.requiresKnownOutcome();
     }
 
     /**
-     * Checks whether the last run may yet crash its worker, as far as is known of the task.
+     * Checks whether the last run may still crash its worker, as far as is known of the task.
      *
-     * @return true if it is suspected and has not been at work for long enough
+     * @return true if the task is suspected and the run is not yet proven
      */
     boolean isOnTrial() {
         return !proven && crashes.isSuspected();
     }
 
     /**
-     * Gets what is known of the workers that crashed under the task.
+     * Gets the history of the workers that crashed while running the task.
      *
      * @return the history
      */
@@ -151,7 +163,7 @@
     }
 
     /**
-     * Sets what is known of the workers that crashed under the task.
+     * Sets the history of the workers that crashed while running the task.
      *
      * @param history the history
      */
