--- a/src/main/java/org/standlink/cell/RunEndTracker.java
+++ b/src/main/java/org/standlink/cell/RunEndTracker.java
@@ -16,51 +16,53 @@
 package org.standlink.cell;
 
 /**
- * How far the ends that one life of a worker lists have been handled and recorded.
+ * Tracks how far the numbered ends that one incarnation of a worker lists have been handled and
+ * recorded.
  *
- * <p>{@code RunEndTracker} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code RunEndTracker} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class RunEndTracker {
 
-    /** The last end that was handled. */
-    private long handled;
+    /** The number of the last handled end. */
+    private long lastHandled;
 
-    /** The last end whose record has been kept. */
-    private long recorded;
+    /** The number of the last end whose record is durable. */
+    private long lastRecorded;
 
     /**
-     * Gets the last end that was handled.
+     * Gets the number of the last handled end.
      *
-     * @return its number
+     * @return the number, 0 if none
      */
     long getLastHandled() {
-        return handled;
+        return lastHandled;
     }
 
     /**
-     * Sets the last end that was handled.
+     * Sets the number of the last handled end.
      *
-     * @param number its number
+     * @param number the number
      */
     void markHandled(long number) {
-        handled = number;
+        lastHandled = number;
     }
 
     /**
-     * Gets the last end whose record has been kept.
+     * Gets the number of the last end whose record is durable.
      *
-     * @return its number
+     * @return the number, 0 if none
      */
     long getLastRecorded() {
-        return recorded;
+        return lastRecorded;
     }
 
     /**
-     * Takes note that the records of ends have been kept.
+     * Records that the records of ends are durable.
      *
      * @param number the number of the last of them
      */
     void markRecorded(long number) {
-        recorded = Math.max(recorded, number);
+        lastRecorded = Math.max(lastRecorded, number);
     }
 }
--- a/src/main/java/org/standlink/cell/RunOutcomeHealth.java
+++ b/src/main/java/org/standlink/cell/RunOutcomeHealth.java
@@ -16,34 +16,35 @@
 package org.standlink.cell;
 
 /**
- * How well runs end on one life of a worker.
+ * The health of one incarnation of a worker, as shown by the outcomes of its runs.
  *
- * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code RunOutcomeHealth} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class RunOutcomeHealth {
 
-    /** How many runs have failed there without one that ended well. */
-    private int failuresInRow;
+    /** The number of failed runs since the last one that succeeded. */
+    private int consecutiveFailures;
 
     /** Until when nothing is started there, on the leader's clock. */
     private long avoidUntil;
 
     /**
-     * Takes note of how a run there ended.
+     * Records the outcome of a run.
      *
-     * @param well whether it ended well
+     * @param succeeded whether the run succeeded
      */
-    void recordOutcome(boolean well) {
-        failuresInRow = well ? 0 : failuresInRow + 1;
+    void recordOutcome(boolean succeeded) {
+        consecutiveFailures = succeeded ? 0 : consecutiveFailures + 1;
     }
 
     /**
-     * Gets how many runs have failed there without one that ended well.
+     * Gets the number of failed runs since the last one that succeeded.
      *
      * @return the number
      */
     int getConsecutiveFailures() {
-        return failuresInRow;
+        return consecutiveFailures;
     }
 
     /**
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Sets until when nothing is started there.
+     * Extends the time for which nothing is started there.
      *
-     * @param until the time on the leader's clock
+     * @param until the time on the leader's clock; ignored if it is earlier than the present limit
      */
     void avoidUntil(long until) {
         avoidUntil = Math.max(avoidUntil, until);
--- a/src/main/java/org/standlink/cell/WorkerEntry.java
+++ b/src/main/java/org/standlink/cell/WorkerEntry.java
@@ -27,147 +27,154 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * What the leader knows of one life of a worker.
+ * The leader's state of one incarnation of a worker.
  *
- * <p>{@code WorkerEntry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerEntry} is mutable and not thread-safe; it is confined to the leader's event loop.
  */
 final class WorkerEntry {
 
-    /** The life of the worker. */
-    private final WorkerIncarnation life;
+    private final WorkerIncarnation incarnation;
 
-    /** Where it takes calls, host and port; empty if not known. */
+    /** Where it accepts calls, host and port; empty if not known. */
     private String address = "";
 
     /** The tasks whose last run may be there. */
     private final Map<TaskName, TaskEntry> tasks = new LinkedHashMap<>();
 
-    /** How often these have changed. */
-    private long taskChanges;
+    /** The number of changes of these tasks. */
+    private long taskVersion;
 
-    /** What the worker said of itself, null until an agent has told. */
+    /** How the worker describes itself, null until an agent has reported it. */
     private WorkerDescription description;
 
     /** The connection to its agent, null if there is none. */
     private MessageChannel connection;
 
-    /** The run of its agent, null until one has told of it. */
+    /** The incarnation of its agent, null until one has reported the worker. */
     private Incarnation agent;
 
-    /** The generation of lease under which the agent knows all orders, the first if it does not. */
-    private LeaseGeneration toldGeneration = LeaseGeneration.NONE;
+    /**
+     * The lease generation under which the agent was sent all orders, {@link LeaseGeneration#NONE}
+     * if it was not.
+     */
+    private LeaseGeneration syncedGeneration = LeaseGeneration.NONE;
 
-    /** Until when its runs may go on without its agent, on the leader's clock. */
-    private long mayRunUntil;
+    /**
+     * When its lease expires, on the leader's clock; its runs may continue without the agent until
+     * then.
+     */
+    private long leaseExpiryMillis;
 
-    /** When its agent was heard last, on the leader's clock. */
-    private long heardAt;
+    /** When the last report of its agent arrived, on the leader's clock. */
+    private long lastReportMillis;
 
     /** Whether the worker answered its agent's last call. */
     private boolean reachable;
 
-    /** How far its ends have been handled and recorded. */
     private final RunEndTracker ends = new RunEndTracker();
 
-    /** What its tasks ask for. */
     private final WorkerLoad load = new WorkerLoad();
 
-    /** What it reported of its runs' figures. */
-    private final WorkerMetrics figures = new WorkerMetrics();
+    private final WorkerMetrics metrics = new WorkerMetrics();
 
-    /** How well runs end there. */
     private final RunOutcomeHealth health = new RunOutcomeHealth();
 
-    /** The generation of lease that bars all orders of this life; null while it lasts. */
-    private LeaseGeneration barredBy;
+    /**
+     * The lease generation from which on orders for this incarnation are refused; null if it has
+     * not ended.
+     */
+    private LeaseGeneration fenceGeneration;
 
     /**
      * Constructor.
      *
-     * @param life the life of the worker
-     * @param mayRunUntil until when its runs may go on without its agent, on the leader's clock
+     * @param incarnation the incarnation of the worker
+     * @param leaseExpiryMillis when its lease expires, on the leader's clock
      */
-    WorkerEntry(WorkerIncarnation life, long mayRunUntil) {
-        this.life = life;
-        this.mayRunUntil = mayRunUntil;
+    WorkerEntry(WorkerIncarnation incarnation, long leaseExpiryMillis) {
+        this.incarnation = incarnation;
+        this.leaseExpiryMillis = leaseExpiryMillis;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes note of a report of its agent.
+     * Records a report of its agent.
      *
-     * @param told what the worker said of itself
+     * @param reported how the worker describes itself
      * @param from the connection to the agent
-     * @param answers whether the worker answered its agent's last call
+     * @param answered whether the worker answered its agent's last call
      * @param now the time on the leader's clock
      */
-    void receiveReport(WorkerDescription told, MessageChannel from, boolean answers, long now) {
+    void receiveReport(
+            WorkerDescription reported, MessageChannel from, boolean answered, long now) {
         if (from != connection) {
             connection = from;
-            toldGeneration = LeaseGeneration.NONE;
+            syncedGeneration = LeaseGeneration.NONE;
         }
-        description = told;
-        address = told.address();
-        reachable = answers;
-        heardAt = now;
+        description = reported;
+        address = reported.address();
+        reachable = answered;
+        lastReportMillis = now;
     }
 
     /**
-     * Prolongs the time for which its runs may go on.
+     * Extends its lease.
      *
-     * @param until the time on the leader's clock
+     * @param expiryMillis when the lease expires, on the leader's clock; ignored if it is earlier
+     *     than the present expiry
      */
-    void extendLease(long until) {
-        mayRunUntil = Math.max(mayRunUntil, until);
+    void extendLease(long expiryMillis) {
+        leaseExpiryMillis = Math.max(leaseExpiryMillis, expiryMillis);
     }
 
     /**
-     * Takes note that a task's last run may be here.
+     * Records that a task's last run may be there.
      *
      * @param task the task
      */
     void addTask(TaskEntry task) {
         if (tasks.put(task.getName(), task) == null) {
-            count(task, 1);
+            adjustLoad(task, 1);
         }
     }
 
     /**
-     * Takes note that a task's last run is not here any more.
+     * Records that a task's last run is not there any more.
      *
      * @param task the task
      */
     void removeTask(TaskEntry task) {
         if (tasks.remove(task.getName()) != null) {
-            count(task, -1);
+            adjustLoad(task, -1);
         }
     }
 
-    private void count(TaskEntry task, int sign) {
-        taskChanges++;
+    private void adjustLoad(TaskEntry task, int sign) {
+        taskVersion++;
         load.adjust(task.getStep(), sign);
     }
 
     /**
-     * Gets how often the tasks there have changed.
+     * Gets a version of its tasks.
      *
-     * @return the number, which rises
+     * @return the version, which increases with each change of the tasks
      */
     long getTaskVersion() {
-        return taskChanges;
+        return taskVersion;
     }
 
     /**
-     * Works out what is free.
+     * Calculates the free capacity.
      *
-     * @return the free room; may be negative in parts on a worker that does not guard its room
+     * @return the free capacity; may be negative in parts on a worker that does not enforce its
+     *     capacity
      */
     Resources getFreeCapacity() {
         return description.capacity().minus(load.getOccupied());
     }
 
     /**
-     * Gets what its tasks ask for.
+     * Gets the resources that its tasks request.
      *
      * @return the load, which changes with the tasks
      */
@@ -178,8 +185,8 @@
     /**
      * Counts the tasks of a step and repetition.
      *
-     * @param name names a task of the step
-     * @return how many of them may be here
+     * @param name the name of a task of the step
+     * @return how many of its tasks may be there
      */
     long countTasksOfStep(TaskName name) {
         return tasks.keySet().stream().filter(name::isOfSameStep).count();
@@ -187,21 +194,16 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Gets what it reported of its runs' figures.
+     * Gets the reported metrics of its runs.
      *
-     * @return the figures, which change with each report
+     * @return the metrics, which change with each report
      */
     WorkerMetrics getMetrics() {
-        return figures;
+        return metrics;
     }
 
-    /**
-     * Gets the life of the worker.
-     *
-     * @return the life
-     */
     WorkerIncarnation getIncarnation() {
-        return life;
+        return incarnation;
     }
 
     /**
@@ -224,7 +226,7 @@
     }
 
     /**
-     * Gets where the worker takes calls.
+     * Gets where the worker accepts calls.
      *
      * @return host and port, empty if not known
      */
@@ -233,18 +235,18 @@
     }
 
     /**
-     * Takes over where the worker takes calls.
+     * Restores the persisted address.
      *
-     * @param kept host and port
+     * @param restored host and port
      */
-    void restoreAddress(String kept) {
-        address = kept;
+    void restoreAddress(String restored) {
+        address = restored;
     }
 
     /**
-     * Gets what the worker said of itself.
+     * Gets how the worker describes itself.
      *
-     * @return the description, null until an agent has told
+     * @return the description, null until an agent has reported it
      */
     WorkerDescription getDescription() {
         return description;
@@ -260,57 +262,52 @@
     }
 
     /**
-     * Gets the run of its agent.
+     * Gets the incarnation of its agent.
      *
-     * @return the run, null until one has told of it
+     * @return the incarnation, null until an agent has reported the worker
      */
     Incarnation getAgent() {
         return agent;
     }
 
-    /**
-     * Sets the run of its agent.
-     *
-     * @param present the run
-     */
-    void setAgent(Incarnation present) {
-        agent = present;
+    void setAgent(Incarnation incarnation) {
+        agent = incarnation;
     }
 
     /**
-     * Gets the generation of lease under which the agent knows all orders.
+     * Gets the lease generation under which the agent was sent all orders.
      *
-     * @return the generation, the one before the first if it does not
+     * @return the generation, {@link LeaseGeneration#NONE} if the agent was not sent all orders
      */
     LeaseGeneration getSyncedGeneration() {
-        return toldGeneration;
+        return syncedGeneration;
     }
 
     /**
-     * Sets the generation of lease under which the agent knows all orders.
+     * Sets the lease generation under which the agent was sent all orders.
      *
-     * @param generation the generation, the one before the first if it does not
+     * @param generation the generation
      */
     void setSyncedGeneration(LeaseGeneration generation) {
-        toldGeneration = generation;
+        syncedGeneration = generation;
     }
 
     /**
-     * Gets until when its runs may go on without its agent.
+     * Gets when its lease expires; its runs may continue without the agent until then.
      *
      * @return the time on the leader's clock
      */
     long getLeaseExpiryMillis() {
-        return mayRunUntil;
+        return leaseExpiryMillis;
     }
 
     /**
-     * Gets when its agent was heard last.
+     * Gets when the last report of its agent arrived.
      *
      * @return the time on the leader's clock
      */
     long getLastReportMillis() {
-        return heardAt;
+        return lastReportMillis;
     }
 
     /**
@@ -325,47 +322,48 @@
     /**
      * Gets how far its ends have been handled and recorded.
      *
-     * @return the numbers, which change
+     * @return the tracker, which changes with the reports
      */
     RunEndTracker getEnds() {
         return ends;
     }
 
     /**
-     * Gets how well runs end there.
+     * Gets the outcomes of its runs.
      *
-     * @return the health, which changes
+     * @return the health, which changes with the outcomes
      */
     RunOutcomeHealth getHealth() {
         return health;
     }
 
     /**
-     * Takes note that this life is over, and that another one of the worker follows it. What ran
-     * here stays placed until the lists of that life tell what became of it.
+     * Records that this incarnation has ended and another one of the worker follows it. Its runs
+     * stay assigned until that incarnation has listed its own.
      *
-     * @param generation the generation of lease from which on all orders of this life are refused
+     * @param generation the lease generation from which on orders for this incarnation are refused
      */
     void markEnded(LeaseGeneration generation) {
-        barredBy = generation;
+        fenceGeneration = generation;
         reachable = false;
     }
 
     /**
-     * Gets the generation of lease from which on all orders of this life are refused.
+     * Gets the lease generation from which on orders for this incarnation are refused.
      *
-     * @return the generation, null while this life lasts as far as is known
+     * @return the generation, null if the incarnation is not known to have ended
      */
     LeaseGeneration getFenceGeneration() {
-        return barredBy;
+        return fenceGeneration;
     }
 
     /**
-     * Checks whether this life is known to be over, while its runs are still placed here.
+     * Checks whether this incarnation is known to have ended, although runs are still assigned to
+     * it.
      *
      * @return true if so
      */
     boolean isEnded() {
-        return barredBy != null;
+        return fenceGeneration != null;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerLoad.java
+++ b/src/main/java/org/standlink/cell/WorkerLoad.java
@@ -19,72 +19,72 @@
 import org.standlink.job.StepDefinition;
 
 /**
- * What the tasks on a worker ask for.
+ * The resources that the tasks on a worker request.
  *
- * <p>{@code WorkerLoad} is not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerLoad} is not thread-safe; it is confined to the leader's event loop.
  */
 final class WorkerLoad {
 
-    /** The room that tasks take. */
-    private Resources taken = Resources.NONE;
+    /** The capacity reserved by tasks. */
+    private Resources reserved = Resources.NONE;
 
-    /** The room that runs take which are at work there and not placed there. */
-    private Resources strayRoom = Resources.NONE;
+    /** The capacity used by runs that are not assigned to the worker. */
+    private Resources unexpectedUsage = Resources.NONE;
 
-    /** The processors that tasks ask for which run until their job is cancelled. */
+    /** The processors requested by long-running tasks. */
     private long servingMilliCores;
 
-    /** The processors that all other tasks ask for. */
+    /** The processors requested by all other tasks. */
     private long batchMilliCores;
 
     /**
-     * Takes note of a task that comes or goes.
+     * Adjusts the load when a task is added or removed.
      *
-     * @param step its step
-     * @param sign 1 if it comes, -1 if it goes
+     * @param step the step of the task
+     * @param sign 1 if the task is added, -1 if it is removed
      */
     void adjust(StepDefinition step, int sign) {
-        taken =
+        reserved =
                 sign > 0
-                        ? taken.plus(step.requiredCapacity())
-                        : taken.minus(step.requiredCapacity());
-        long asked = sign * step.demand().milliCores();
+                        ? reserved.plus(step.requiredCapacity())
+                        : reserved.minus(step.requiredCapacity());
+        long requested = sign * step.demand().milliCores();
         if (step.longRunning()) {
-            servingMilliCores += asked;
+            servingMilliCores += requested;
         } else {
-            batchMilliCores += asked;
+            batchMilliCores += requested;
         }
     }
 
     /**
-     * Sets the room of runs that are at work there and not placed there.
+     * Sets the capacity used by runs that are not assigned to the worker.
      *
-     * @param room the room, which is theirs until they have been stopped
+     * @param usage the capacity, which stays occupied until the runs have been stopped
      */
-    void setUnexpectedUsage(Resources room) {
-        strayRoom = room;
+    void setUnexpectedUsage(Resources usage) {
+        unexpectedUsage = usage;
     }
 
     /**
-     * Gets the room that tasks take.
+     * Gets the capacity reserved by tasks.
      *
      * @return the sum
      */
     Resources getReserved() {
-        return taken;
+        return reserved;
     }
 
     /**
-     * Gets the room that is not free.
+     * Gets the capacity that is not free.
      *
-     * @return the sum for tasks and for runs that are not placed there
+     * @return the sum for tasks and for runs that are not assigned to the worker
      */
     Resources getOccupied() {
-        return taken.plus(strayRoom);
+        return reserved.plus(unexpectedUsage);
     }
 
     /**
-     * Gets how many processors tasks ask for that run until their job is cancelled.
+     * Gets the processors requested by long-running tasks.
      *
      * @return the sum, in thousandths of a core
      */
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Gets how many processors all other tasks ask for, best-effort ones included.
+     * Gets the processors requested by all other tasks, including best-effort tasks.
      *
      * @return the sum, in thousandths of a core
      */
--- a/src/main/java/org/standlink/cell/WorkerMetrics.java
+++ b/src/main/java/org/standlink/cell/WorkerMetrics.java
@@ -21,70 +21,71 @@
 import org.standlink.wire.ImageShare;
 
 /**
- * What a worker's agent told last of the figures of its runs: tails of serving ones, and which
- * best-effort ones are throttled for them.
+ * The last reported metrics of a worker's runs: the tail latency of serving runs, and which
+ * best-effort images are throttled in their favour.
  *
- * <p>{@code WorkerMetrics} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerMetrics} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class WorkerMetrics {
 
-    /** The share of a run that is not throttled, in percent. */
+    /** The share of an image that is not throttled, in percent. */
     private static final int FULL_PERCENT = 100;
 
-    /** The share up to which throttled runs count as held back, in percent. */
-    private static final int HELD_BACK_PERCENT = 50;
+    /** The share up to which an image counts as throttled, in percent. */
+    private static final int MAX_THROTTLED_PERCENT = 50;
 
-    /** The longest tail of a serving run there, as a share of its target; 0 if none serves. */
-    private double worstTail;
+    /** The longest tail latency of a serving run, relative to its target; 0 if there is none. */
+    private double maxTailRatio;
 
-    /** The share for which the runs of each throttled image may work there, in percent. */
-    private final Map<String, Integer> percents = new HashMap<>();
+    /** The share of time for which the runs of each image with a limit may run, in percent. */
+    private final Map<String, Integer> sharePercents = new HashMap<>();
 
-    /** Since when the runs of each image there have been throttled, on the leader's clock. */
+    /** Since when each image has been throttled, on the leader's clock. */
     private final Map<String, Long> throttledSince = new HashMap<>();
 
-    /** When its figures were learned from last, on the leader's clock. */
-    private long sampledAt;
+    /** When interference was learnt from the metrics last, on the leader's clock. */
+    private long lastSampleAt;
 
     /**
-     * Decides whether its figures are new enough to learn from.
+     * Checks whether the metrics cover a new period to learn from, and begins it.
      *
      * @param now the time on the leader's clock
-     * @param millis the time that figures cover, in milliseconds
-     * @return true if they are
+     * @param millis the period that the metrics cover, in milliseconds
+     * @return true if the last period is over
      */
     boolean beginSample(long now, long millis) {
-        boolean fresh = now - sampledAt >= millis;
+        boolean fresh = now - lastSampleAt >= millis;
         if (fresh) {
-            sampledAt = now;
+            lastSampleAt = now;
         }
         return fresh;
     }
 
     /**
-     * Takes note of which images are throttled there.
+     * Updates which images are throttled.
      *
-     * @param shares the images whose runs may not work all the time
+     * @param shares the images whose runs may not run all the time
      * @param now the time on the leader's clock
      */
     void updateThrottled(List<ImageShare> shares, long now) {
-        List<String> held =
+        List<String> throttled =
                 shares.stream()
-                        .filter(share -> share.percent() <= HELD_BACK_PERCENT)
+                        .filter(share -> share.percent() <= MAX_THROTTLED_PERCENT)
                         .map(ImageShare::image)
                         .toList();
-        percents.clear();
-        shares.forEach(share -> percents.put(share.image(), share.percent()));
-        throttledSince.keySet().retainAll(held);
-        held.forEach(image -> throttledSince.putIfAbsent(image, now));
+        sharePercents.clear();
+        shares.forEach(share -> sharePercents.put(share.image(), share.percent()));
+        throttledSince.keySet().retainAll(throttled);
+        throttled.forEach(image -> throttledSince.putIfAbsent(image, now));
     }
 
     /**
-     * Checks whether the runs of an image have been held back there for a while.
+     * Checks whether the runs of an image have been throttled for some time.
      *
      * @param image the image
      * @param now the time on the leader's clock
-     * @param millis how long a while is, in milliseconds
+     * @param millis the minimum time, in milliseconds
      * @return true if so
      */
     boolean isThrottled(String image, long now, long millis) {
@@ -93,30 +94,30 @@
     }
 
     /**
-     * Gets the share of time for which the runs of an image may work there.
+     * Gets the share of time for which the runs of an image may run.
      *
      * @param image the image
      * @return the share, 0 to 1
      */
     double getRunShare(String image) {
-        return percents.getOrDefault(image, FULL_PERCENT) / (double) FULL_PERCENT;
+        return sharePercents.getOrDefault(image, FULL_PERCENT) / (double) FULL_PERCENT;
     }
 
     /**
-     * Gets the longest tail of a serving run there.
+     * Gets the longest tail latency of a serving run.
      *
-     * @return as a share of its target; 0 if none serves
+     * @return the tail latency relative to its target; 0 if there is no serving run
      */
     double getMaxTailRatio() {
-        return worstTail;
+        return maxTailRatio;
     }
 
     /**
-     * Sets the longest tail of a serving run there.
+     * Sets the longest tail latency of a serving run.
      *
-     * @param share as a share of its target; 0 if none serves
+     * @param ratio the tail latency relative to its target; 0 if there is no serving run
      */
-    void setMaxTailRatio(double share) {
-        worstTail = share;
+    void setMaxTailRatio(double ratio) {
+        maxTailRatio = ratio;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerRegistry.java
+++ b/src/main/java/org/standlink/cell/WorkerRegistry.java
@@ -31,146 +31,143 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * All workers of a cell, and which tasks may run on each.
+ * All workers of a cell, with the health rules that decide whether they get new runs.
  *
- * <p>{@code WorkerRegistry} is mutable and not thread-safe; the leader's loop owns it.
+ * <p>{@code WorkerRegistry} is mutable and not thread-safe; it is confined to the leader's event
+ * loop.
  */
 final class WorkerRegistry implements ChangeSource {
 
-    /** After how many failures of different jobs in a row a worker is set aside. */
-    private static final int MOST_FAILURES = 3;
+    /** The number of consecutive failed runs after which a worker is suspended. */
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    /** For how long a worker that fails is set aside before it is tried again, in milliseconds. */
-    private static final long ASIDE_MILLIS = 3000;
+    /** How long a failing worker is suspended before it is tried again, in milliseconds. */
+    private static final long SUSPENSION_MILLIS = 3000;
 
     /**
-     * How long a worker that was set aside gets nothing more after the task that tries it, in
-     * milliseconds; most tasks that fail do so within it.
+     * How long a worker that was suspended gets no further run after the one that tests it, in
+     * milliseconds. Most tasks that fail do so within this time.
      */
-    private static final long TRIAL_MILLIS = 1500;
+    private static final long PROBATION_MILLIS = 1500;
 
-    /** How long ago an agent may have been heard for its workers to be used, in milliseconds. */
+    /** The age of an agent's last report from which its workers are not used, in milliseconds. */
     static final long REPORT_TIMEOUT_MILLIS = 1500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerRegistry.class);
 
-    /** The start of the keys of workers' addresses. */
-    private static final String ADDRESS_KEY = "w/";
+    /** The prefix of the keys of workers' addresses in the store. */
+    private static final String ADDRESS_KEY_PREFIX = "w/";
 
-    /** Workers whose address is to be kept, or removed if they are no longer known. */
-    private final Set<WorkerIncarnation> changed = new LinkedHashSet<>();
+    /**
+     * The incarnations whose address is to be persisted, or removed if they are no longer known.
+     */
+    private final Set<WorkerIncarnation> changedAddresses = new LinkedHashSet<>();
 
-    /** The workers. */
     private final Map<WorkerIncarnation, WorkerEntry> workers = new LinkedHashMap<>();
 
     /** The halls in which nothing may be started. */
-    private final Supplier<EvacuatedHalls> evacuated;
+    private final Supplier<EvacuatedHalls> evacuatedHalls;
 
-    /**
-     * Constructor.
-     *
-     * @param evacuated the halls in which nothing may be started
-     */
-    WorkerRegistry(Supplier<EvacuatedHalls> evacuated) {
-        this.evacuated = evacuated;
+    WorkerRegistry(Supplier<EvacuatedHalls> evacuatedHalls) {
+        this.evacuatedHalls = evacuatedHalls;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes over what was kept.
+     * Restores the persisted addresses.
      *
-     * @param records the records, in any order; those of other parts are passed over
-     * @param mayRunUntil until when the runs of these workers may go on
+     * @param records the records, in any order; those with other keys are ignored
+     * @param leaseExpiryMillis when the leases of these workers expire, on the leader's clock
      */
-    void restore(List<KeyedRecord> records, long mayRunUntil) {
+    void restore(List<KeyedRecord> records, long leaseExpiryMillis) {
         for (KeyedRecord record : records) {
-            if (record.key().startsWith(ADDRESS_KEY) && record.value().length > 0) {
-                WorkerIncarnation life =
-                        WorkerIncarnation.parse(record.key().substring(ADDRESS_KEY.length()));
+            if (record.key().startsWith(ADDRESS_KEY_PREFIX) && record.value().length > 0) {
+                WorkerIncarnation incarnation =
+                        WorkerIncarnation.parse(
+                                record.key().substring(ADDRESS_KEY_PREFIX.length()));
                 String address = new String(record.value(), StandardCharsets.US_ASCII);
-                getOrAdd(life, mayRunUntil).restoreAddress(address);
+                getOrAdd(incarnation, leaseExpiryMillis).restoreAddress(address);
             }
         }
     }
 
     /**
-     * Finds the workers that are gone, since another one answers at their address.
+     * Finds the workers that have been replaced, because another worker responds at their address.
      *
-     * @param present the life that answers
-     * @return the lives at that address that have other ids
+     * @param current the incarnation that responds
+     * @return the incarnations with the same address and a different id
      */
-    List<WorkerEntry> findReplacedBy(WorkerEntry present) {
+    List<WorkerEntry> findReplacedBy(WorkerEntry current) {
         return workers.values().stream()
                 .filter(
                         other ->
                                 !other.getIncarnation()
                                         .getId()
-                                        .equals(present.getIncarnation().getId()))
-                .filter(other -> other.getAddress().equals(present.getAddress()))
+                                        .equals(current.getIncarnation().getId()))
+                .filter(other -> other.getAddress().equals(current.getAddress()))
                 .toList();
     }
 
     /**
-     * Finds the other lives of a worker.
+     * Finds the other incarnations of a worker.
      *
-     * @param present a life of it
-     * @return the others that are known
+     * @param current an incarnation of the worker
+     * @return the other known incarnations
      */
-    List<WorkerEntry> findOtherIncarnations(WorkerIncarnation present) {
+    List<WorkerEntry> findOtherIncarnations(WorkerIncarnation current) {
         return workers.values().stream()
-                .filter(other -> other.getIncarnation().isOtherIncarnationOf(present))
+                .filter(other -> other.getIncarnation().isOtherIncarnationOf(current))
                 .toList();
     }
 
     /**
-     * Takes note that a worker's address is to be kept.
+     * Marks the address of a worker to be persisted.
      *
      * @param worker the worker
      */
     void persistAddress(WorkerEntry worker) {
-        changed.add(worker.getIncarnation());
+        changedAddresses.add(worker.getIncarnation());
     }
 
     @Override
     public boolean hasChanges() {
-        return !changed.isEmpty();
+        return !changedAddresses.isEmpty();
     }
 
     @Override
     public List<KeyedRecord> takeChanges() {
         List<KeyedRecord> records = new ArrayList<>();
-        for (WorkerIncarnation life : changed) {
-            WorkerEntry worker = workers.get(life);
+        for (WorkerIncarnation incarnation : changedAddresses) {
+            WorkerEntry worker = workers.get(incarnation);
             String address = worker == null ? "" : worker.getAddress();
             byte[] value = address.getBytes(StandardCharsets.US_ASCII);
-            records.add(new KeyedRecord(ADDRESS_KEY + life, value));
+            records.add(new KeyedRecord(ADDRESS_KEY_PREFIX + incarnation, value));
         }
-        changed.clear();
+        changedAddresses.clear();
         return records;
     }
 
     @Override
     public void markPersisted() {
-        // Nothing waits for the address of a worker.
+        // Nothing waits for the address of a worker to be durable.
     }
 
     // -----------------------------------------------------------------------
     /**
      * Finds or adds a worker.
      *
-     * @param id the life of the worker
-     * @param mayRunUntil until when its runs may go on, if it is new
+     * @param id the incarnation of the worker
+     * @param leaseExpiryMillis when its lease expires if it is added, on the leader's clock
      * @return the worker
      */
-    WorkerEntry getOrAdd(WorkerIncarnation id, long mayRunUntil) {
-        return workers.computeIfAbsent(id, key -> new WorkerEntry(key, mayRunUntil));
+    WorkerEntry getOrAdd(WorkerIncarnation id, long leaseExpiryMillis) {
+        return workers.computeIfAbsent(id, key -> new WorkerEntry(key, leaseExpiryMillis));
     }
 
     /**
      * Finds a worker.
      *
-     * @param id the life of the worker
+     * @param id the incarnation of the worker
      * @return the worker, null if it is not known
      */
     WorkerEntry find(WorkerIncarnation id) {
@@ -178,20 +175,21 @@
     }
 
     /**
-     * Takes note that a task's last run may be on its worker.
+     * Records that a task's last run may be on its worker.
      *
-     * @param task the task, which has a worker
-     * @param mayRunUntil until when the worker's runs may go on, if it is new
+     * @param task the task, which must have a worker
+     * @param leaseExpiryMillis when the worker's lease expires if it is added, on the leader's
+     *     clock
      */
-    void addTask(TaskEntry task, long mayRunUntil) {
-        getOrAdd(task.getWorker(), mayRunUntil).addTask(task);
+    void addTask(TaskEntry task, long leaseExpiryMillis) {
+        getOrAdd(task.getWorker(), leaseExpiryMillis).addTask(task);
     }
 
     /**
-     * Takes note that a task's last run is over.
+     * Records that a task's last run is not on a worker any more.
      *
      * @param task the task
-     * @param id where it was
+     * @param id the incarnation of the worker
      */
     void removeTask(TaskEntry task, WorkerIncarnation id) {
         WorkerEntry worker = workers.get(id);
@@ -201,16 +199,16 @@
     }
 
     /**
-     * Takes note of how a run ended, and sets a worker aside that fails too often.
+     * Records the outcome of a run, and suspends a worker after too many consecutive failures.
      *
      * @param worker the worker
-     * @param well whether the run ended well
+     * @param succeeded whether the run succeeded
      * @param now the time on the leader's clock
      */
-    void recordOutcome(WorkerEntry worker, boolean well, long now) {
-        worker.getHealth().recordOutcome(well);
-        if (worker.getHealth().getConsecutiveFailures() >= MOST_FAILURES) {
-            worker.getHealth().avoidUntil(now + ASIDE_MILLIS);
+    void recordOutcome(WorkerEntry worker, boolean succeeded, long now) {
+        worker.getHealth().recordOutcome(succeeded);
+        if (worker.getHealth().getConsecutiveFailures() >= MAX_CONSECUTIVE_FAILURES) {
+            worker.getHealth().avoidUntil(now + SUSPENSION_MILLIS);
             LOG.info("worker-set-aside")
                     .with("worker", worker.getIncarnation())
                     .with("failures", worker.getHealth().getConsecutiveFailures())
@@ -219,23 +217,23 @@
     }
 
     /**
-     * Takes note that a worker was given a run; one that failed too often gets only this one for a
-     * while.
+     * Records that a run was assigned to a worker. A worker with too many consecutive failures gets
+     * only this one for a while.
      *
      * @param worker the worker
      * @param now the time on the leader's clock
-     * @return true if it may be given more
+     * @return true if it may be assigned more runs
      */
     boolean recordAssignment(WorkerEntry worker, long now) {
-        boolean trusted = worker.getHealth().getConsecutiveFailures() < MOST_FAILURES;
+        boolean trusted = worker.getHealth().getConsecutiveFailures() < MAX_CONSECUTIVE_FAILURES;
         if (!trusted) {
-            worker.getHealth().avoidUntil(now + TRIAL_MILLIS);
+            worker.getHealth().avoidUntil(now + PROBATION_MILLIS);
         }
         return trusted;
     }
 
     /**
-     * Lists the workers that may be given new runs.
+     * Finds the workers to which new runs may be assigned.
      *
      * @param service the service whose workers run the queue's tasks
      * @param now the time on the leader's clock
@@ -243,21 +241,21 @@
      */
     List<WorkerEntry> findUsable(String service, long now) {
         List<WorkerEntry> usable = new ArrayList<>();
-        EvacuatedHalls closed = evacuated.get();
+        EvacuatedHalls evacuated = evacuatedHalls.get();
         for (WorkerEntry worker : workers.values()) {
-            boolean fit =
+            boolean eligible =
                     worker.getDescription() != null
                             && worker.getDescription().service().equals(service)
                             && !worker.getDescription().draining()
-                            && !closed.contains(worker.getDescription().hall())
+                            && !evacuated.contains(worker.getDescription().hall())
                             && worker.isReachable()
                             && !worker.getSyncedGeneration().equals(LeaseGeneration.NONE)
-                            // What is given under a lease that is over would only wait for the
-                            // next.
+                            // A run assigned under an expired lease would only wait for the
+                            // next lease.
                             && now < worker.getLeaseExpiryMillis()
                             && now - worker.getLastReportMillis() < REPORT_TIMEOUT_MILLIS
                             && now >= worker.getHealth().getAvoidUntil();
-            if (fit) {
+            if (eligible) {
                 usable.add(worker);
             }
         }
@@ -270,25 +268,20 @@
      * @return the halls
      */
     EvacuatedHalls getEvacuatedHalls() {
-        return evacuated.get();
+        return evacuatedHalls.get();
     }
 
-    /**
-     * Lists the workers.
-     *
-     * @return the workers
-     */
     Collection<WorkerEntry> getWorkers() {
         return workers.values();
     }
 
     /**
-     * Removes a worker whose runs are all over.
+     * Removes a worker whose runs have all ended.
      *
      * @param worker the worker
      */
     void remove(WorkerEntry worker) {
         workers.remove(worker.getIncarnation());
-        changed.add(worker.getIncarnation());
+        changedAddresses.add(worker.getIncarnation());
     }
 }
