--- a/src/main/java/org/standlink/job/Configuration.java
+++ b/src/main/java/org/standlink/job/Configuration.java
@@ -19,14 +19,15 @@
 import java.util.Optional;
 
 /**
- * One version of the operator's configuration: the queues that take jobs.
+ * One version of the operator's configuration of job queues.
  *
  * <p>{@code Configuration} is thread-safe and immutable.
  *
  * @param version the version; a higher one replaces a lower one
- * @param queues the queues
- * @param unguardedServices the services whose workers start whatever they are told
- * @param mostBodyBytes the longest body that a caller may send, in bytes
+ * @param queues the queues that accept jobs
+ * @param unguardedServices the services whose workers do not enforce their capacity and start every
+ *     run that they are ordered to start
+ * @param mostBodyBytes the maximum size of a request body, in bytes
  */
 public record Configuration(
         long version,
@@ -34,25 +35,25 @@
         List<String> unguardedServices,
         int mostBodyBytes) {
 
-    /** The configuration before the first. */
+    /** The configuration in force before any has been published. */
     public static final Configuration NONE = new Configuration(0, List.of(), List.of(), 0);
 
-    /** The most runs of a task that may fail if its queue is no longer configured. */
-    private static final int OTHERWISE_ATTEMPTS = 1;
+    /** The maximum number of failed runs of a task whose queue is no longer configured. */
+    private static final int UNCONFIGURED_ATTEMPTS = 1;
 
     /**
-     * Finds the queue of a request: the longest prefix of its path on its host.
+     * Finds the queue of a request: the one with the longest path prefix among those of its host.
      *
-     * @param host the host, with or without a port
+     * @param host the host, with or without a port; null if the request names none
      * @param path the path
-     * @return the queue, empty if none takes it
+     * @return the queue, empty if none matches
      */
     public Optional<QueueDefinition> findQueue(String host, String path) {
-        String name = host == null ? "" : host.split(":", 2)[0];
+        String hostName = host == null ? "" : host.split(":", 2)[0];
         QueueDefinition best = null;
         for (QueueDefinition queue : queues) {
-            boolean takes = queue.host().equals(name) && path.startsWith(queue.pathPrefix());
-            if (takes && (best == null || longer(queue, best))) {
+            boolean matches = queue.host().equals(hostName) && path.startsWith(queue.pathPrefix());
+            if (matches && (best == null || hasLongerPrefix(queue, best))) {
                 best = queue;
             }
         }
@@ -70,27 +71,27 @@
     }
 
     /**
-     * Gets how many runs of a task may fail.
+     * Gets the maximum number of failed runs of a task of a queue.
      *
      * @param name the name of the queue
-     * @return the number; one if the queue is no longer configured, no limit as long as no
+     * @return the maximum; 1 if the queue is no longer configured, no limit as long as no
      *     configuration has been read
      */
     public int getMaxAttempts(String name) {
-        int otherwise = isRead() ? OTHERWISE_ATTEMPTS : Integer.MAX_VALUE;
-        return findQueue(name).map(QueueDefinition::mostAttempts).orElse(otherwise);
+        int fallback = isRead() ? UNCONFIGURED_ATTEMPTS : Integer.MAX_VALUE;
+        return findQueue(name).map(QueueDefinition::mostAttempts).orElse(fallback);
     }
 
     /**
-     * Checks whether this is one that the operator has published.
+     * Checks whether this is a configuration that the operator has published.
      *
-     * @return false for the one before the first
+     * @return false for the configuration in force before any has been published
      */
     public boolean isRead() {
         return version > NONE.version;
     }
 
-    private static boolean longer(QueueDefinition one, QueueDefinition other) {
+    private static boolean hasLongerPrefix(QueueDefinition one, QueueDefinition other) {
         return one.pathPrefix().length() > other.pathPrefix().length();
     }
 }
--- a/src/main/java/org/standlink/job/EvacuatedHalls.java
+++ b/src/main/java/org/standlink/job/EvacuatedHalls.java
@@ -21,8 +21,8 @@
 import org.standlink.HallId;
 
 /**
- * The halls in which nothing may be started until the operator takes them back. What runs there
- * goes on.
+ * The halls that are evacuated: no run may be started there until the operator ends the evacuation.
+ * Runs in progress there continue.
  *
  * <p>{@code EvacuatedHalls} is thread-safe and immutable.
  */
@@ -31,22 +31,16 @@
     /** No hall is evacuated. */
     public static final EvacuatedHalls NONE = new EvacuatedHalls(Set.of());
 
-    /** The halls. */
     private final Set<HallId> halls;
 
-    /**
-     * Constructor.
-     *
-     * @param halls the halls, not changed any more
-     */
     private EvacuatedHalls(Set<HallId> halls) {
         this.halls = halls;
     }
 
     /**
-     * Obtains an instance from halls.
+     * Obtains an instance from a collection of halls.
      *
-     * @param halls the halls
+     * @param halls the evacuated halls, copied
      * @return the instance
      */
     public static EvacuatedHalls of(Collection<HallId> halls) {
@@ -58,7 +52,7 @@
      * Checks whether a hall is evacuated.
      *
      * @param hall the hall
-     * @return true if nothing may be started there
+     * @return true if no run may be started there
      */
     public boolean contains(HallId hall) {
         return halls.contains(hall);
@@ -67,7 +61,7 @@
     /**
      * Checks whether no hall is evacuated.
      *
-     * @return true if none is
+     * @return true if no hall is evacuated
      */
     public boolean isEmpty() {
         return halls.isEmpty();
--- a/src/main/java/org/standlink/job/EvacuationChange.java
+++ b/src/main/java/org/standlink/job/EvacuationChange.java
@@ -18,11 +18,11 @@
 import org.standlink.HallId;
 
 /**
- * A request of the operator to evacuate a hall, or the end of one.
+ * A request of the operator to evacuate a hall or to end its evacuation.
  *
  * <p>{@code EvacuationChange} is thread-safe and immutable.
  *
  * @param hall the hall
- * @param evacuated true if nothing more is to be started there, false if it is in use again
+ * @param evacuated true if no more runs may be started there, false if the hall is in use again
  */
 public record EvacuationChange(HallId hall, boolean evacuated) {}
--- a/src/main/java/org/standlink/job/JobDefinition.java
+++ b/src/main/java/org/standlink/job/JobDefinition.java
@@ -22,17 +22,17 @@
 /**
  * A job as its caller submitted it.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>Serialized as an array, so new components may only be added at the end.
  *
  * <p>{@code JobDefinition} is thread-safe and immutable.
  *
- * @param id the identifier that the caller chose
- * @param queue the name of the queue it was submitted to
- * @param specification the text that every task is started with
+ * @param id the identifier chosen by the caller
+ * @param queue the name of the queue that the job was submitted to
+ * @param specification the text that is passed to every task
  * @param steps the steps
- * @param firstStartMillis when a repeated job is due first, in milliseconds since 1970
- * @param intervalMillis the time between two repetitions, in milliseconds
- * @param repetitions how often the steps run; 0 for once, at once
+ * @param firstStartMillis the time of the first repetition, in milliseconds since 1970
+ * @param intervalMillis the interval between the starts of two repetitions, in milliseconds
+ * @param repetitions how often the steps run; 0 if they run once, without a start time
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record JobDefinition(
@@ -45,18 +45,19 @@
         int repetitions) {
 
     /**
-     * Gets how often the steps run.
+     * Gets how often the steps run, counting a job without start times as one repetition.
      *
-     * @return the number, 1 or more
+     * @return the number of repetitions, 1 or more
      */
     public int repetitionCount() {
         return Math.max(1, repetitions);
     }
 
     /**
-     * Checks whether the job has times at which it is due.
+     * Checks whether the job has start times.
      *
-     * @return true if so
+     * @return true if its repetitions start at set times, false if it runs once, as soon as
+     *     possible
      */
     public boolean isTimed() {
         return repetitions > 0;
--- a/src/main/java/org/standlink/job/JobState.java
+++ b/src/main/java/org/standlink/job/JobState.java
@@ -15,23 +15,23 @@
  */
 package org.standlink.job;
 
-/** What a submitted job's callers are told. */
+/** The state of a submitted job, as reported to callers. */
 public enum JobState {
-    /** No task has begun. */
+    /** No task has started. */
     QUEUED,
-    /** A task has begun. */
+    /** At least one task has started. */
     RUNNING,
-    /** All tasks have ended well. */
+    /** All tasks have completed successfully. */
     COMPLETED,
-    /** A task has failed as often as it may. */
+    /** A task has failed permanently. */
     FAILED,
-    /** A caller cancelled it. */
+    /** A caller has cancelled the job. */
     CANCELLED;
 
     /**
-     * Checks whether nothing more is to be done for the job.
+     * Checks whether the state is final.
      *
-     * @return true if so
+     * @return true if no more task of the job is to be run
      */
     public boolean isFinal() {
         return this == COMPLETED || this == FAILED || this == CANCELLED;
--- a/src/main/java/org/standlink/job/QueueDefinition.java
+++ b/src/main/java/org/standlink/job/QueueDefinition.java
@@ -16,18 +16,19 @@
 package org.standlink.job;
 
 /**
- * A queue that takes jobs.
+ * The definition of a queue that accepts jobs.
  *
  * <p>{@code QueueDefinition} is thread-safe and immutable.
  *
  * @param name the name
- * @param host the HTTP host that callers name
- * @param pathPrefix the start of the path that callers name
+ * @param host the HTTP host of its requests
+ * @param pathPrefix the path prefix of its requests
  * @param service the service whose workers run its tasks
- * @param priority 0 comes first
- * @param mostAttempts how many runs of a task may fail
- * @param targetMillis the target of a job beyond its longest chain of work, in milliseconds
- * @param stretch by which factor the longest chain of work counts in the target
+ * @param priority the priority; 0 is the highest
+ * @param mostAttempts the maximum number of failed runs of a task
+ * @param targetMillis the part of a job's target time that does not depend on its critical path, in
+ *     milliseconds
+ * @param stretch the factor by which the critical path counts in the target time
  * @param advised whether only workers named by the adviser may run a step
  */
 public record QueueDefinition(
--- a/src/main/java/org/standlink/job/RunEnd.java
+++ b/src/main/java/org/standlink/job/RunEnd.java
@@ -18,14 +18,14 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * The end of a run, as its worker lists it until it is told that the end has been recorded.
+ * The end of a run, as listed by its worker until the leader has acknowledged that it is recorded.
  *
  * <p>{@code RunEnd} is thread-safe and immutable.
  *
- * @param number the number of the end in the worker's life, from 1
+ * @param number the sequence number of the end in the worker's incarnation, from 1
  * @param run the run
  * @param kind how it ended
- * @param checkpoint the state it saved, empty if none
+ * @param checkpoint the checkpoint it saved, empty if none
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record RunEnd(long number, RunId run, RunEndKind kind, String checkpoint) {}
--- a/src/main/java/org/standlink/job/RunEndKind.java
+++ b/src/main/java/org/standlink/job/RunEndKind.java
@@ -15,18 +15,18 @@
  */
 package org.standlink.job;
 
-/** How a run ended, as its worker says. */
+/** How a run ended, as reported by its worker. */
 public enum RunEndKind {
-    /** It did all of its work. */
+    /** The run completed its work. */
     DONE,
-    /** It failed, by its own fault or the worker's. */
+    /** The run failed, by its own fault or by that of the worker. */
     FAILED,
-    /** It was told to stop. */
+    /** The run was ordered to stop. */
     STOPPED,
-    /** The worker's lease ran out. */
+    /** The lease of the worker expired. */
     LAPSED,
-    /** Another member of its gang ended. */
+    /** Another member of the gang ended. */
     BROKEN,
-    /** The other members of its gang did not come in time. */
+    /** The other members of the gang did not start in time. */
     ALONE
 }
--- a/src/main/java/org/standlink/job/RunId.java
+++ b/src/main/java/org/standlink/job/RunId.java
@@ -18,7 +18,7 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * Identifies one run of a task; the runs of a task are numbered from 1, rising.
+ * Identifies one run of a task. The runs of a task are numbered from 1 in ascending order.
  *
  * <p>{@code RunId} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/job/RunProgress.java
+++ b/src/main/java/org/standlink/job/RunProgress.java
@@ -18,15 +18,15 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * A run in progress, as its worker lists it.
+ * A run in progress, as listed by its worker.
  *
  * <p>{@code RunProgress} is thread-safe and immutable.
  *
  * @param run the run
- * @param checkpoint the state it saved last, empty if none
+ * @param checkpoint the last checkpoint it saved, empty if none
  * @param percent how much of its work is done, 0 to 100
- * @param measurement of the last half second: a serving task's tail latency in milliseconds, any
- *     other task's processor use in thousandths of a core
+ * @param measurement the measurement of the last half second: the tail latency of a serving task in
+ *     milliseconds, the processor usage of any other task in thousandths of a core
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record RunProgress(RunId run, String checkpoint, int percent, long measurement) {}
--- a/src/main/java/org/standlink/job/StepDefinition.java
+++ b/src/main/java/org/standlink/job/StepDefinition.java
@@ -20,28 +20,29 @@
 import org.standlink.Resources;
 
 /**
- * One step of a submitted job: equal tasks that run side by side.
+ * One step of a submitted job: a number of identical tasks that may run concurrently.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>Serialized as an array, so new components may only be added at the end.
  *
  * <p>{@code StepDefinition} is thread-safe and immutable.
  *
  * @param count the number of tasks
- * @param demand what each task asks for
- * @param estimatedMillis a rough guess of a task's run time, in milliseconds; 0 if none
- * @param after the earlier steps that must be done first
- * @param checkpointing whether a task can go on from a saved state
- * @param gang whether the tasks only work together
+ * @param demand the resources requested by each task
+ * @param estimatedMillis a rough estimate of the run time of a task, in milliseconds; 0 if none
+ * @param after the indices of the earlier steps that must be completed first
+ * @param checkpointing whether a task can resume from a checkpoint
+ * @param gang whether the tasks must run together
  * @param rackLocal whether a gang slows down when it spans racks
- * @param requiredLabel the label that a worker must have, empty if any will do
- * @param dataRack the rack where the data is, empty if anywhere
- * @param maxPerWorker the most tasks of the step on one worker, 0 for no limit
- * @param speculative whether copies of a task may run side by side
+ * @param requiredLabel the label that a worker must have, empty if none is required
+ * @param dataRack the rack that holds the input data, empty if any
+ * @param maxPerWorker the maximum number of tasks of the step on one worker, 0 for no limit
+ * @param speculative whether copies of a task may run concurrently
  * @param longRunning whether tasks run until the job is cancelled
- * @param image what the tasks run, empty if not told
- * @param targetMillis the tail latency that a serving task is to keep, in milliseconds; 0 if none
+ * @param image the image that the tasks run, empty if not given
+ * @param targetMillis the target tail latency of a serving task, in milliseconds; 0 if none
  * @param bestEffort whether the tasks use only processors that others leave idle
- * @param maxUnavailable how many tasks the system may hold away at once, by its own doing
+ * @param maxUnavailable the maximum number of tasks that the scheduler may voluntarily keep from
+ *     running at the same time
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record StepDefinition(
@@ -63,9 +64,10 @@
         int maxUnavailable) {
 
     /**
-     * Gets what a task takes of a worker's room: a best-effort task takes no processors of it.
+     * Gets the part of a worker's capacity that a task occupies. A best-effort task occupies no
+     * processors.
      *
-     * @return the amount that must be free on the worker
+     * @return the resources that must be free on the worker
      */
     public Resources requiredCapacity() {
         return bestEffort
--- a/src/main/java/org/standlink/job/TaskName.java
+++ b/src/main/java/org/standlink/job/TaskName.java
@@ -29,9 +29,9 @@
  * <p>{@code TaskName} is thread-safe and immutable.
  *
  * @param job the job
- * @param repetition which time of a repeated job, 0 for a job that runs once
- * @param step the number of the step
- * @param index the number of the task in its step
+ * @param repetition the repetition of a repeated job, 0 for a job that runs once
+ * @param step the index of the step
+ * @param index the index of the task in its step
  */
 public record TaskName(JobId job, int repetition, int step, int index) {
 
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Checks whether another task is of the same step and repetition.
+     * Checks whether another task belongs to the same step and repetition of the same job.
      *
      * @param other the name of the other task
-     * @return true if so
+     * @return true if it does
      */
     public boolean isOfSameStep(TaskName other) {
         return job.equals(other.job) && step == other.step && repetition == other.repetition;
--- a/src/main/java/org/standlink/job/WorkerDescription.java
+++ b/src/main/java/org/standlink/job/WorkerDescription.java
@@ -21,18 +21,18 @@
 import org.standlink.Resources;
 
 /**
- * What a worker says of itself in a heartbeat.
+ * The description of a worker, as sent in its heartbeats.
  *
  * <p>{@code WorkerDescription} is thread-safe and immutable.
  *
- * @param incarnation the life of the worker
- * @param service the service whose queues it may run
- * @param address where it takes calls, host and port
- * @param capacity its room
- * @param hall the hall it is in
- * @param labels its labels, such as its kind and rack
- * @param draining whether it is about to leave
- * @param remainingMillis when draining, the least time left, in milliseconds
+ * @param incarnation the incarnation of the worker
+ * @param service the service whose queues the worker may run tasks of
+ * @param address the address that accepts calls, host and port
+ * @param capacity the total resources of the worker
+ * @param hall the hall of the worker
+ * @param labels the labels of the worker, such as its kind and rack
+ * @param draining whether the worker is about to leave
+ * @param remainingMillis if draining, the minimum time until it leaves, in milliseconds
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record WorkerDescription(
--- a/src/main/java/org/standlink/job/WorkerId.java
+++ b/src/main/java/org/standlink/job/WorkerId.java
@@ -19,17 +19,12 @@
 import org.standlink.AbstractIdentifier;
 
 /**
- * Names a worker; one that starts again may have the same id, see {@link WorkerIncarnation}.
+ * Identifies a worker. A restarted worker may have the same id, see {@link WorkerIncarnation}.
  *
  * <p>{@code WorkerId} is thread-safe and immutable.
  */
 public final class WorkerId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private WorkerId(String value) {
         super(value);
     }
@@ -39,7 +34,8 @@
      *
      * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
      * @return the identifier
-     * @throws org.standlink.StandlinkException with code INVALID_IDENTIFIER if it is not one
+     * @throws org.standlink.StandlinkException with code INVALID_IDENTIFIER if the text is not a
+     *     worker's id
      */
     @JsonCreator
     public static WorkerId parse(String text) {
--- a/src/main/java/org/standlink/job/WorkerIncarnation.java
+++ b/src/main/java/org/standlink/job/WorkerIncarnation.java
@@ -21,84 +21,81 @@
 import org.standlink.StandlinkException;
 
 /**
- * One life of a worker, from a start of it to its end.
+ * One incarnation of a worker, from a start of its process to the end of that process.
  *
- * <p>A worker may start again under the id that it had. It then knows nothing of before, so
- * whatever is known of a worker, promised to it, counted or ordered belongs to one life and not to
- * an id. A worker that tells no birth has another id in each life. Which of two lives is the
- * present one is told by who answers, not by the births: a worker's time of day may have been set
- * back between two starts.
+ * <p>A worker may restart under the same id without any state of its previous incarnation. All
+ * state, leases, counters and orders therefore belong to an incarnation and not to an id. A worker
+ * that reports no start time has a different id in each incarnation.
+ *
+ * <p>Which of two incarnations is the current one follows from which one answers, not from the
+ * start times: the clock of a worker may have been set back between two starts.
  *
  * <p>{@code WorkerIncarnation} is thread-safe and immutable.
  */
 public final class WorkerIncarnation {
 
-    /** Stands between id and birth; no id holds it. */
+    /** The separator of id and start time; no id contains it. */
     private static final char SEPARATOR = '@';
 
-    /** Stands for a birth that is not known. */
-    private static final long NO_BIRTH = -1;
+    /** Marks an unknown start time. */
+    private static final long NO_START_TIME = -1;
 
-    /** The id of the worker. */
     private final WorkerId id;
 
-    /** When the life began, in milliseconds since 1970 by the worker's clock. */
-    private final long bornMillis;
+    /** The start time, in milliseconds since 1970 on the worker's clock. */
+    private final long startMillis;
 
-    /**
-     * Constructor.
-     *
-     * @param id the id of the worker
-     * @param bornMillis when the life began, checked
-     */
-    private WorkerIncarnation(WorkerId id, long bornMillis) {
+    private WorkerIncarnation(WorkerId id, long startMillis) {
         this.id = id;
-        this.bornMillis = bornMillis;
+        this.startMillis = startMillis;
     }
 
     /**
-     * Names a life.
+     * Obtains an incarnation from its start time.
      *
      * @param id the id of the worker
-     * @param bornMillis when the life began, in milliseconds since 1970 by the worker's clock
-     * @return the life
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the birth is negative
+     * @param startMillis the start time, in milliseconds since 1970 on the worker's clock
+     * @return the incarnation
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the start time is negative
      */
-    public static WorkerIncarnation of(WorkerId id, long bornMillis) {
-        if (bornMillis < 0) {
-            throw malformed(id + "" + SEPARATOR + bornMillis);
+    public static WorkerIncarnation of(WorkerId id, long startMillis) {
+        if (startMillis < 0) {
+            throw malformed(id + "" + SEPARATOR + startMillis);
         }
-        return new WorkerIncarnation(id, bornMillis);
+        return new WorkerIncarnation(id, startMillis);
     }
 
     /**
-     * Names a life of a worker that tells no birth.
+     * Obtains an incarnation of a worker that reports no start time.
      *
      * @param id the id of the worker
-     * @return the life
+     * @return the incarnation
      */
     public static WorkerIncarnation withoutStartTime(WorkerId id) {
-        return new WorkerIncarnation(id, NO_BIRTH);
+        return new WorkerIncarnation(id, NO_START_TIME);
     }
 
     /**
-     * Parses a life from text. One without a birth is that of a worker that tells none; beside
-     * another life of the same id it is one that an older program wrote, and nobody knows which.
+     * Parses the text form.
+     *
+     * <p>An incarnation without a start time belongs to a worker that reports none. If other
+     * incarnations of the same id are known, the text was written by an older version of the
+     * program, and it is unknown which incarnation it meant.
      *
-     * @param text the id, and behind an at-sign the birth
-     * @return the life
-     * @throws StandlinkException with code INVALID_IDENTIFIER if it is none
+     * @param text the id, or the id, an at-sign and the start time
+     * @return the incarnation
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is malformed
      */
     @JsonCreator
     public static WorkerIncarnation parse(String text) {
-        int at = text == null ? -1 : text.indexOf(SEPARATOR);
-        if (at < 0) {
+        int separator = text == null ? -1 : text.indexOf(SEPARATOR);
+        if (separator < 0) {
             return withoutStartTime(WorkerId.parse(text));
         }
-        WorkerId id = WorkerId.parse(text.substring(0, at));
+        WorkerId id = WorkerId.parse(text.substring(0, separator));
         try {
-            return of(id, Long.parseLong(text.substring(at + 1)));
-        } catch (NumberFormatException notWhole) {
+            return of(id, Long.parseLong(text.substring(separator + 1)));
+        } catch (NumberFormatException notANumber) {
             throw malformed(text);
         }
     }
@@ -106,13 +103,13 @@
     private static StandlinkException malformed(String text) {
         return new StandlinkException(
                 ErrorCode.INVALID_IDENTIFIER,
-                "'" + text + "' is not a life of a worker",
-                "use an id, an at-sign and the birth in milliseconds since 1970");
+                "'" + text + "' is not an incarnation of a worker",
+                "use an id, an at-sign and the start time in milliseconds since 1970");
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Gets the id of the worker, which other lives of it may share.
+     * Gets the id of the worker, which its other incarnations may share.
      *
      * @return the id
      */
@@ -121,51 +118,52 @@
     }
 
     /**
-     * Checks whether the birth is known, so that this life can be told from others of the worker.
+     * Checks whether the start time is known, which distinguishes this incarnation from others of
+     * the worker.
      *
-     * @return false if the worker or an older program told none
+     * @return false if the worker reports none, or if an older version of the program wrote none
      */
     public boolean hasStartTime() {
-        return bornMillis != NO_BIRTH;
+        return startMillis != NO_START_TIME;
     }
 
     /**
-     * Checks whether another life is one of the same worker, so that a call meant for one of them
-     * may reach the other.
+     * Checks whether this is a different incarnation of the same worker. A call intended for one of
+     * them may then reach the other.
      *
-     * @param other the other life
-     * @return true if the two differ and have one id
+     * @param other the other incarnation
+     * @return true if the two differ and share an id
      */
     public boolean isOtherIncarnationOf(WorkerIncarnation other) {
-        return id.equals(other.id) && bornMillis != other.bornMillis;
+        return id.equals(other.id) && startMillis != other.startMillis;
     }
 
     /**
-     * Checks whether this life was born after another one, by the clocks of the two.
+     * Checks whether this incarnation started after another one, each by its own clock.
      *
-     * @param other the other life
-     * @return true if so
+     * @param other the other incarnation
+     * @return true if its start time is later
      */
     public boolean isStartedAfter(WorkerIncarnation other) {
-        return bornMillis > other.bornMillis;
+        return startMillis > other.startMillis;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public boolean equals(Object object) {
         return object instanceof WorkerIncarnation other
-                && bornMillis == other.bornMillis
+                && startMillis == other.startMillis
                 && id.equals(other.id);
     }
 
     @Override
     public int hashCode() {
-        return 31 * id.hashCode() + Long.hashCode(bornMillis);
+        return 31 * id.hashCode() + Long.hashCode(startMillis);
     }
 
     @JsonValue
     @Override
     public String toString() {
-        return hasStartTime() ? id.toString() + SEPARATOR + bornMillis : id.toString();
+        return hasStartTime() ? id.toString() + SEPARATOR + startMillis : id.toString();
     }
 }
--- a/src/test/java/org/standlink/job/TestConfiguration.java
+++ b/src/test/java/org/standlink/job/TestConfiguration.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests how requests find their queue. */
+/** Tests the selection of the queue of a request. */
 public class TestConfiguration {
 
     private static QueueDefinition queue(String name, String host, String prefix) {
--- a/src/test/java/org/standlink/job/TestWorkerIncarnation.java
+++ b/src/test/java/org/standlink/job/TestWorkerIncarnation.java
@@ -29,17 +29,18 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Tests that a life of a worker is its id and its birth together. */
+/** Tests that an incarnation of a worker is identified by its id together with its start time. */
 public class TestWorkerIncarnation {
 
     private static final WorkerId ID = WorkerId.parse("i-1");
 
     @Property
-    public void textFormIsParsedAgain(@ForAll @LongRange(min = 0) long born) {
-        WorkerIncarnation life = WorkerIncarnation.of(ID, born);
-        assertEquals(life, WorkerIncarnation.parse(life.toString()));
-        assertEquals(life.hashCode(), WorkerIncarnation.parse(life.toString()).hashCode());
-        assertTrue(life.hasStartTime());
+    public void textFormIsParsedAgain(@ForAll @LongRange(min = 0) long startMillis) {
+        WorkerIncarnation incarnation = WorkerIncarnation.of(ID, startMillis);
+        assertEquals(incarnation, WorkerIncarnation.parse(incarnation.toString()));
+        assertEquals(
+                incarnation.hashCode(), WorkerIncarnation.parse(incarnation.toString()).hashCode());
+        assertTrue(incarnation.hasStartTime());
     }
 
     @Test
@@ -55,21 +56,21 @@
 
     @Test
     public void incarnationWithoutStartTimeIsRecognised() {
-        WorkerIncarnation old = WorkerIncarnation.parse("i-1");
-        assertFalse(old.hasStartTime());
-        assertEquals("i-1", old.toString());
-        assertTrue(old.isOtherIncarnationOf(WorkerIncarnation.of(ID, 0)));
+        WorkerIncarnation withoutStartTime = WorkerIncarnation.parse("i-1");
+        assertFalse(withoutStartTime.hasStartTime());
+        assertEquals("i-1", withoutStartTime.toString());
+        assertTrue(withoutStartTime.isOtherIncarnationOf(WorkerIncarnation.of(ID, 0)));
     }
 
     @Test
     public void malformedTextIsRefused() {
         for (String text : List.of("", "@", "@5", "i-1@", "i-1@-1", "i-1@x", "i-1@1.5", "I@1")) {
-            StandlinkException refused =
+            StandlinkException exception =
                     assertThrows(
                             StandlinkException.class,
                             () -> WorkerIncarnation.parse(text),
                             () -> text);
-            assertEquals(ErrorCode.INVALID_IDENTIFIER, refused.getCode());
+            assertEquals(ErrorCode.INVALID_IDENTIFIER, exception.getCode());
         }
         assertThrows(StandlinkException.class, () -> WorkerIncarnation.parse(null));
         assertThrows(StandlinkException.class, () -> WorkerIncarnation.of(ID, -1));
