--- a/src/test/java/org/standlink/cell/TestAgentReportHandler.java
+++ b/src/test/java/org/standlink/cell/TestAgentReportHandler.java
@@ -92,7 +92,7 @@
     }
 
     private void report(boolean lapsed, List<RunProgress> running, RunEnd... ended) {
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         WORKER,
                         !lapsed,
@@ -104,7 +104,7 @@
                         List.of(),
                         List.of(),
                         true);
-        deliver(handler, agents, 1, List.of(part), List.of());
+        deliver(handler, agents, 1, List.of(workerReport), List.of());
     }
 
     /** Delivers a report under the current generation of its sender. */
@@ -171,7 +171,10 @@
         assertTrue(workers.find(WORKER.incarnation()).listTasks().isEmpty());
     }
 
-    /** Guards against assigning the whole capacity of a worker that does not enforce it. */
+    /**
+     * Guards against overloading a worker that does not enforce its capacity: its whole capacity
+     * was assigned beside a run that was not expected there.
+     */
     @Test
     public void unexpectedRunOccupiesCapacityUntilItEnds() {
         TaskEntry unexpected = jobs.add(CellFixtures.job("b", 1)).listReadyTasks(0).get(0);
@@ -239,11 +242,11 @@
                         List.of(),
                         false,
                         0);
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         other, true, false, true, List.of(), List.of(), List.of(), List.of(),
                         List.of(), true);
-        deliver(nextHandler, nextAgents, 2, List.of(part), List.of());
+        deliver(nextHandler, nextAgents, 2, List.of(workerReport), List.of());
         assertNull(tasks.get(0).getWorker());
         assertNull(restored.find(WORKER.incarnation()));
     }
@@ -275,11 +278,11 @@
                         WORKER.labels(),
                         false,
                         0);
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         smaller, true, false, true, running, List.of(), List.of(), List.of(),
                         List.of(), true);
-        deliver(handler, agents, 1, List.of(part), List.of());
+        deliver(handler, agents, 1, List.of(workerReport), List.of());
     }
 
     @Test
--- a/src/test/java/org/standlink/cell/TestCommitQueue.java
+++ b/src/test/java/org/standlink/cell/TestCommitQueue.java
@@ -166,8 +166,8 @@
     /**
      * Guards against a retry loop without pause when the store refuses after an outage, 5,010 calls
      * in a second in this test: with all but one of the calls that may be in flight unanswered,
-     * each refusal led to the next call at once. Simulated days with such an outage took seconds
-     * for it.
+     * each refusal led to the next call at once. Simulated days with such an outage took seconds,
+     * all of them spent in these calls.
      */
     @Test
     public void callsToAStoreThatRefusesAfterAnOutageAreLimitedInRate() {
--- a/src/test/java/org/standlink/cell/TestJobCellLeader.java
+++ b/src/test/java/org/standlink/cell/TestJobCellLeader.java
@@ -75,10 +75,10 @@
 
     @BeforeEach
     public void lead() {
-        leader = lead(1);
+        leader = startLeader(1);
     }
 
-    private JobCellLeader lead(long epoch) {
+    private JobCellLeader startLeader(long epoch) {
         return CellFixtures.startLeader(epoch, store, clock, loop);
     }
 
@@ -99,7 +99,7 @@
             FakeChannel channel, long agentIncarnation, List<RunId> running, RunEnd... ended) {
         List<RunProgress> progress =
                 running.stream().map(run -> new RunProgress(run, "", (int) sequence, 0)).toList();
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         WORKER,
                         true,
@@ -112,14 +112,14 @@
                         List.of(),
                         true);
         Fence reportedFence = fences.getOrDefault(agentIncarnation, Fence.NONE);
-        reportOnce(channel, agentIncarnation, part);
+        reportOnce(channel, agentIncarnation, workerReport);
         if (!fences.getOrDefault(agentIncarnation, Fence.NONE).equals(reportedFence)) {
             // An agent reports again at once when it receives a new fence.
-            reportOnce(channel, agentIncarnation, part);
+            reportOnce(channel, agentIncarnation, workerReport);
         }
     }
 
-    private void reportOnce(FakeChannel channel, long agentIncarnation, WorkerReport part) {
+    private void reportOnce(FakeChannel channel, long agentIncarnation, WorkerReport workerReport) {
         Fence fence = fences.getOrDefault(agentIncarnation, Fence.NONE);
         call++;
         leader.handle(
@@ -133,7 +133,7 @@
                         fence.getEpoch(),
                         fence.getGeneration(),
                         false,
-                        List.of(part),
+                        List.of(workerReport),
                         List.of()));
         loop.advance(50);
         if (channel.findAnswer(call) instanceof AgentGrant grant) {
@@ -251,7 +251,7 @@
         startRun();
         agent.setMode(FakeChannel.Mode.SILENT);
         cancel();
-        leader = lead(2);
+        leader = startLeader(2);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of());
         assertEquals(List.of(RUN), next.stops());
@@ -267,7 +267,7 @@
             report(agent, 1, List.of(RUN));
             assertEquals(List.of(RUN), agent.stops());
         }
-        leader = lead(2);
+        leader = startLeader(2);
         agent.clear();
         report(agent, 1, List.of(RUN));
         assertEquals(List.of(RUN), agent.stops());
@@ -294,7 +294,7 @@
     // -----------------------------------------------------------------------
     @Test
     public void replacedLeaderDoesNotDenyAJob() {
-        JobCellLeader next = lead(2);
+        JobCellLeader next = startLeader(2);
         assertEquals(JobAnswer.Result.DONE, ask(next, submission()).result());
         JobAnswer answer = ask(leader, new CancelJob(JOB, "q"));
         assertNull(answer, () -> "the caller would take this for a completed cancel: " + answer);
@@ -327,7 +327,7 @@
     @Test
     public void newLeaderKnowsOfCancelsBeforeTheSubmission() {
         cancel();
-        leader = lead(2);
+        leader = startLeader(2);
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, ask(leader, new JobQuery(JOB, "q")).result());
         report(agent, 1, List.of());
         ask(leader, submission());
--- a/src/test/java/org/standlink/cell/TestLateAppends.java
+++ b/src/test/java/org/standlink/cell/TestLateAppends.java
@@ -29,7 +29,7 @@
 import org.standlink.store.Topic;
 
 /**
- * Tests that the state in the store never reverts to one before what has been reported.
+ * Tests that the stored state never reverts to an earlier one than has been reported.
  *
  * <p>Guards against a new leader that, after an outage of the store, restarts tasks whose end an
  * earlier leader had recorded and whose jobs it had reported as completed, or does not know
--- a/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
+++ b/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
@@ -168,7 +168,7 @@
         private void report(List<RunId> running) {
             List<RunEnd> ends = new ArrayList<>();
             ended.forEach((run, number) -> ends.add(new RunEnd(number, run, RunEndKind.DONE, "")));
-            WorkerReport part =
+            WorkerReport workerReport =
                     new WorkerReport(
                             WORKER,
                             true,
@@ -191,7 +191,7 @@
                             fence.getEpoch(),
                             fence.getGeneration(),
                             false,
-                            List.of(part),
+                            List.of(workerReport),
                             List.of()));
             advance(10);
             if (agent.findAnswer(call) instanceof AgentGrant grant) {
--- a/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
+++ b/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
@@ -77,7 +77,7 @@
     }
 
     private void report() {
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         CellFixtures.worker("i-1", 8),
                         true,
@@ -100,7 +100,7 @@
                         grant.epoch(),
                         grant.generation(),
                         false,
-                        List.of(part),
+                        List.of(workerReport),
                         List.of()));
         loop.advance(10);
         grant = (AgentGrant) agent.findAnswer(1000 + sequence);
--- a/src/test/java/org/standlink/cell/TestScheduler.java
+++ b/src/test/java/org/standlink/cell/TestScheduler.java
@@ -153,8 +153,8 @@
 
     @Test
     public void avoidedWorkerGetsNothing() {
-        WorkerEntry leaving = worker("i-1", 8);
-        leaving.getHealth().avoidUntil(NOW + 100);
+        WorkerEntry avoided = worker("i-1", 8);
+        avoided.getHealth().avoidUntil(NOW + 100);
         add("a", CellFixtures.step(1, List.of(), 0, false));
         assertTrue(schedule(NOW).isEmpty());
         assertEquals(1, schedule(NOW + 100).size());
@@ -204,8 +204,8 @@
     @Test
     public void jobThatCanMeetItsTargetGoesBeforeOneThatCannot() {
         worker("i-1", 1);
-        JobEntry overdue = add("old", CellFixtures.step(1, List.of(), 0, false));
-        JobEntry recent = add("young", CellFixtures.step(1, List.of(), 0, false));
+        JobEntry overdue = add("overdue", CellFixtures.step(1, List.of(), 0, false));
+        JobEntry recent = add("recent", CellFixtures.step(1, List.of(), 0, false));
         // The target time is 250 ms plus 1.5 times 500 ms of work.
         overdue.markAccepted(NOW - 2000, 0);
         assertEquals(recent.getId(), schedule(NOW).get(0).getName().job());
@@ -230,7 +230,7 @@
     public void jobWithTooLittleSlackIsNotStarted() {
         worker("i-1", 1);
         JobEntry tight = add("tight", CellFixtures.step(1, List.of(), 0, false));
-        JobEntry recent = add("young", CellFixtures.step(1, List.of(), 0, false));
+        JobEntry recent = add("recent", CellFixtures.step(1, List.of(), 0, false));
         // The target time is 250 ms plus 1.5 times 500 ms of work; 490 ms of it are left.
         tight.markAccepted(NOW - 510, 0);
         assertEquals(recent.getId(), schedule(NOW).get(0).getName().job());
--- a/src/test/java/org/standlink/cell/TestSupersededDecisions.java
+++ b/src/test/java/org/standlink/cell/TestSupersededDecisions.java
@@ -67,7 +67,7 @@
 
     @BeforeEach
     public void begin() {
-        leader = lead(1);
+        leader = startLeader(1);
         report(agent, 1, workerReport(WORKER, false, List.of(), List.of()));
         leader.handle(entry, 1, new SubmitJob(CellFixtures.job("a", 1)));
         loop.advance(50);
@@ -75,7 +75,7 @@
         report(otherAgent, 9, workerReport(OTHER, false, List.of(), List.of()));
     }
 
-    private JobCellLeader lead(long epoch) {
+    private JobCellLeader startLeader(long epoch) {
         return CellFixtures.startLeader(epoch, store, clock, loop);
     }
 
@@ -95,20 +95,24 @@
     }
 
     /** Reports, and reports again if the answer names another fence than the report. */
-    private void report(FakeChannel channel, long agentIncarnation, WorkerReport part) {
+    private void report(FakeChannel channel, long agentIncarnation, WorkerReport workerReport) {
         Fence reportedFence = fences.getOrDefault(agentIncarnation, Fence.NONE);
-        reportOnce(channel, agentIncarnation, part);
+        reportOnce(channel, agentIncarnation, workerReport);
         if (!fences.getOrDefault(agentIncarnation, Fence.NONE).equals(reportedFence)) {
-            reportOnce(channel, agentIncarnation, part);
+            reportOnce(channel, agentIncarnation, workerReport);
         }
     }
 
-    private void reportOnce(FakeChannel channel, long agentIncarnation, WorkerReport part) {
-        reportOnce(agentIncarnation < 9 ? "node" : "elsewhere", channel, agentIncarnation, part);
+    private void reportOnce(FakeChannel channel, long agentIncarnation, WorkerReport workerReport) {
+        reportOnce(
+                agentIncarnation < 9 ? "node" : "elsewhere",
+                channel,
+                agentIncarnation,
+                workerReport);
     }
 
     private void reportOnce(
-            String node, FakeChannel channel, long agentIncarnation, WorkerReport part) {
+            String node, FakeChannel channel, long agentIncarnation, WorkerReport workerReport) {
         Fence fence = fences.getOrDefault(agentIncarnation, Fence.NONE);
         AgentReport report =
                 new AgentReport(
@@ -119,7 +123,7 @@
                         fence.getEpoch(),
                         fence.getGeneration(),
                         false,
-                        List.of(part),
+                        List.of(workerReport),
                         List.of());
         leader.handle(channel, sequence, report);
         loop.advance(20);
@@ -217,7 +221,7 @@
 
     @Test
     public void delayedReportDoesNotRestoreAnEarlierIncarnationAtANewLeader() {
-        leader = lead(2);
+        leader = startLeader(2);
         report(otherAgent, 9, workerReport(OTHER, false, List.of(), List.of()));
         deliverDelayedReportOfAnEarlierIncarnation();
     }
--- a/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
+++ b/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
@@ -127,17 +127,18 @@
     }
 
     /** Delivers a report under the current generation of its sender; true if it is accepted. */
-    private boolean report(Incarnation agent, WorkerReport part, List<WorkerIncarnation> ended) {
+    private boolean report(
+            Incarnation agent, WorkerReport workerReport, List<WorkerIncarnation> ended) {
         if (agents.getGeneration(agent).equals(LeaseGeneration.NONE)) {
-            agents.accept(agentReport(agent, part, ended), clock.nowMillis());
+            agents.accept(agentReport(agent, workerReport, ended), clock.nowMillis());
         }
-        AgentReport report = agentReport(agent, part, ended);
+        AgentReport report = agentReport(agent, workerReport, ended);
         assertTrue(agents.accept(report, clock.nowMillis()));
         return handler.handle(channel, report, clock.nowMillis() + LEASE_MILLIS);
     }
 
     private AgentReport agentReport(
-            Incarnation agent, WorkerReport part, List<WorkerIncarnation> ended) {
+            Incarnation agent, WorkerReport workerReport, List<WorkerIncarnation> ended) {
         return new AgentReport(
                 "node" + agent,
                 "a:1",
@@ -146,7 +147,7 @@
                 Epoch.of(1),
                 agents.getGeneration(agent),
                 false,
-                List.of(part),
+                List.of(workerReport),
                 ended);
     }
 
