--- a/src/main/java/org/standlink/runner/AgentLease.java
+++ b/src/main/java/org/standlink/runner/AgentLease.java
@@ -25,30 +25,27 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * What the leader has granted an agent: until when each worker may keep its runs, and the fence of
- * the orders that hold.
+ * The leases and the fence that the leader has granted to an agent: the end of each worker's lease,
+ * and the fence of the orders in force.
  *
- * <p>{@code AgentLease} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code AgentLease} is mutable and not thread-safe; it is confined to the agent's event loop.
  */
 final class AgentLease {
 
-    /** Tells the newest epoch known. */
+    /** Supplies the newest known epoch. */
     private final Supplier<Epoch> epoch;
 
-    /** The highest fence that a leader has told. */
-    private Fence granted = Fence.NONE;
+    /** The highest fence received from a leader. */
+    private Fence grantedFence = Fence.NONE;
 
-    /** Until when each worker may keep its runs, on the agent's clock, in milliseconds. */
-    private final Map<WorkerIncarnation, Long> ends = new HashMap<>();
-
-    /** By how much the agent's clock has fallen behind since it started, in milliseconds. */
-    private long behindMillis;
+    /** The end of each worker's lease, on the agent's clock, in milliseconds. */
+    private final Map<WorkerIncarnation, Long> leaseEnds = new HashMap<>();
 
     /**
-     * Constructor.
-     *
-     * @param epoch tells the newest epoch known
+     * The total time that the agent's clock has fallen behind since it started, in milliseconds.
      */
+    private long clockLagMillis;
+
     AgentLease(Supplier<Epoch> epoch) {
         this.epoch = epoch;
     }
@@ -56,87 +53,90 @@
     /**
      * Gets the fence under which workers are called.
      *
-     * @return the fence; of the generation before the first if the leader has not told one
+     * @return the fence; of the generation before the first if the leader has not sent one
      */
     Fence getFence() {
         Epoch newest = epoch.get();
-        return newest.isAfter(granted.getEpoch())
+        return newest.isAfter(grantedFence.getEpoch())
                 ? Fence.of(newest, LeaseGeneration.NONE)
-                : granted;
+                : grantedFence;
     }
 
     /**
-     * Takes note of a fence that a leader has told.
+     * Adopts a fence received from a leader if it is higher than the current one.
      *
-     * @param told the fence
-     * @return true if it is higher than any before, so that older orders are void
+     * @param fence the fence
+     * @return true if it is higher than any before, so that earlier orders are superseded
      */
-    boolean adopt(Fence told) {
+    boolean adopt(Fence fence) {
         boolean newer =
-                told.isAfter(granted) && told.getEpoch().compareTo(getFence().getEpoch()) >= 0;
+                fence.isAfter(grantedFence)
+                        && fence.getEpoch().compareTo(getFence().getEpoch()) >= 0;
         if (newer) {
-            granted = told;
+            grantedFence = fence;
         }
         return newer;
     }
 
     /**
-     * Prolongs the time for which workers may keep their runs.
+     * Extends the leases of workers.
      *
-     * @param named the workers that the report named; the leader's book says nothing of others
-     * @param mark the mark of the time at which the report was sent
-     * @param millis for how long from then, in milliseconds
+     * @param reportedWorkers the workers named in the report; the leader's answer does not cover
+     *     others
+     * @param mark the time at which the report was sent, from {@link #markTime}
+     * @param durationMillis the duration of the lease from that time, in milliseconds
      */
-    void extend(Collection<WorkerIncarnation> named, long mark, long millis) {
-        long until = mark + millis - behindMillis;
-        named.forEach(worker -> ends.merge(worker, until, Math::max));
+    void extend(Collection<WorkerIncarnation> reportedWorkers, long mark, long durationMillis) {
+        long until = mark + durationMillis - clockLagMillis;
+        reportedWorkers.forEach(worker -> leaseEnds.merge(worker, until, Math::max));
     }
 
     /**
-     * Takes note that the agent's clock stood still, so that all leases end sooner on it.
+     * Ends all leases sooner because the agent's clock fell behind.
      *
-     * @param millis for how long, in milliseconds
+     * @param lagMillis the time that the clock fell behind, in milliseconds
      */
-    void compensateClockLag(long millis) {
-        behindMillis += millis;
-        ends.replaceAll((worker, end) -> end - millis);
+    void compensateClockLag(long lagMillis) {
+        clockLagMillis += lagMillis;
+        leaseEnds.replaceAll((worker, end) -> end - lagMillis);
     }
 
     /**
-     * Marks a time, so that what the clock falls behind until it is used does not count.
+     * Marks a time, so that a lag of the clock found before the mark is used shortens the lease as
+     * well.
      *
      * @param now the time on the agent's clock, in milliseconds
      * @return the mark
      */
     long markTime(long now) {
-        return now + behindMillis;
+        return now + clockLagMillis;
     }
 
     /**
-     * Forgets a worker whose life is over.
+     * Removes the lease of an incarnation that has ended.
      *
-     * @param worker the life
+     * @param worker the incarnation
      */
     void remove(WorkerIncarnation worker) {
-        ends.remove(worker);
+        leaseEnds.remove(worker);
     }
 
     /**
-     * Gets until when a worker may keep its runs.
+     * Gets the end of a worker's lease.
      *
      * @param worker the worker
-     * @return the time on the agent's clock, in milliseconds; 0 if it was never granted
+     * @return the time on the agent's clock, in milliseconds; 0 if no lease was granted
      */
     long getEnd(WorkerIncarnation worker) {
-        return ends.getOrDefault(worker, 0L);
+        return leaseEnds.getOrDefault(worker, 0L);
     }
 
     /**
-     * Gets until when each worker may keep its runs.
+     * Gets the ends of all leases.
      *
      * @return the times on the agent's clock, in milliseconds
      */
     Collection<Long> getEnds() {
-        return ends.values();
+        return leaseEnds.values();
     }
 }
--- a/src/main/java/org/standlink/runner/AgentNode.java
+++ b/src/main/java/org/standlink/runner/AgentNode.java
@@ -43,114 +43,103 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * The agent of a machine: looks after its workers, reports to the leader and holds its lease.
+ * The agent of a machine: supervises its workers, reports to the leader and holds its lease.
  *
- * <p>{@code AgentNode} is thread-safe: every call is handed to the loop.
+ * <p>{@code AgentNode} is thread-safe: every call is executed on the event loop.
  */
 public final class AgentNode implements WorkerListener {
 
-    /** The time between two looks at whether a report is due, in milliseconds. */
-    private static final long LOOK_MILLIS = 100;
+    /** The interval of the checks whether a report is due, in milliseconds. */
+    private static final long REPORT_CHECK_INTERVAL_MILLIS = 100;
 
     /**
-     * How long the leader's answer is waited for, in milliseconds; less than its silence allowed.
+     * The timeout of a report, in milliseconds; shorter than the permitted silence of the leader.
      */
-    private static final long ANSWER_MILLIS = 1000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 1000;
 
-    /** How long changes are gathered before they are reported, in milliseconds. */
-    private static final long GATHER_MILLIS = 3;
+    /** The time for which changes are collected before they are reported, in milliseconds. */
+    private static final long CHANGE_BATCHING_MILLIS = 3;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(AgentNode.class);
 
-    /** The machine's name. */
     private final String node;
 
-    /** Where this process listens, host and port. */
+    /** The address at which this process listens, host and port. */
     private final String address;
 
-    /** The run of this process. */
-    private final Incarnation self;
+    private final Incarnation incarnation;
 
-    /** The leader. */
     private final LeaderClient leader;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** The loop. */
     private final ScheduledExecutorService loop;
 
-    /** Is told what this agent sees of the leader. */
     private final LeaderObserver observer;
 
-    /** What the leader believes of images. */
-    private final InterferenceTable harm = new InterferenceTable();
+    /** The leader's interference estimates. */
+    private final InterferenceTable interference = new InterferenceTable();
 
-    /** What the leader has granted. */
-    private final AgentLease lease = new AgentLease(this::epoch);
+    private final AgentLease lease = new AgentLease(this::getEpoch);
 
-    /** The workers beside this agent. */
     private final WorkerIncarnations workers;
 
-    /** The number of the last report. */
-    private long lastReport;
+    private long lastReportNumber;
 
-    /** When the last report was sent. */
-    private long reportedAt;
+    /** The time of the last report, on the agent's clock, in milliseconds. */
+    private long lastReportSentAt;
 
-    /** Whether a report is under way. */
-    private boolean reporting;
+    private boolean reportInProgress;
 
-    /** Whether there is something to report. */
-    private boolean changed;
+    /** Whether there is an unreported change. */
+    private boolean changePending;
 
     /** Whether the leader answered the last report. */
-    private boolean answered;
+    private boolean leaderAnswering;
 
     /**
-     * Constructor.
+     * Creates an agent.
      *
      * @param node the machine's name
-     * @param address where this process listens, host and port
-     * @param self the run of this process
-     * @param leader the leader
-     * @param calls the calls of workers
+     * @param address the address at which this process listens, host and port
+     * @param incarnation the incarnation of this process
+     * @param leader the client of the leader
+     * @param client the client of the workers
      * @param clock the clock
-     * @param loop the loop, of one thread
-     * @param observer is told what this agent sees of the leader
-     * @param evacuated the halls that this process knows to be evacuated
+     * @param loop the event loop, of one thread
+     * @param observer observes the availability of the leader
+     * @param evacuatedHalls supplies the halls that this process knows to be evacuated
      */
     public AgentNode(
             String node,
             String address,
-            Incarnation self,
+            Incarnation incarnation,
             LeaderClient leader,
-            WorkerClient calls,
+            WorkerClient client,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             LeaderObserver observer,
-            Supplier<EvacuatedHalls> evacuated) {
+            Supplier<EvacuatedHalls> evacuatedHalls) {
         this.node = node;
         this.address = address;
-        this.self = self;
+        this.incarnation = incarnation;
         this.leader = leader;
         this.clock = clock;
         this.loop = loop;
         this.observer = observer;
         this.workers =
                 new WorkerIncarnations(
-                        new EvacuationGuard(calls, evacuated),
+                        new EvacuationGuard(client, evacuatedHalls),
                         clock,
                         loop,
                         lease,
-                        harm,
-                        this::changed);
+                        interference,
+                        this::scheduleReport);
     }
 
-    /** Begins to report. */
+    /** Starts reporting. */
     public void start() {
-        Guarded.repeat("report", loop, LOOK_MILLIS, this::beat);
+        Guarded.repeat("report", loop, REPORT_CHECK_INTERVAL_MILLIS, this::reportIfDue);
     }
 
     // -----------------------------------------------------------------------
@@ -165,29 +154,29 @@
     }
 
     /**
-     * Takes a message of the leader.
+     * Handles a message of the leader.
      *
-     * @param connection where it came from
-     * @param call the number to answer under
+     * @param connection the connection on which it was received
+     * @param call the number of the call
      * @param message the message
      */
     public void handle(Connection connection, long call, Message message) {
         if (message instanceof RunOrders orders) {
-            loop.execute(() -> order(orders));
+            loop.execute(() -> applyOrders(orders));
         }
     }
 
     // -----------------------------------------------------------------------
-    private Epoch epoch() {
+    private Epoch getEpoch() {
         return leader.getLeader().epoch();
     }
 
-    private void order(RunOrders orders) {
-        Fence told = Fence.of(orders.epoch(), orders.generation());
-        adopt(told);
-        if (lease.getFence().isAfter(told)) {
+    private void applyOrders(RunOrders orders) {
+        Fence fence = Fence.of(orders.epoch(), orders.generation());
+        adoptFence(fence);
+        if (lease.getFence().isAfter(fence)) {
             LOG.info("orders-of-older-leader")
-                    .with("fence", told)
+                    .with("fence", fence)
                     .with("known", lease.getFence())
                     .write();
             return;
@@ -198,58 +187,61 @@
         }
     }
 
-    /** Whatever an older fence ordered and has not begun is void; the leader tells it anew. */
-    private void adopt(Fence told) {
-        if (lease.adopt(told)) {
-            LOG.info("fence-raised").with("fence", told).write();
+    /**
+     * Start orders of an earlier fence that have not been carried out are superseded; the leader
+     * sends them again.
+     */
+    private void adoptFence(Fence fence) {
+        if (lease.adopt(fence)) {
+            LOG.info("fence-raised").with("fence", fence).write();
             workers.getSupervisors().forEach(WorkerSupervisor::fenceRaised);
-            // The leader heeds only reports that name what it has told.
-            changed();
+            // The leader ignores reports that do not name its latest fence.
+            scheduleReport();
         }
     }
 
     // -----------------------------------------------------------------------
-    private void changed() {
-        if (!changed) {
-            changed = true;
-            loop.schedule(this::reportIfChanged, GATHER_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleReport() {
+        if (!changePending) {
+            changePending = true;
+            loop.schedule(this::reportIfChanged, CHANGE_BATCHING_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void reportIfChanged() {
-        if (changed && !reporting) {
+        if (changePending && !reportInProgress) {
             report();
         }
     }
 
-    private void beat() {
+    private void reportIfDue() {
         long now = clock.nowMillis();
-        long pause = ReportInterval.getIntervalMillis(lease.getEnds(), now);
-        if (!reporting && now - reportedAt >= pause) {
+        long intervalMillis = ReportInterval.getIntervalMillis(lease.getEnds(), now);
+        if (!reportInProgress && now - lastReportSentAt >= intervalMillis) {
             report();
         }
     }
 
-    /** A report that cannot even be made must not keep this agent from the next. */
+    /** A report that cannot be created must not prevent the next one. */
     private void report() {
-        reporting = true;
+        reportInProgress = true;
         boolean sent = false;
         try {
             sendReport();
             sent = true;
         } finally {
-            reporting = sent;
+            reportInProgress = sent;
         }
     }
 
     private void sendReport() {
-        changed = false;
-        reportedAt = clock.nowMillis();
-        long sentAt = lease.markTime(reportedAt);
+        changePending = false;
+        lastReportSentAt = clock.nowMillis();
+        long sentAt = lease.markTime(lastReportSentAt);
         workers.getSupervisors().forEach(WorkerSupervisor::dropOrdersIfLapsed);
         Map<WorkerIncarnation, WorkerReport> sent = new LinkedHashMap<>();
         for (WorkerSupervisor supervisor : workers.getSupervisors()) {
-            // What never answered may be a late heartbeat of a life that is over.
+            // One that never answered may stem from a late heartbeat of an ended incarnation.
             if (supervisor.isConfirmed()) {
                 sent.put(supervisor.getDescription().incarnation(), supervisor.createReport());
             }
@@ -259,8 +251,8 @@
                 new AgentReport(
                         node,
                         address,
-                        self,
-                        ++lastReport,
+                        incarnation,
+                        ++lastReportNumber,
                         fence.getEpoch(),
                         fence.getGeneration(),
                         workers.getSupervisors().stream()
@@ -269,64 +261,69 @@
                         workers.listEnded());
         Guarded.thenOn(
                 "report-answer",
-                leader.call(report, ANSWER_MILLIS),
+                leader.call(report, ANSWER_TIMEOUT_MILLIS),
                 loop,
-                (answer, failure) -> reported(answer, failure, sent, sentAt));
+                (answer, failure) -> handleAnswer(answer, failure, sent, sentAt));
     }
 
-    private void reported(
+    private void handleAnswer(
             Message answer,
             Throwable failure,
             Map<WorkerIncarnation, WorkerReport> sent,
             long sentAt) {
-        reporting = false;
+        reportInProgress = false;
         if (answer instanceof LeaderNotice notice) {
-            boolean other = notice.epoch().compareTo(epoch()) > 0;
+            boolean newerLeader = notice.epoch().compareTo(getEpoch()) > 0;
             leader.offer(notice, "another process");
-            if (!other) {
+            if (!newerLeader) {
                 observer.leaderAbsent();
             }
         } else if (LeaderClient.isConnectionRefused(failure)) {
             observer.leaderAbsent();
         }
         boolean granted =
-                answer instanceof AgentGrant grant && grant.epoch().compareTo(epoch()) >= 0;
-        if (granted != answered) {
-            answered = granted;
+                answer instanceof AgentGrant grant && grant.epoch().compareTo(getEpoch()) >= 0;
+        if (granted != leaderAnswering) {
+            leaderAnswering = granted;
             LOG.info(granted ? "leader-regained" : "leader-lost")
-                    .with("epoch", epoch())
+                    .with("epoch", getEpoch())
                     .with("cause", failure)
                     .write();
         }
         if (granted) {
             AgentGrant grant = (AgentGrant) answer;
-            // First, so that no order of an older generation gets the lease that this one grants.
-            adopt(Fence.of(grant.epoch(), grant.generation()));
+            // First, so that no order of an earlier generation uses the lease granted here.
+            adoptFence(Fence.of(grant.epoch(), grant.generation()));
             observer.leaderAnswered(grant.storeSilentMillis());
-            harm.putAll(grant.harm());
+            interference.putAll(grant.harm());
             if (grant.leaseMillis() > 0) {
                 lease.extend(sent.keySet(), sentAt, grant.leaseMillis());
-                sent.forEach(this::reported);
+                sent.forEach(this::acknowledge);
             }
         }
         if (failure != null) {
-            loop.schedule(this::reportAgain, ReportInterval.RETRY_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (changed) {
-            loop.schedule(this::reportIfChanged, GATHER_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    this::reportUnlessInProgress,
+                    ReportInterval.RETRY_MILLIS,
+                    TimeUnit.MILLISECONDS);
+        } else if (changePending) {
+            loop.schedule(this::reportIfChanged, CHANGE_BATCHING_MILLIS, TimeUnit.MILLISECONDS);
         } else if (ReportInterval.isLoadingState(answer)) {
             loop.schedule(
-                    this::reportAgain, ReportInterval.LOADING_STATE_MILLIS, TimeUnit.MILLISECONDS);
+                    this::reportUnlessInProgress,
+                    ReportInterval.LOADING_STATE_MILLIS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private void reportAgain() {
-        if (!reporting) {
+    private void reportUnlessInProgress() {
+        if (!reportInProgress) {
             report();
         }
     }
 
-    private void reported(WorkerIncarnation id, WorkerReport report) {
-        WorkerSupervisor supervisor = workers.findSupervisor(id);
+    private void acknowledge(WorkerIncarnation worker, WorkerReport report) {
+        WorkerSupervisor supervisor = workers.findSupervisor(worker);
         if (supervisor != null) {
             supervisor.reportAcknowledged(report);
         }
--- a/src/main/java/org/standlink/runner/CallResult.java
+++ b/src/main/java/org/standlink/runner/CallResult.java
@@ -16,48 +16,51 @@
 package org.standlink.runner;
 
 /**
- * What a worker said to a call.
+ * The outcome of a call to a worker.
  *
  * <p>{@code CallResult} is thread-safe and immutable.
  *
- * @param kind what became of the call
- * @param clockMillis the worker's clock, negative if it told none
+ * @param kind the kind of outcome
+ * @param clockMillis the worker's clock in milliseconds, negative if the answer did not contain it
  * @param detail the worker's reason or the error, for the log
  */
 public record CallResult(Kind kind, long clockMillis, String detail) {
 
-    /** The worker's clock where no answer told it. */
+    /** The value of {@link #clockMillis} if the worker's clock is unknown. */
     public static final long NO_CLOCK = -1;
 
-    /** What became of a call. */
+    /** The kind of outcome of a call. */
     public enum Kind {
-        /** The worker did it, or had done it before. */
+        /** The worker carried out the call, or had carried it out before. */
         DONE,
-        /** The worker has no room; nothing was done. */
+        /** The worker lacks free capacity; nothing was done. */
         NO_ROOM,
-        /** The run is not above one that ended or was stopped there; it will never start. */
+        /**
+         * The run is not newer than one that ended or was stopped on this worker; it will never
+         * start.
+         */
         SUPERSEDED,
-        /** The time for which the worker should keep its runs is over already. */
+        /** The lease given in the call has already expired. */
         LEASE_PAST,
-        /** A newer leader has given orders. */
+        /** The worker has received orders of a newer leader. */
         FENCED,
-        /** The worker refuses the order for good. */
+        /** The worker rejects the order permanently. */
         INVALID,
-        /** The worker is unwell and did nothing. */
+        /** The worker is unhealthy and did nothing. */
         UNWELL,
         /** The worker's hall is evacuated; the worker was not called. */
         EVACUATED,
-        /** Another life of the worker answered; the one meant is gone. */
+        /** Another incarnation of the worker answered; the addressed one has ended. */
         OTHER_LIFE,
-        /** No answer came: it may have been done, or be done later. */
+        /** No answer arrived: the call may have been carried out, or may be carried out later. */
         UNKNOWN
     }
 
     /**
-     * Checks whether the next run should go elsewhere for a while. In an evacuated hall, a leader
-     * that has not read of the evacuation would order it there at once.
+     * Checks whether the next run should be placed elsewhere for a while. In an evacuated hall, a
+     * leader that has not yet read of the evacuation would otherwise order it there again at once.
      *
-     * @return true if the worker is unwell or its hall evacuated
+     * @return true if the worker is unhealthy or its hall evacuated
      */
     public boolean isWorkerToBeAvoided() {
         return kind == Kind.UNWELL || kind == Kind.EVACUATED;
--- a/src/main/java/org/standlink/runner/EndedIncarnations.java
+++ b/src/main/java/org/standlink/runner/EndedIncarnations.java
@@ -24,89 +24,98 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * The lives of workers that are over, as far as anybody may still speak of them.
+ * The incarnations of workers that have ended and may still be referred to, by a late heartbeat or
+ * in a report.
  *
- * <p>{@code EndedIncarnations} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code EndedIncarnations} is mutable and not thread-safe; it is confined to the agent's event
+ * loop.
  */
 final class EndedIncarnations {
 
     /**
-     * How long a life that is over is remembered, in milliseconds. A later heartbeat of it makes
-     * the agent ask once more who is there.
+     * How long an ended incarnation is remembered, in milliseconds. A heartbeat after that makes
+     * the agent call the worker again to find out which incarnation answers.
      */
-    private static final long REMEMBERED_MILLIS = 60_000;
+    private static final long RETENTION_MILLIS = 60_000;
 
-    /** How many are remembered at most: one id may be used again thousands of times. */
-    private static final int MOST_REMEMBERED = 64;
+    /** The maximum number of remembered incarnations: one id may be reused thousands of times. */
+    private static final int MAX_REMEMBERED = 64;
 
-    /** When each was found to be over, on the agent's clock, the oldest first. */
-    private final Map<WorkerIncarnation, Long> lives = new LinkedHashMap<>();
+    /**
+     * When the end of each incarnation was detected, on the agent's clock in milliseconds, oldest
+     * first.
+     */
+    private final Map<WorkerIncarnation, Long> endTimes = new LinkedHashMap<>();
 
-    /** The ids under which another life has answered that has not said what it is. */
-    private final Set<WorkerId> awaited = new HashSet<>();
+    /** The ids under which another incarnation has answered that is not yet known. */
+    private final Set<WorkerId> unidentified = new HashSet<>();
 
     /**
-     * Takes note that a life is over.
+     * Adds an incarnation that has ended.
      *
-     * @param life the life
+     * @param incarnation the incarnation
      * @param now the time on the agent's clock, in milliseconds
-     * @return false if that was known
+     * @return false if it was already known to have ended
      */
-    boolean add(WorkerIncarnation life, long now) {
-        lives.values().removeIf(at -> now - at > REMEMBERED_MILLIS);
-        boolean added = lives.putIfAbsent(life, now) == null;
-        if (lives.size() > MOST_REMEMBERED) {
-            lives.remove(lives.keySet().iterator().next());
+    boolean add(WorkerIncarnation incarnation, long now) {
+        endTimes.values().removeIf(at -> now - at > RETENTION_MILLIS);
+        boolean added = endTimes.putIfAbsent(incarnation, now) == null;
+        if (endTimes.size() > MAX_REMEMBERED) {
+            endTimes.remove(endTimes.keySet().iterator().next());
         }
         return added;
     }
 
     /**
-     * Checks whether a life is known to be over.
+     * Checks whether an incarnation is known to have ended.
      *
-     * @param life the life
-     * @return true if so
+     * @param incarnation the incarnation
+     * @return true if it has ended
      */
-    boolean contains(WorkerIncarnation life) {
-        return lives.containsKey(life);
+    boolean contains(WorkerIncarnation incarnation) {
+        return endTimes.containsKey(incarnation);
     }
 
     /**
-     * Checks whether a worker has told the birth of one of these lives.
+     * Checks whether an ended incarnation of a worker has reported its start time.
      *
      * @param id the id of the worker
-     * @return true if so
+     * @return true if one has
      */
     boolean hasKnownStartTime(WorkerId id) {
-        return lives.keySet().stream()
-                .anyMatch(life -> life.hasStartTime() && life.getId().equals(id));
+        return endTimes.keySet().stream()
+                .anyMatch(
+                        incarnation ->
+                                incarnation.hasStartTime() && incarnation.getId().equals(id));
     }
 
     /**
-     * Takes note that another life answers under an id. Nobody is told what is over under that id
-     * until the life has said what it is: only its lists tell what became of the runs.
+     * Records that an unknown incarnation answers under an id. Ended incarnations of that id are
+     * not reported until it is identified: only its lists show the outcome of the runs.
      *
      * @param id the id
      */
     void awaitIdentification(WorkerId id) {
-        awaited.add(id);
+        unidentified.add(id);
     }
 
     /**
-     * Takes note that the life that answers under an id has said what it is.
+     * Records that the incarnation that answers under an id is known.
      *
      * @param id the id
      */
     void identified(WorkerId id) {
-        awaited.remove(id);
+        unidentified.remove(id);
     }
 
     /**
-     * Lists the lives that the leader is to be told of.
+     * Lists the ended incarnations that are to be reported to the leader.
      *
-     * @return the lives
+     * @return the incarnations
      */
     List<WorkerIncarnation> list() {
-        return lives.keySet().stream().filter(life -> !awaited.contains(life.getId())).toList();
+        return endTimes.keySet().stream()
+                .filter(incarnation -> !unidentified.contains(incarnation.getId()))
+                .toList();
     }
 }
--- a/src/main/java/org/standlink/runner/EvacuationGuard.java
+++ b/src/main/java/org/standlink/runner/EvacuationGuard.java
@@ -24,57 +24,54 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * Calls of workers, but for starts in evacuated halls, which are answered here. The leader that
- * ordered such a start may be cut off, gone or slower to read what the operator wants.
+ * A client that refuses starts in evacuated halls and forwards all other calls. The leader that
+ * ordered such a start may be partitioned, replaced or late in reading the operator's command.
  *
- * <p>{@code EvacuationGuard} is as thread-safe as the calls it passes on.
+ * <p>{@code EvacuationGuard} is as thread-safe as the client to which it forwards.
  */
 final class EvacuationGuard implements WorkerClient {
 
-    /** The answer to a start that was not passed on. */
+    /** The answer to a start that was not forwarded. */
     private static final CallResult NOT_CALLED =
             new CallResult(CallResult.Kind.EVACUATED, CallResult.NO_CLOCK, "hall evacuated");
 
-    /** The calls. */
-    private final WorkerClient calls;
+    private final WorkerClient client;
 
-    /** The halls that this process knows to be evacuated. */
-    private final Supplier<EvacuatedHalls> evacuated;
+    /** Supplies the halls that this process knows to be evacuated. */
+    private final Supplier<EvacuatedHalls> evacuatedHalls;
 
-    /**
-     * Constructor.
-     *
-     * @param calls the calls that are passed on
-     * @param evacuated the halls that this process knows to be evacuated
-     */
-    EvacuationGuard(WorkerClient calls, Supplier<EvacuatedHalls> evacuated) {
-        this.calls = calls;
-        this.evacuated = evacuated;
+    EvacuationGuard(WorkerClient client, Supplier<EvacuatedHalls> evacuatedHalls) {
+        this.client = client;
+        this.evacuatedHalls = evacuatedHalls;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public CompletableFuture<CallResult> start(
-            WorkerDescription worker, StartOrder order, long untilMillis, Fence fence) {
-        return evacuated.get().contains(worker.hall())
+            WorkerDescription worker, StartOrder order, long leaseUntil, Fence fence) {
+        return evacuatedHalls.get().contains(worker.hall())
                 ? CompletableFuture.completedFuture(NOT_CALLED)
-                : calls.start(worker, order, untilMillis, fence);
+                : client.start(worker, order, leaseUntil, fence);
     }
 
     @Override
     public CompletableFuture<CallResult> stop(WorkerDescription worker, RunId run, Fence fence) {
-        return calls.stop(worker, run, fence);
+        return client.stop(worker, run, fence);
     }
 
     @Override
     public CompletableFuture<CallResult> throttle(
             WorkerDescription worker, RunId run, int percent, Fence fence) {
-        return calls.throttle(worker, run, percent, fence);
+        return client.throttle(worker, run, percent, fence);
     }
 
     @Override
     public CompletableFuture<RenewalResult> renew(
-            WorkerDescription worker, long untilMillis, Fence fence, long recorded, long wait) {
-        return calls.renew(worker, untilMillis, fence, recorded, wait);
+            WorkerDescription worker,
+            long leaseUntil,
+            Fence fence,
+            long recordedEnd,
+            long waitMillis) {
+        return client.renew(worker, leaseUntil, fence, recordedEnd, waitMillis);
     }
 }
--- a/src/main/java/org/standlink/runner/IncarnationListener.java
+++ b/src/main/java/org/standlink/runner/IncarnationListener.java
@@ -18,42 +18,42 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * Is told what the answers of workers show: which life is there, and how time has gone on.
- * Heartbeats may come late, so that they don't tell which of two lives at one address is the
- * present one; an answered call does.
+ * Receives what the answers of workers show: which incarnation is the current one, and how far the
+ * agent's clock has fallen behind. Heartbeats may arrive late, so they do not show which of two
+ * incarnations at one address is the current one; an answered call does.
  *
- * <p>Implementations are called on the agent's loop.
+ * <p>Implementations are called on the agent's event loop.
  */
 interface IncarnationListener {
 
     /**
-     * Takes note that a life has answered, so that all others at its address are over.
+     * Called when an incarnation has answered, so that all others at its address have ended.
      *
-     * @param worker the life
+     * @param worker the incarnation
      */
     void confirmed(WorkerIncarnation worker);
 
     /**
-     * Takes note that another life has answered in place of this one, which is over.
+     * Called when another incarnation has answered in place of this one, which has ended.
      *
-     * @param worker the life that is over
-     * @param by the life that has answered, null if it has not told its own
+     * @param worker the incarnation that has ended
+     * @param replacement the incarnation that has answered, null if it is not known
      */
-    void replaced(WorkerIncarnation worker, WorkerIncarnation by);
+    void replaced(WorkerIncarnation worker, WorkerIncarnation replacement);
 
     /**
-     * Takes note that a worker has left.
+     * Called when a worker has left.
      *
-     * @param worker the life that is over
+     * @param worker the incarnation that has ended
      */
     void departed(WorkerIncarnation worker);
 
     /**
-     * Takes note that the clock of this process has fallen behind a worker's, as it does while its
-     * machine is suspended.
+     * Called when the clock of this process has fallen behind a worker's clock, as it does while
+     * its machine is suspended.
      *
-     * @param worker the life that has answered
-     * @param millis by how much, in milliseconds
+     * @param worker the incarnation that has answered
+     * @param lagMillis the lag, in milliseconds
      */
-    void clockFellBehind(WorkerIncarnation worker, long millis);
+    void clockFellBehind(WorkerIncarnation worker, long lagMillis);
 }
--- a/src/main/java/org/standlink/runner/IncarnationTracker.java
+++ b/src/main/java/org/standlink/runner/IncarnationTracker.java
@@ -19,106 +19,104 @@
 import org.standlink.process.EventLog;
 
 /**
- * Finds out from the answers of a worker whether one life of it is there, and whether it is over.
+ * Derives from the answers of a worker whether an incarnation is the current one, and whether it
+ * has ended.
  *
- * <p>{@code IncarnationTracker} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code IncarnationTracker} is mutable and not thread-safe; it is confined to the agent's event
+ * loop.
  */
 final class IncarnationTracker {
 
     /**
-     * How long a worker that has left may still answer, in milliseconds; one that answers calls
-     * made later has not left, and the message was one of an earlier life under its id.
+     * How long a worker that has left may still answer, in milliseconds. One that answers calls
+     * made later has not left; the message was sent by an earlier incarnation under its id.
      */
-    private static final long LEAVE_MILLIS = 1000;
+    private static final long DEPARTURE_GRACE_MILLIS = 1000;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
 
-    /** The life. */
-    private final WorkerIncarnation life;
+    private final WorkerIncarnation incarnation;
 
-    /** Is told what is found out. */
-    private final IncarnationListener observer;
+    private final IncarnationListener listener;
 
-    /** Whether this life has ever answered. */
+    /** Whether this incarnation has ever answered. */
     private boolean confirmed;
 
-    /** When the worker said that it has left, on the agent's clock; negative if it did not. */
-    private long leftAt = -1;
-
     /**
-     * Constructor.
-     *
-     * @param life the life
-     * @param observer is told what is found out
+     * When the departure message was received, on the agent's clock in milliseconds; negative if
+     * none was.
      */
-    IncarnationTracker(WorkerIncarnation life, IncarnationListener observer) {
-        this.life = life;
-        this.observer = observer;
+    private long departureReceivedAt = -1;
+
+    IncarnationTracker(WorkerIncarnation incarnation, IncarnationListener listener) {
+        this.incarnation = incarnation;
+        this.listener = listener;
     }
 
     /**
-     * Checks whether this life has answered a call, so that no other has taken its address before.
+     * Checks whether this incarnation has answered a call, so that no other had already taken its
+     * address.
      *
-     * @return true if so
+     * @return true if it has answered
      */
     boolean isConfirmed() {
         return confirmed;
     }
 
     /**
-     * Checks whether another life has answered in place of this one, and tells so.
+     * Checks whether another incarnation has answered in place of this one, and notifies the
+     * listener if so.
      *
      * @param result the answer
-     * @return true if this life is over
+     * @return true if this incarnation has ended
      */
     boolean checkReplaced(RenewalResult result) {
-        boolean other =
+        boolean replaced =
                 result.isDone()
-                        ? !life.equals(result.incarnation())
+                        ? !incarnation.equals(result.incarnation())
                         : result.result().kind() == CallResult.Kind.OTHER_LIFE;
-        if (other) {
-            observer.replaced(life, result.incarnation());
+        if (replaced) {
+            listener.replaced(incarnation, result.incarnation());
         }
-        return other;
+        return replaced;
     }
 
     /**
-     * Takes note that this life has answered.
+     * Records that this incarnation has answered.
      *
      * @param sentAt when it was called, on the agent's clock, in milliseconds
      */
     void answerReceived(long sentAt) {
-        if (sentAt > leftAt + LEAVE_MILLIS) {
-            leftAt = -1;
+        if (sentAt > departureReceivedAt + DEPARTURE_GRACE_MILLIS) {
+            departureReceivedAt = -1;
         }
         if (!confirmed) {
             confirmed = true;
-            observer.confirmed(life);
+            listener.confirmed(incarnation);
         }
     }
 
-    /** Takes note that a call was not answered; a worker that has left is over then. */
+    /** Records that a call was not answered; a worker that has left is then taken to have ended. */
     void callUnanswered() {
-        if (leftAt >= 0) {
-            observer.departed(life);
+        if (departureReceivedAt >= 0) {
+            listener.departed(incarnation);
         }
     }
 
     /**
-     * Takes note that the worker, or an earlier life under its id, has said that it has left. That
-     * it was this one shows when it does not answer any more.
+     * Records a departure message of the worker or of an earlier incarnation under its id. It was
+     * sent by this incarnation if it no longer answers.
      *
-     * @param draining whether this life has said that it is about to leave
+     * @param draining whether this incarnation has announced that it is about to leave
      * @param reachable whether it answered the last call
      * @param now the time on the agent's clock, in milliseconds
      */
     void departureReceived(boolean draining, boolean reachable, long now) {
         if (!draining) {
-            LOG.info("left-without-draining").with("worker", life).write();
+            LOG.info("left-without-draining").with("worker", incarnation).write();
             return;
         }
-        leftAt = now;
+        departureReceivedAt = now;
         if (!reachable) {
             callUnanswered();
         }
--- a/src/main/java/org/standlink/runner/LeaseRenewalLoop.java
+++ b/src/main/java/org/standlink/runner/LeaseRenewalLoop.java
@@ -23,70 +23,62 @@
 import org.standlink.process.Guarded;
 
 /**
- * The renewals of a worker's lease, each of which leads to the next. They go on whatever one of
- * them throws: without them all that the worker runs would end.
+ * The successive renewals of a worker's lease, each of which schedules the next. They continue
+ * whatever one of them throws: without them all runs of the worker would end.
  *
- * <p>{@code LeaseRenewalLoop} is not thread-safe; the agent's loop owns it.
+ * <p>{@code LeaseRenewalLoop} is not thread-safe; it is confined to the agent's event loop.
  */
 final class LeaseRenewalLoop {
 
-    /** The name of the work in the log. */
-    private static final String NAME = "renewal";
+    /** The name of this work in the log. */
+    private static final String WORK_NAME = "renewal";
 
-    /** The agent's loop. */
     private final ScheduledExecutorService loop;
 
-    /** The pause after a renewal that failed, in milliseconds. */
-    private final long pauseMillis;
+    /** The delay after a failed renewal, in milliseconds. */
+    private final long retryDelayMillis;
 
     /** Renews the lease once. */
-    private final Runnable renew;
+    private final Runnable renewal;
 
-    /**
-     * Constructor.
-     *
-     * @param loop the agent's loop
-     * @param pauseMillis the pause after a renewal that failed, in milliseconds
-     * @param renew renews the lease once
-     */
-    LeaseRenewalLoop(ScheduledExecutorService loop, long pauseMillis, Runnable renew) {
+    LeaseRenewalLoop(ScheduledExecutorService loop, long retryDelayMillis, Runnable renewal) {
         this.loop = loop;
-        this.pauseMillis = pauseMillis;
-        this.renew = renew;
+        this.retryDelayMillis = retryDelayMillis;
+        this.renewal = renewal;
     }
 
     /**
-     * Renews once, later.
+     * Schedules a renewal.
      *
-     * @param millis after how long, in milliseconds
+     * @param millis the delay, in milliseconds
      */
     void schedule(long millis) {
-        loop.schedule(guarded(renew), millis, TimeUnit.MILLISECONDS);
+        loop.schedule(guarded(renewal), millis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Does something with the answer to a renewal; what it does is to lead to the next one.
+     * Handles the answer to a renewal on the agent's event loop.
      *
-     * @param answer the answer, which tells failures of the worker itself
-     * @param then takes the answer
+     * @param answer the answer, which reports failures of the worker itself as a result
+     * @param handler handles the answer and has to schedule the next renewal
      */
-    void whenAnswered(CompletableFuture<RenewalResult> answer, Consumer<RenewalResult> then) {
+    void whenAnswered(CompletableFuture<RenewalResult> answer, Consumer<RenewalResult> handler) {
         Guarded.thenIn(
                 answer,
                 loop,
-                (result, failure) -> guarded(() -> take(result, failure, then)).run());
+                (result, failure) -> guarded(() -> accept(result, failure, handler)).run());
     }
 
     // -----------------------------------------------------------------------
     private Runnable guarded(Runnable work) {
-        return Guarded.work(NAME, work, () -> schedule(pauseMillis));
+        return Guarded.work(WORK_NAME, work, () -> schedule(retryDelayMillis));
     }
 
-    private static void take(
-            RenewalResult result, Throwable failure, Consumer<RenewalResult> then) {
+    private static void accept(
+            RenewalResult result, Throwable failure, Consumer<RenewalResult> handler) {
         if (failure != null) {
             throw new CompletionException(failure);
         }
-        then.accept(result);
+        handler.accept(result);
     }
 }
--- a/src/main/java/org/standlink/runner/LeaseRenewer.java
+++ b/src/main/java/org/standlink/runner/LeaseRenewer.java
@@ -20,79 +20,70 @@
 import org.standlink.Fence;
 
 /**
- * The calls that renew the lease of one life of a worker and ask for its lists.
+ * Renews the lease of an incarnation of a worker and requests its run lists.
  *
- * <p>A worker that did not answer may have started again under its id, so it is told nothing that
- * holds for its former life only: it would forget ends of its own by numbers recorded before.
+ * <p>A worker that did not answer may have restarted under its id, so it is sent nothing that holds
+ * only for its earlier incarnation: it would discard ends of its own because of numbers recorded
+ * for that one.
  *
- * <p>{@code LeaseRenewer} is not thread-safe; the agent's loop owns it.
+ * <p>{@code LeaseRenewer} is not thread-safe; it is confined to the agent's event loop.
  */
 final class LeaseRenewer {
 
-    /** Tells a worker to keep its runs no longer than it was told before. */
-    private static final long NOT_LONGER = -1;
+    /** The lease end that leaves the lease of a worker as it is. */
+    private static final long NO_EXTENSION = -1;
 
-    /** What calls of the worker need. */
     private final WorkerContext context;
 
-    /** What the worker's clock says. */
     private final WorkerLeaseClock leaseClock;
 
-    /** What the worker said of its runs. */
-    private final RunListTracker lists;
+    private final RunListTracker runLists;
 
-    /** Tells until when runs may go on, on the agent's clock. */
+    /** Supplies the end of the lease, on the agent's clock, in milliseconds. */
     private final Supplier<Long> leaseEnd;
 
-    /**
-     * Constructor.
-     *
-     * @param context what calls of the worker need
-     * @param leaseClock what the worker's clock says
-     * @param lists what the worker said of its runs
-     * @param leaseEnd tells until when runs may go on, on the agent's clock
-     */
     LeaseRenewer(
             WorkerContext context,
             WorkerLeaseClock leaseClock,
-            RunListTracker lists,
+            RunListTracker runLists,
             Supplier<Long> leaseEnd) {
         this.context = context;
         this.leaseClock = leaseClock;
-        this.lists = lists;
+        this.runLists = runLists;
         this.leaseEnd = leaseEnd;
     }
 
     /**
-     * Renews the lease, if the worker answered the last call, and asks for the lists.
+     * Renews the lease, if the worker answered the last call, and requests the lists.
      *
      * @param fence the fence of the orders in force
      * @param reachable whether the worker answered the last call
-     * @param waitMillis how long the worker may wait for an end, in milliseconds
+     * @param waitMillis how long the worker may wait for a run to end before it answers, in
+     *     milliseconds
      * @return the answer
      */
     CompletableFuture<RenewalResult> renew(Fence fence, boolean reachable, long waitMillis) {
         long end = leaseEnd.get();
-        boolean prolong = leaseClock.isKnown() && reachable && end > context.clock().nowMillis();
-        long until = prolong ? leaseClock.grantUntil(end) : NOT_LONGER;
-        return call(until, fence, reachable, waitMillis);
+        boolean extend = leaseClock.isKnown() && reachable && end > context.clock().nowMillis();
+        long leaseUntil = extend ? leaseClock.grantUntil(end) : NO_EXTENSION;
+        return call(leaseUntil, fence, reachable, waitMillis);
     }
 
     /**
-     * Asks for the lists at once.
+     * Requests the lists without renewing the lease or waiting for a run to end.
      *
      * @param fence the fence of the orders in force
      * @param reachable whether the worker answered the last call
      * @return the answer
      */
     CompletableFuture<RenewalResult> requestLists(Fence fence, boolean reachable) {
-        return call(NOT_LONGER, fence, reachable, 0);
+        return call(NO_EXTENSION, fence, reachable, 0);
     }
 
     private CompletableFuture<RenewalResult> call(
-            long until, Fence fence, boolean reachable, long waitMillis) {
-        long recordedEnd = reachable ? lists.getEndToAcknowledge() : 0;
+            long leaseUntil, Fence fence, boolean reachable, long waitMillis) {
+        long recordedEnd = reachable ? runLists.getEndToAcknowledge() : 0;
         return context.client()
-                .renew(context.worker().get(), until, fence, recordedEnd, waitMillis);
+                .renew(context.worker().get(), leaseUntil, fence, recordedEnd, waitMillis);
     }
 }
--- a/src/main/java/org/standlink/runner/LocalRun.java
+++ b/src/main/java/org/standlink/runner/LocalRun.java
@@ -19,61 +19,55 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * A run that the leader wants started or stopped on the worker beside this agent.
+ * A run that the leader has ordered to start or stop on a worker of this agent.
  *
  * <p>{@code LocalRun} is mutable and not thread-safe.
  */
 final class LocalRun {
 
-    /** The share of a run that another process may have throttled. */
+    /** The share of a run that an earlier process of the agent may have throttled. */
     static final int UNKNOWN_SHARE = -1;
 
-    /** How far it is. */
+    /** The phase of a run on the worker. */
     enum Phase {
-        /** The worker has not said yet that it runs. */
+        /** The worker has not yet confirmed that it runs. */
         STARTING,
-        /** The worker has said that it runs. */
+        /** The worker has confirmed that it runs. */
         RUNNING,
-        /** The worker has not said yet that it will stop it. */
+        /** The worker has not yet accepted the order to stop it. */
         STOPPING,
-        /** The worker has said that it will stop it; its end has not been listed. */
+        /** The worker has accepted the order to stop it; its end has not been listed yet. */
         STOPPED
     }
 
-    /** The run. */
     private final RunId run;
 
-    /** The order to start it, null if there was only one to stop it. */
+    /** The order to start it, null if only a stop was ordered. */
     private final StartOrder order;
 
-    /** How far it is. */
     private Phase phase;
 
-    /** Whether a call about it is under way. */
-    private boolean calling;
+    /** Whether a call for this run is in progress. */
+    private boolean callInProgress;
 
-    /** Whether a call to start it was left without an answer, so that it may be done late. */
-    private boolean uncertain;
+    /** Whether a start call was not answered, so that it may be carried out late. */
+    private boolean startOutcomeUnknown;
 
-    /** Whether its start has waited for the worker or for a lease. */
-    private boolean waited;
+    /** Whether its start has been deferred until the worker answers or a lease is granted. */
+    private boolean startDeferred;
 
-    /** Since when it may be at work, as an earlier process may have started it; or negative. */
-    private long maybeAtWorkSince = -1;
+    /**
+     * When the order was received again, if an earlier process may have started the run, on the
+     * agent's clock in milliseconds; negative otherwise.
+     */
+    private long possiblyRunningSince = -1;
 
-    /** When the worker said that it will stop it. */
+    /** When the worker accepted the stop, on the agent's clock, in milliseconds. */
     private long stoppedAt;
 
-    /** The share of time for which it works, in percent; {@link #UNKNOWN_SHARE} if not known. */
+    /** The share of time for which it may run, in percent, or {@link #UNKNOWN_SHARE}. */
     private int share = ThrottlePolicy.FULL_SHARE_PERCENT;
 
-    /**
-     * Constructor.
-     *
-     * @param run the run
-     * @param order the order to start it, null if there was only one to stop it
-     * @param phase how far it is
-     */
     LocalRun(RunId run, StartOrder order, Phase phase) {
         this.run = run;
         this.order = order;
@@ -81,11 +75,6 @@
     }
 
     // -----------------------------------------------------------------------
-    /**
-     * Gets the run.
-     *
-     * @return the run
-     */
     RunId getRun() {
         return run;
     }
@@ -93,124 +82,105 @@
     /**
      * Gets the order to start it.
      *
-     * @return the order, null if there was only one to stop it
+     * @return the order, null if only a stop was ordered
      */
     StartOrder getOrder() {
         return order;
     }
 
-    /**
-     * Gets how far it is.
-     *
-     * @return the phase
-     */
     Phase getPhase() {
         return phase;
     }
 
     /**
-     * Checks whether the worker is being told, or has been told, to stop it.
+     * Checks whether the worker is being called, or has been called, to stop it.
      *
-     * @return true if so
+     * @return true if a stop was ordered
      */
     boolean isStopOrdered() {
         return phase == Phase.STOPPING || phase == Phase.STOPPED;
     }
 
-    /**
-     * Sets how far it is.
-     *
-     * @param next the phase
-     */
     void setPhase(Phase next) {
         phase = next;
     }
 
-    /**
-     * Checks whether a call about it is under way.
-     *
-     * @return true if so
-     */
     boolean isCallInProgress() {
-        return calling;
+        return callInProgress;
     }
 
-    /**
-     * Sets whether a call about it is under way.
-     *
-     * @param under whether so
-     */
-    void setCallInProgress(boolean under) {
-        calling = under;
+    void setCallInProgress(boolean inProgress) {
+        callInProgress = inProgress;
     }
 
     /**
-     * Checks whether a call to start it was left without an answer.
+     * Checks whether a start call was not answered, so that it may be carried out late.
      *
-     * @return true if so
+     * @return true if the outcome of a start is unknown
      */
     boolean isStartOutcomeUnknown() {
-        return uncertain;
+        return startOutcomeUnknown;
     }
 
-    /** Takes note that a call to start it was left without an answer. */
+    /** Records that a start call was not answered. */
     void setStartOutcomeUnknown() {
-        uncertain = true;
+        startOutcomeUnknown = true;
     }
 
     /**
-     * Takes note that its start waits.
+     * Records that its start is deferred.
      *
-     * @return false if it has waited before
+     * @return false if it has been deferred before
      */
     boolean markStartDeferred() {
-        boolean first = !waited;
-        waited = true;
+        boolean first = !startDeferred;
+        startDeferred = true;
         return first;
     }
 
     /**
-     * Takes note that an earlier process of the agent may have started it.
+     * Records that an earlier process of the agent may have started it.
      *
-     * @param now the time on the agent's clock
+     * @param now the time on the agent's clock, in milliseconds
      */
     void setPossiblyRunning(long now) {
-        maybeAtWorkSince = now;
+        possiblyRunningSince = now;
     }
 
     /**
-     * Checks whether an earlier process may have started it, and no list has shown otherwise.
+     * Checks whether an earlier process of the agent may have started it, and no later list shows
+     * that it does not run.
      *
-     * @return true if so
+     * @return true if it may be running
      */
     boolean isPossiblyRunning() {
-        return maybeAtWorkSince >= 0;
+        return possiblyRunningSince >= 0;
     }
 
     /**
-     * Takes note of a list that does not name it as running.
+     * Records that a list does not contain it as running.
      *
-     * @param askedAt when the worker was asked, on the agent's clock
+     * @param requestedAt when the list was requested, on the agent's clock, in milliseconds
      */
-    void markNotListed(long askedAt) {
-        if (askedAt >= maybeAtWorkSince) {
-            maybeAtWorkSince = -1;
+    void markNotListed(long requestedAt) {
+        if (requestedAt >= possiblyRunningSince) {
+            possiblyRunningSince = -1;
         }
     }
 
     /**
-     * Gets when the worker said that it will stop it.
+     * Gets the time at which the worker accepted the stop.
      *
-     * @return the time on the agent's clock
+     * @return the time on the agent's clock, in milliseconds
      */
     long getStoppedAt() {
         return stoppedAt;
     }
 
     /**
-     * Takes note that the worker will stop it.
+     * Records that the worker has accepted the stop.
      *
-     * @param now the time on the agent's clock
+     * @param now the time on the agent's clock, in milliseconds
      */
     void markStopped(long now) {
         phase = Phase.STOPPED;
@@ -218,18 +188,18 @@
     }
 
     /**
-     * Gets the share of time for which it works.
+     * Gets the share of time for which it may run.
      *
-     * @return the share, in percent
+     * @return the share in percent, or {@link #UNKNOWN_SHARE}
      */
     int getShare() {
         return share;
     }
 
     /**
-     * Sets the share of time for which it works.
+     * Sets the share of time for which it may run.
      *
-     * @param percent the share, in percent
+     * @param percent the share in percent, or {@link #UNKNOWN_SHARE}
      */
     void setShare(int percent) {
         share = percent;
--- a/src/main/java/org/standlink/runner/ReleasedRuns.java
+++ b/src/main/java/org/standlink/runner/ReleasedRuns.java
@@ -21,20 +21,21 @@
 import org.standlink.wire.StartRefusal;
 
 /**
- * The runs that are over without an end, or never began, and of which the leader has not been told.
+ * The runs that never started, or ended without a recorded end, and that have not been reported to
+ * the leader yet.
  *
  * <p>{@code ReleasedRuns} is mutable and not thread-safe.
  */
 final class ReleasedRuns {
 
-    /** What was refused. */
+    /** The refused starts. */
     private final List<StartRefusal> refused = new ArrayList<>();
 
-    /** What is gone without an end. */
+    /** The runs that are gone without a recorded end. */
     private final List<RunId> gone = new ArrayList<>();
 
     /**
-     * Takes note that the worker refused a run.
+     * Adds a run whose start the worker refused.
      *
      * @param refusal the refusal
      */
@@ -43,7 +44,7 @@
     }
 
     /**
-     * Takes note that a run is gone without an end.
+     * Adds a run that is gone without a recorded end.
      *
      * @param run the run
      */
@@ -52,10 +53,10 @@
     }
 
     /**
-     * Checks whether the leader has yet to be told of a run.
+     * Checks whether a run has yet to be reported to the leader.
      *
      * @param run the run
-     * @return true if so
+     * @return true if it has
      */
     boolean contains(RunId run) {
         return gone.contains(run)
@@ -63,7 +64,7 @@
     }
 
     /**
-     * Gets what was refused.
+     * Gets the refused starts.
      *
      * @return the refusals
      */
@@ -72,7 +73,7 @@
     }
 
     /**
-     * Gets what is gone without an end.
+     * Gets the runs that are gone without a recorded end.
      *
      * @return the runs
      */
@@ -81,13 +82,13 @@
     }
 
     /**
-     * Takes note that the leader has been told.
+     * Removes what the leader has acknowledged.
      *
-     * @param toldRefused the refusals
-     * @param toldGone the runs that are gone
+     * @param reportedRefused the refusals
+     * @param reportedGone the runs that are gone
      */
-    void removeReported(List<StartRefusal> toldRefused, List<RunId> toldGone) {
-        refused.removeAll(toldRefused);
-        gone.removeAll(toldGone);
+    void removeReported(List<StartRefusal> reportedRefused, List<RunId> reportedGone) {
+        refused.removeAll(reportedRefused);
+        gone.removeAll(reportedGone);
     }
 }
--- a/src/main/java/org/standlink/runner/RenewalResult.java
+++ b/src/main/java/org/standlink/runner/RenewalResult.java
@@ -21,13 +21,13 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * What a worker answered to a renewal.
+ * The answer of a worker to a renewal.
  *
  * <p>{@code RenewalResult} is thread-safe and immutable.
  *
- * @param result what became of the call; the rest means something only if it was done
- * @param incarnation the life that answered, null if none did
- * @param running what runs
+ * @param result the outcome of the call; the other components are valid only if it was carried out
+ * @param incarnation the incarnation that answered, null if none did
+ * @param running the runs that are running
  * @param ended the ends that have not been recorded yet
  */
 public record RenewalResult(
@@ -37,9 +37,9 @@
         List<RunEnd> ended) {
 
     /**
-     * Makes the answer to a call that was not done.
+     * Creates the answer to a call that was not carried out.
      *
-     * @param result what became of the call
+     * @param result the outcome of the call
      * @return the answer, without lists
      */
     public static RenewalResult notDone(CallResult result) {
@@ -49,7 +49,7 @@
     /**
      * Checks whether the worker answered with its lists.
      *
-     * @return true if so
+     * @return true if it did
      */
     public boolean isDone() {
         return result.kind() == CallResult.Kind.DONE;
--- a/src/main/java/org/standlink/runner/ReportInterval.java
+++ b/src/main/java/org/standlink/runner/ReportInterval.java
@@ -20,71 +20,77 @@
 import org.standlink.wire.Message;
 
 /**
- * Decides how long an agent waits between two reports to its leader.
+ * The interval between two reports of an agent to its leader.
  *
  * <p>This class has static methods only.
  */
 final class ReportInterval {
 
-    /** The time between two reports without news, in milliseconds; leases last twelve of them. */
+    /**
+     * The interval between two reports without changes, in milliseconds; a lease lasts twelve
+     * intervals.
+     */
     static final long REGULAR_MILLIS = 500;
 
     /**
-     * The time between two reports while a lease is about to end, in milliseconds. The runs of a
-     * worker without a lease are lost, with what they have done since their last checkpoint, and a
-     * leader that has found its store again grants one with the next report; a leader of many
-     * agents would be crowded by more of them.
+     * The interval between two reports while a lease is about to expire, in milliseconds. The runs
+     * of a worker without a lease are lost, with their progress since their last checkpoint, and a
+     * leader that has reached its store again grants a lease with the next report. A shorter
+     * interval would overload a leader of many agents.
      */
     static final long URGENT_MILLIS = 200;
 
-    /** How long before its end a lease is about to end, in milliseconds. */
-    private static final long BEFORE_END_MILLIS = 1000;
+    /** How long before its end a lease is about to expire, in milliseconds. */
+    private static final long URGENT_BEFORE_END_MILLIS = 1000;
 
-    /** How long after its end a lease is still asked for as often, in milliseconds. */
-    private static final long AFTER_END_MILLIS = 2000;
+    /** How long after the end of a lease reports remain frequent, in milliseconds. */
+    private static final long URGENT_AFTER_END_MILLIS = 2000;
 
-    /** The pause after a report that was not answered, in milliseconds; connecting takes less. */
+    /** The delay after a report that was not answered, in milliseconds; connecting takes less. */
     static final long RETRY_MILLIS = 50;
 
     /**
-     * The pause after a report to a leader that still reads its state, in milliseconds; without it,
-     * the worker's tasks wait for the next heartbeat, 250 on average.
+     * The delay after a report to a leader that is loading its state, in milliseconds. Without it
+     * the worker's tasks would wait for the next regular report, 250 ms on average.
      */
     static final long LOADING_STATE_MILLIS = 60;
 
     /**
-     * How long a leader that grants no lease may have had no store to be taken for one that still
-     * reads its state, in milliseconds.
+     * For how long a leader that grants no lease may have been without its store to be taken for
+     * one that is loading its state, in milliseconds.
      */
-    private static final long MOST_READING_MILLIS = 2000;
+    private static final long MAX_LOADING_STATE_MILLIS = 2000;
 
     private ReportInterval() {}
 
     // -----------------------------------------------------------------------
     /**
-     * Tells how long after the last report the next one is due without news.
+     * Gets the time after the last report at which the next one is due if nothing changes.
      *
-     * @param leaseEnds when the lease of each worker ends, on the agent's clock, in milliseconds
+     * @param leaseEnds the end of each worker's lease, on the agent's clock, in milliseconds
      * @param now the time on the agent's clock, in milliseconds
-     * @return the time in milliseconds
+     * @return the interval in milliseconds
      */
     static long getIntervalMillis(Collection<Long> leaseEnds, long now) {
         boolean urgent =
                 leaseEnds.stream()
                         .mapToLong(end -> end - now)
-                        .anyMatch(left -> left < BEFORE_END_MILLIS && left > -AFTER_END_MILLIS);
+                        .anyMatch(
+                                remaining ->
+                                        remaining < URGENT_BEFORE_END_MILLIS
+                                                && remaining > -URGENT_AFTER_END_MILLIS);
         return urgent ? URGENT_MILLIS : REGULAR_MILLIS;
     }
 
     /**
-     * Checks whether the leader still reads its state, by its answer to a report.
+     * Checks by the answer to a report whether the leader is still loading its state.
      *
      * @param answer the answer, null if there was none
-     * @return true if so, and it is worth reporting again soon
+     * @return true if so, and the next report should follow soon
      */
     static boolean isLoadingState(Message answer) {
         return answer instanceof AgentGrant grant
                 && grant.leaseMillis() == 0
-                && grant.storeSilentMillis() < MOST_READING_MILLIS;
+                && grant.storeSilentMillis() < MAX_LOADING_STATE_MILLIS;
     }
 }
--- a/src/main/java/org/standlink/runner/ReportedRuns.java
+++ b/src/main/java/org/standlink/runner/ReportedRuns.java
@@ -21,33 +21,33 @@
 import org.standlink.job.RunProgress;
 
 /**
- * What a worker said last of its runs.
+ * The runs that a worker listed last.
  *
  * <p>{@code ReportedRuns} is thread-safe and immutable.
  *
- * @param running what runs
+ * @param running the runs that are running
  * @param ended the ends that have not been recorded
  */
 record ReportedRuns(List<RunProgress> running, List<RunEnd> ended) {
 
-    /** Nothing. */
+    /** Empty lists. */
     static final ReportedRuns NONE = new ReportedRuns(List.of(), List.of());
 
     /**
      * Checks whether a run is listed as running.
      *
      * @param run the run
-     * @return true if so
+     * @return true if it is listed
      */
     boolean isRunning(RunId run) {
-        return running.stream().anyMatch(one -> one.run().equals(run));
+        return running.stream().anyMatch(progress -> progress.run().equals(run));
     }
 
     /**
      * Checks whether the end of a run is listed.
      *
      * @param run the run
-     * @return true if so
+     * @return true if it is listed
      */
     boolean hasEnded(RunId run) {
         return ended.stream().anyMatch(end -> end.run().equals(run));
--- a/src/main/java/org/standlink/runner/ReportedWorkerState.java
+++ b/src/main/java/org/standlink/runner/ReportedWorkerState.java
@@ -20,68 +20,57 @@
 import org.standlink.process.EventLog;
 
 /**
- * What one life of a worker said last of itself.
+ * The state that an incarnation of a worker reported in its last heartbeat.
  *
- * <p>{@code ReportedWorkerState} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code ReportedWorkerState} is mutable and not thread-safe; it is confined to the agent's
+ * event loop.
  */
 final class ReportedWorkerState {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
 
-    /** What it said last. */
     private WorkerDescription description;
 
-    /** The highest number of a heartbeat that was heard. */
-    private long lastHeartbeat;
+    /** The highest sequence number of a received heartbeat. */
+    private long lastSequence;
 
-    /**
-     * Constructor.
-     *
-     * @param description what it said first
-     */
     ReportedWorkerState(WorkerDescription description) {
         this.description = description;
     }
 
     /**
-     * Takes note of a heartbeat. An earlier one than heard before is passed over, as it may take
-     * back that the worker leaves, and so is one that names another address while the worker
-     * answers at its own.
+     * Updates the state from a heartbeat. A heartbeat older than one received before is ignored, as
+     * it may not show yet that the worker is draining, and so is one with another address while the
+     * worker answers at its own.
      *
-     * @param told what the worker said of itself
-     * @param number the number of the heartbeat
+     * @param reported the description in the heartbeat
+     * @param sequence the sequence number of the heartbeat
      * @param reachable whether the worker answered the last call
-     * @return true if it says for the first time that it leaves
+     * @return true if it shows for the first time that the worker is draining
      */
-    boolean update(WorkerDescription told, long number, boolean reachable) {
-        boolean elsewhere = !told.address().equals(description.address());
-        if (number < lastHeartbeat || reachable && elsewhere) {
+    boolean update(WorkerDescription reported, long sequence, boolean reachable) {
+        boolean addressChanged = !reported.address().equals(description.address());
+        if (sequence < lastSequence || reachable && addressChanged) {
             return false;
         }
-        lastHeartbeat = number;
-        boolean leaves = told.draining() && !description.draining();
-        description = told;
-        if (leaves) {
+        lastSequence = sequence;
+        boolean startsDraining = reported.draining() && !description.draining();
+        description = reported;
+        if (startsDraining) {
             LOG.info("worker-draining")
-                    .with("worker", told.incarnation())
-                    .with("remaining-millis", told.remainingMillis())
+                    .with("worker", reported.incarnation())
+                    .with("remaining-millis", reported.remainingMillis())
                     .write();
         }
-        return leaves;
+        return startsDraining;
     }
 
-    /**
-     * Gets the life of the worker.
-     *
-     * @return the life
-     */
     WorkerIncarnation getIncarnation() {
         return description.incarnation();
     }
 
     /**
-     * Gets what it said last of itself.
+     * Gets the description in the last heartbeat.
      *
      * @return the description
      */
--- a/src/main/java/org/standlink/runner/RunListTracker.java
+++ b/src/main/java/org/standlink/runner/RunListTracker.java
@@ -21,61 +21,66 @@
 import org.standlink.job.RunProgress;
 
 /**
- * What one life of a worker said of its runs, and which of its ends have been recorded.
+ * The runs that an incarnation of a worker listed last, and which of its ends have been recorded.
  *
- * <p>{@code RunListTracker} is mutable and not thread-safe; the agent's loop owns it.
+ * <p>{@code RunListTracker} is mutable and not thread-safe; it is confined to the agent's event
+ * loop.
  */
 final class RunListTracker {
 
-    /** How many ends a worker lists at once; a longer list may leave one out. */
+    /**
+     * The maximum number of ends that a worker lists at once; a list of this size may be
+     * incomplete.
+     */
     static final int MAX_LISTED_ENDS = 500;
 
-    /** What runs, as the worker said last. */
+    /** The runs that the worker listed last as running. */
     private List<RunProgress> running = List.of();
 
-    /** The ends that have not been recorded, as the worker said last. */
+    /** The unrecorded ends that the worker listed last. */
     private List<RunEnd> ended = List.of();
 
-    /** Whether the lists are the worker's own and may hold still. */
+    /** Whether the lists were sent by the worker and may still be valid. */
     private boolean known;
 
-    /** Whether the lists leave nothing out. */
-    private boolean whole;
+    /** Whether the lists are complete. */
+    private boolean complete;
 
-    /** The fence under which the lists were asked for. */
-    private Fence askedUnder = Fence.NONE;
+    /** The fence under which the lists were requested. */
+    private Fence requestedUnder = Fence.NONE;
 
-    /** The last end that was recorded. */
+    /** The number of the last recorded end. */
     private long recordedEnd;
 
-    /** The number of the first end that the worker listed last; {@link Long#MAX_VALUE} if none. */
+    /** The number of the first end in the last list; {@link Long#MAX_VALUE} if it had none. */
     private long firstListedEnd = Long.MAX_VALUE;
 
     /**
-     * Takes what the worker said.
+     * Updates the lists from an answer of the worker.
      *
-     * @param result the answer to a call that was done
-     * @param sentFence the fence under which it was asked
-     * @return false if lists that were asked for under a higher fence are known already
+     * @param result the answer to a call that was carried out
+     * @param sentFence the fence under which the call was sent
+     * @return false if lists that were requested under a higher fence are already known
      */
     boolean update(RenewalResult result, Fence sentFence) {
-        if (known && askedUnder.isAfter(sentFence)) {
+        if (known && requestedUnder.isAfter(sentFence)) {
             return false;
         }
         running = result.running();
         firstListedEnd =
                 result.ended().stream().mapToLong(RunEnd::number).min().orElse(Long.MAX_VALUE);
-        ended = unrecorded(result.ended());
-        whole = result.ended().size() < MAX_LISTED_ENDS;
-        askedUnder = sentFence;
+        ended = filterUnrecorded(result.ended());
+        complete = result.ended().size() < MAX_LISTED_ENDS;
+        requestedUnder = sentFence;
         known = true;
         return true;
     }
 
     /**
-     * Forgets the lists of a silent worker whose runs are over; it will say anew what it knows.
+     * Clears the lists of an unreachable worker whose runs have ended; it will list again what it
+     * knows.
      *
-     * @param reachable whether the worker answered the last call, so that its lists hold
+     * @param reachable whether the worker answered the last call, so that its lists are valid
      */
     void clearUnlessReachable(boolean reachable) {
         if (!reachable) {
@@ -86,38 +91,38 @@
     }
 
     /**
-     * Takes note of the ends that have been recorded.
+     * Records up to which end the ends have been recorded.
      *
-     * @param number the number of the last of them
-     * @return false if that was known
+     * @param number the number of the last recorded end
+     * @return false if that was already known
      */
     boolean advanceRecordedEnd(long number) {
-        boolean newer = number > recordedEnd;
-        if (newer) {
+        boolean advanced = number > recordedEnd;
+        if (advanced) {
             recordedEnd = number;
-            ended = unrecorded(ended);
+            ended = filterUnrecorded(ended);
         }
-        return newer;
+        return advanced;
     }
 
-    private List<RunEnd> unrecorded(List<RunEnd> listed) {
+    private List<RunEnd> filterUnrecorded(List<RunEnd> listed) {
         return listed.stream().filter(end -> end.number() > recordedEnd).toList();
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Checks whether the lists leave nothing out and were asked for under a fence, so that the
-     * worker refuses all that was ordered under older ones.
+     * Checks whether the lists are complete and were requested under a fence, so that the worker
+     * refuses all orders of earlier fences.
      *
      * @param fence the fence
      * @return true if so
      */
     boolean isCompleteUnder(Fence fence) {
-        return known && whole && askedUnder.equals(fence);
+        return known && complete && requestedUnder.equals(fence);
     }
 
     /**
-     * Checks whether the lists are the worker's own and may hold still.
+     * Checks whether the lists were sent by the worker and may still be valid.
      *
      * @return true if so
      */
@@ -126,38 +131,38 @@
     }
 
     /**
-     * Gets what runs.
+     * Gets the runs that the worker listed last as running.
      *
-     * @return the runs, as the worker said last
+     * @return the runs
      */
     List<RunProgress> getRunning() {
         return running;
     }
 
     /**
-     * Gets the ends that have not been recorded.
+     * Gets the unrecorded ends that the worker listed last.
      *
-     * @return the ends, as the worker said last
+     * @return the ends
      */
     List<RunEnd> getEnded() {
         return ended;
     }
 
     /**
-     * Gets the last end that was recorded.
+     * Gets the number of the last recorded end.
      *
-     * @return its number
+     * @return the number
      */
     long getRecordedEnd() {
         return recordedEnd;
     }
 
     /**
-     * Gets up to which end the worker is to forget its ends. It is told only while it lists such
-     * ends: a call that comes late may reach the worker's next incarnation under the same id, whose
-     * ends have the same numbers.
+     * Gets the number up to which the worker may discard its ends. Ends are acknowledged only while
+     * the worker lists them: a delayed call may reach the next incarnation of the worker under the
+     * same id, whose ends have the same numbers.
      *
-     * @return the number of the last recorded end, 0 if the worker lists none that is recorded
+     * @return the number of the last recorded end, 0 if the worker lists no recorded end
      */
     long getEndToAcknowledge() {
         return firstListedEnd <= recordedEnd ? recordedEnd : 0;
--- a/src/main/java/org/standlink/runner/RunShareUpdater.java
+++ b/src/main/java/org/standlink/runner/RunShareUpdater.java
@@ -19,23 +19,17 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Tells a worker for which share of time its best-effort runs may work.
+ * Sends a worker the shares of time for which its best-effort runs may run.
  *
- * <p>{@code RunShareUpdater} is not thread-safe; the agent's loop owns it.
+ * <p>{@code RunShareUpdater} is not thread-safe; it is confined to the agent's event loop.
  */
 final class RunShareUpdater {
 
-    /** What calls of the worker need. */
     private final WorkerContext context;
 
-    /** Tells the share of an image, in percent. */
-    private ToIntFunction<String> byImage = image -> ThrottlePolicy.FULL_SHARE_PERCENT;
+    /** Supplies the share of an image, in percent. */
+    private ToIntFunction<String> shareByImage = image -> ThrottlePolicy.FULL_SHARE_PERCENT;
 
-    /**
-     * Constructor.
-     *
-     * @param context what calls of the worker need
-     */
     RunShareUpdater(WorkerContext context) {
         this.context = context;
     }
@@ -43,27 +37,28 @@
     /**
      * Sets the shares.
      *
-     * @param shares tells the share of an image, in percent
+     * @param shares supplies the share of an image, in percent
      */
     void setShares(ToIntFunction<String> shares) {
-        byImage = shares;
+        shareByImage = shares;
     }
 
     /**
-     * Tells the worker the share of a run, if it works, is best-effort and has another share.
+     * Sends the share of a run to the worker if the run is running, is best-effort and has another
+     * share.
      *
      * @param run the run
-     * @param then what happens after the answer, since a run takes one call at a time
+     * @param callback called after the answer, since a run has one call in progress at a time
      */
-    void apply(LocalRun run, Runnable then) {
+    void apply(LocalRun run, Runnable callback) {
         if (run.getOrder() == null) {
             return;
         }
-        int wanted = byImage.applyAsInt(run.getOrder().image());
+        int targetPercent = shareByImage.applyAsInt(run.getOrder().image());
         boolean changes =
                 run.getPhase() == LocalRun.Phase.RUNNING
                         && run.getOrder().bestEffort()
-                        && run.getShare() != wanted
+                        && run.getShare() != targetPercent
                         && !run.isCallInProgress();
         if (!changes) {
             return;
@@ -74,7 +69,7 @@
                         .throttle(
                                 context.worker().get(),
                                 run.getRun(),
-                                wanted,
+                                targetPercent,
                                 context.fence().get());
         context.whenAnswered(
                 "throttle",
@@ -82,9 +77,9 @@
                 result -> {
                     run.setCallInProgress(false);
                     if (result.kind() == CallResult.Kind.DONE) {
-                        run.setShare(wanted);
+                        run.setShare(targetPercent);
                     }
-                    then.run();
+                    callback.run();
                 });
     }
 }
--- a/src/main/java/org/standlink/runner/RunTable.java
+++ b/src/main/java/org/standlink/runner/RunTable.java
@@ -33,106 +33,100 @@
 import org.standlink.wire.StartRefusal;
 
 /**
- * The runs that the leader wants started or stopped on one life of a worker.
+ * The runs that the leader has ordered to start or stop on an incarnation of a worker.
  *
- * <p>A call without an answer may be carried out later, so it is repeated until the worker has said
- * what became of the run.
+ * <p>A call without an answer may be carried out later, so it is repeated until the worker has
+ * reported the state of the run.
  *
- * <p>{@code RunTable} is not thread-safe; the agent's loop owns it.
+ * <p>{@code RunTable} is not thread-safe; it is confined to the agent's event loop.
  */
 final class RunTable {
 
-    /** The pause before a failed call is repeated, in milliseconds. */
-    private static final long PAUSE_MILLIS = 150;
+    /** The delay before a call is repeated, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 150;
 
-    /** For how long a stopped run without an end may still be listed, in milliseconds. */
-    private static final long STOP_MILLIS = 1000;
+    /** How long a stopped run may remain listed as running without an end, in milliseconds. */
+    private static final long STOP_TIMEOUT_MILLIS = 1000;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(RunTable.class);
 
-    /** What calls of the worker need. */
     private final WorkerContext context;
 
-    /** Tells whether the worker answered the last look at it. */
+    /** Supplies whether the worker answered the last renewal. */
     private final BooleanSupplier reachable;
 
-    /** What the worker's clock says. */
     private final WorkerLeaseClock leaseClock;
 
-    /** Tells until when runs may go on, on the agent's clock. */
+    /** Supplies the end of the lease, on the agent's clock, in milliseconds. */
     private final Supplier<Long> leaseEnd;
 
-    /** Is told when there is something to report. */
-    private final Runnable whenChanged;
+    /** Called when there is something to report. */
+    private final Runnable onChange;
 
-    /** The runs. */
     private final Map<RunId, LocalRun> runs = new LinkedHashMap<>();
 
-    /** The runs that the worker turned away as old ones. */
-    private final SupersededRuns superseded = new SupersededRuns();
+    /** The runs that the worker rejected as superseded. */
+    private final SupersededRuns supersededRuns = new SupersededRuns();
 
-    /** The runs whose starts under an older fence may still be carried out. */
-    private final Set<RunId> unsure = new HashSet<>();
+    /** The runs whose starts under an earlier fence may still be carried out. */
+    private final Set<RunId> unresolvedStarts = new HashSet<>();
 
-    /** What the leader is to be told of as released. */
+    /** The runs to be reported as released. */
     private final ReleasedRuns released = new ReleasedRuns();
 
-    /** What the worker said last. */
-    private ReportedRuns lists = ReportedRuns.NONE;
+    /** The lists that the worker sent last. */
+    private ReportedRuns reportedRuns = ReportedRuns.NONE;
 
-    /** Tells the worker the shares of best-effort runs. */
-    private final RunShareUpdater shares;
-
-    /** The fence under which a stop was refused, as the worker has seen a higher one; or null. */
-    private Fence refusedFence;
+    private final RunShareUpdater shareUpdater;
 
     /**
-     * Constructor.
-     *
-     * @param context what calls of the worker need
-     * @param reachable tells whether the worker answered the last look at it
-     * @param leaseClock what the worker's clock says
-     * @param leaseEnd tells until when runs may go on, on the agent's clock
-     * @param whenChanged is told when there is something to report
+     * The fence under which a stop was refused, since the worker has seen a higher one; or null.
      */
+    private Fence refusedFence;
+
     RunTable(
             WorkerContext context,
             BooleanSupplier reachable,
             WorkerLeaseClock leaseClock,
             Supplier<Long> leaseEnd,
-            Runnable whenChanged) {
+            Runnable onChange) {
         this.context = context;
         this.reachable = reachable;
         this.leaseClock = leaseClock;
         this.leaseEnd = leaseEnd;
-        this.whenChanged = whenChanged;
-        this.shares = new RunShareUpdater(context);
+        this.onChange = onChange;
+        this.shareUpdater = new RunShareUpdater(context);
     }
 
-    /** Forgets all runs; calls under way have no effect here any more. */
+    /** Removes all runs; calls in progress then have no further effect here. */
     void clear() {
         runs.clear();
-        superseded.clear();
+        supersededRuns.clear();
     }
 
-    /** Forgets the runs that have not begun or are being stopped; the leader tells them anew. */
+    /**
+     * Removes the runs that have not started or are being stopped; the leader sends their orders
+     * again.
+     */
     void dropAllButRunning() {
         runs.values().stream()
                 .filter(run -> run.isCallInProgress() || run.isStartOutcomeUnknown())
-                .forEach(run -> unsure.add(run.getRun()));
+                .forEach(run -> unresolvedStarts.add(run.getRun()));
         runs.values().removeIf(run -> run.getPhase() != LocalRun.Phase.RUNNING);
     }
 
-    /** Takes note that the worker has seen the fence in force, so that it refuses older calls. */
+    /**
+     * Records that the worker has seen the fence in force, so that it refuses calls under earlier
+     * ones.
+     */
     void fenceAccepted() {
-        unsure.clear();
+        unresolvedStarts.clear();
     }
 
     /**
-     * Gets what the leader is to be told of as released.
+     * Gets the runs to be reported as released.
      *
-     * @return the runs, which change
+     * @return the runs, which may be modified
      */
     ReleasedRuns getReleased() {
         return released;
@@ -150,25 +144,25 @@
     }
 
     /**
-     * Starts a run; one that is known already is passed over, and one whose release the leader has
-     * yet to be told of: it would begin beside the run that takes its place.
+     * Starts a run. A run that is already known is ignored, and so is one whose release has yet to
+     * be reported to the leader: it would run beside the run that replaces it.
      *
      * @param order the order
-     * @param toldAnew whether an earlier process of the agent may have been given it
+     * @param resent whether an earlier process of the agent may have received the order
      */
-    void start(StartOrder order, boolean toldAnew) {
+    void start(StartOrder order, boolean resent) {
         if (runs.containsKey(order.run()) || released.contains(order.run())) {
             return;
         }
         LocalRun run = new LocalRun(order.run(), order, LocalRun.Phase.STARTING);
-        if (unsure.contains(order.run())) {
+        if (unresolvedStarts.contains(order.run())) {
             run.setStartOutcomeUnknown();
         }
         runs.put(order.run(), run);
-        if (toldAnew) {
+        if (resent) {
             run.setPossiblyRunning(context.clock().nowMillis());
         }
-        if (lists.isRunning(order.run())) {
+        if (reportedRuns.isRunning(order.run())) {
             // It was started by an earlier process of this agent, which may have throttled it.
             run.setShare(LocalRun.UNKNOWN_SHARE);
         }
@@ -186,7 +180,7 @@
             run = new LocalRun(id, null, LocalRun.Phase.STOPPING);
             runs.put(id, run);
         } else if (run.isStopOrdered()) {
-            // Its stop is being repeated already; a second series of calls would add up.
+            // Its stop is already being repeated; a second series of calls would add to the load.
             return;
         }
         run.setPhase(LocalRun.Phase.STOPPING);
@@ -207,22 +201,22 @@
                         .with("for", obstacle)
                         .write();
             }
-            context.schedule(PAUSE_MILLIS, () -> callStart(run));
+            context.schedule(RETRY_DELAY_MILLIS, () -> callStart(run));
             return;
         }
         run.setCallInProgress(true);
-        long until = leaseClock.grantUntil(leaseEnd.get());
+        long leaseUntil = leaseClock.grantUntil(leaseEnd.get());
         CompletableFuture<CallResult> answer =
                 context.client()
                         .start(
                                 context.worker().get(),
                                 run.getOrder(),
-                                until,
+                                leaseUntil,
                                 context.fence().get());
-        context.whenAnswered("start", answer, result -> started(run, result));
+        context.whenAnswered("start", answer, result -> handleStartAnswer(run, result));
     }
 
-    /** Tells what keeps runs from being started now; empty if nothing does. */
+    /** Finds what prevents runs from being started now; empty if nothing does. */
     private String findObstacle() {
         if (!leaseClock.isKnown()) {
             return "the worker's clock";
@@ -233,7 +227,7 @@
         return leaseEnd.get() <= context.clock().nowMillis() ? "a lease" : "";
     }
 
-    private void started(LocalRun run, CallResult result) {
+    private void handleStartAnswer(LocalRun run, CallResult result) {
         run.setCallInProgress(false);
         leaseClock.answerReceived(result.clockMillis(), context.clock().nowMillis());
         if (result.kind() != CallResult.Kind.DONE) {
@@ -253,58 +247,63 @@
             }
             case UNKNOWN -> {
                 run.setStartOutcomeUnknown();
-                context.schedule(PAUSE_MILLIS, () -> callStart(run));
+                context.schedule(RETRY_DELAY_MILLIS, () -> callStart(run));
             }
-            case LEASE_PAST -> context.schedule(PAUSE_MILLIS, () -> callStart(run));
-            case NO_ROOM, UNWELL, INVALID -> refused(run, result);
-            case EVACUATED -> evacuated(run, result);
-            case SUPERSEDED -> superseded(run);
+            case LEASE_PAST -> context.schedule(RETRY_DELAY_MILLIS, () -> callStart(run));
+            case NO_ROOM, UNWELL, INVALID -> handleRefusal(run, result);
+            case EVACUATED -> handleEvacuation(run, result);
+            case SUPERSEDED -> handleSuperseded(run);
             case FENCED, OTHER_LIFE -> runs.remove(run.getRun());
         }
     }
 
     /**
-     * The worker refuses a run. If an earlier call for it was left without an answer, that call may
-     * still be carried out, so the run is only over once it is stopped.
+     * Handles a refused start. If an earlier call for the run was not answered, that call may still
+     * be carried out, so the run is released only after it has been stopped.
      */
-    private void refused(LocalRun run, CallResult result) {
+    private void handleRefusal(LocalRun run, CallResult result) {
         if (run.isStartOutcomeUnknown()) {
             stop(run.getRun());
             return;
         }
         if (run.isPossiblyRunning() && result.kind() != CallResult.Kind.NO_ROOM) {
-            // An unwell worker refuses also what it runs; its next list tells.
-            context.schedule(PAUSE_MILLIS, () -> callStart(run));
+            // An unhealthy worker refuses even runs that it is running; its next list shows which.
+            context.schedule(RETRY_DELAY_MILLIS, () -> callStart(run));
             return;
         }
         runs.remove(run.getRun());
         released.addRefused(
                 new StartRefusal(run.getRun(), result.detail(), result.isWorkerToBeAvoided()));
-        whenChanged.run();
+        onChange.run();
     }
 
-    /** What runs in an evacuated hall goes on; what has not begun goes back to the leader. */
-    private void evacuated(LocalRun run, CallResult result) {
-        if (lists.isRunning(run.getRun())) {
+    /**
+     * A run that is running in an evacuated hall continues; one that has not started is returned to
+     * the leader.
+     */
+    private void handleEvacuation(LocalRun run, CallResult result) {
+        if (reportedRuns.isRunning(run.getRun())) {
             run.setPhase(LocalRun.Phase.RUNNING);
             applyShare(run);
         } else {
-            refused(run, result);
+            handleRefusal(run, result);
         }
     }
 
-    /** The worker has seen the end of this run, or a later one; its next list tells which. */
-    private void superseded(LocalRun run) {
+    /** The worker has seen the end of this run, or of a later one; its next list shows which. */
+    private void handleSuperseded(LocalRun run) {
         runs.remove(run.getRun());
-        superseded.add(run.getRun(), context.clock().nowMillis());
+        supersededRuns.add(run.getRun(), context.clock().nowMillis());
     }
 
-    private void lose(RunId run) {
+    private void releaseAsGone(RunId run) {
         released.addGone(run);
-        whenChanged.run();
+        onChange.run();
     }
 
-    /** What an answer says of a run whose order is void must not count for a later order. */
+    /**
+     * The answer to a call for a superseded order must not affect a later order for the same run.
+     */
     private boolean isDropped(LocalRun run) {
         return runs.get(run.getRun()) != run;
     }
@@ -313,86 +312,87 @@
         if (run.isCallInProgress() || run.getPhase() != LocalRun.Phase.STOPPING || isDropped(run)) {
             return;
         }
-        Fence present = context.fence().get();
-        if (!reachable.getAsBoolean() || present.equals(refusedFence)) {
-            context.schedule(PAUSE_MILLIS, () -> callStop(run));
+        Fence currentFence = context.fence().get();
+        if (!reachable.getAsBoolean() || currentFence.equals(refusedFence)) {
+            context.schedule(RETRY_DELAY_MILLIS, () -> callStop(run));
             return;
         }
         run.setCallInProgress(true);
         CompletableFuture<CallResult> answer =
-                context.client().stop(context.worker().get(), run.getRun(), present);
-        context.whenAnswered("stop", answer, result -> stopped(run, result, present));
+                context.client().stop(context.worker().get(), run.getRun(), currentFence);
+        context.whenAnswered("stop", answer, result -> handleStopAnswer(run, result, currentFence));
     }
 
-    private void stopped(LocalRun run, CallResult result, Fence sentFence) {
+    private void handleStopAnswer(LocalRun run, CallResult result, Fence sentFence) {
         run.setCallInProgress(false);
         context.logResult("stop", run.getRun(), result);
         if (isDropped(run)) {
             return;
         }
         if (result.kind() == CallResult.Kind.FENCED) {
-            // The newer leader's order for the same stop may have been passed over meanwhile.
+            // The newer leader's order for the same stop may have been ignored meanwhile.
             refusedFence = sentFence;
         }
         switch (result.kind()) {
             case DONE -> run.markStopped(context.clock().nowMillis());
             case OTHER_LIFE -> runs.remove(run.getRun());
-            default -> context.schedule(PAUSE_MILLIS, () -> callStop(run));
+            default -> context.schedule(RETRY_DELAY_MILLIS, () -> callStop(run));
         }
     }
 
     /**
-     * Brings what is known of each run in line with the worker's lists.
+     * Updates the runs from the worker's lists.
      *
-     * @param nowRunning what runs
-     * @param nowEnded the ends that have not been recorded
-     * @param sentAt when the worker was asked
+     * @param running the runs that are running
+     * @param ended the ends that have not been recorded
+     * @param sentAt when the lists were requested, on the agent's clock, in milliseconds
      */
-    void reconcile(List<RunProgress> nowRunning, List<RunEnd> nowEnded, long sentAt) {
-        lists = new ReportedRuns(nowRunning, nowEnded);
-        for (RunEnd end : nowEnded) {
+    void reconcile(List<RunProgress> running, List<RunEnd> ended, long sentAt) {
+        reportedRuns = new ReportedRuns(running, ended);
+        for (RunEnd end : ended) {
             runs.remove(end.run());
         }
         runs.values().stream()
-                .filter(run -> !lists.isRunning(run.getRun()))
+                .filter(run -> !reportedRuns.isRunning(run.getRun()))
                 .forEach(run -> run.markNotListed(sentAt));
-        for (RunProgress progress : nowRunning) {
+        for (RunProgress progress : running) {
             LocalRun run = runs.get(progress.run());
             if (run != null && run.getPhase() == LocalRun.Phase.STARTING) {
                 run.setPhase(LocalRun.Phase.RUNNING);
             }
         }
-        if (nowEnded.size() >= RunListTracker.MAX_LISTED_ENDS) {
+        if (ended.size() >= RunListTracker.MAX_LISTED_ENDS) {
             return;
         }
-        superseded.removeGone(lists, sentAt).forEach(this::lose);
+        supersededRuns.removeGone(reportedRuns, sentAt).forEach(this::releaseAsGone);
         for (LocalRun run : List.copyOf(runs.values())) {
-            boolean over =
+            boolean timedOut =
                     run.getPhase() == LocalRun.Phase.STOPPED
-                            && sentAt - run.getStoppedAt() > STOP_MILLIS;
-            if (over && lists.isRunning(run.getRun())) {
-                // Further orders to stop it are passed over here, so nobody else would repeat it.
+                            && sentAt - run.getStoppedAt() > STOP_TIMEOUT_MILLIS;
+            if (timedOut && reportedRuns.isRunning(run.getRun())) {
+                // Further orders to stop it are ignored here, so nothing else would repeat the
+                // call.
                 run.setPhase(LocalRun.Phase.STOPPING);
                 callStop(run);
-            } else if (over) {
+            } else if (timedOut) {
                 runs.remove(run.getRun());
-                lose(run.getRun());
+                releaseAsGone(run.getRun());
             }
         }
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Sets the share of time for which best-effort runs work.
+     * Sets the shares of time for which best-effort runs may run.
      *
-     * @param byImage tells the share of an image, in percent
+     * @param shareByImage supplies the share of an image, in percent
      */
-    void throttle(ToIntFunction<String> byImage) {
-        shares.setShares(byImage);
+    void throttle(ToIntFunction<String> shareByImage) {
+        shareUpdater.setShares(shareByImage);
         runs.values().forEach(this::applyShare);
     }
 
     private void applyShare(LocalRun run) {
-        shares.apply(run, () -> callStop(run));
+        shareUpdater.apply(run, () -> callStop(run));
     }
 }
--- a/src/main/java/org/standlink/runner/SupersededRuns.java
+++ b/src/main/java/org/standlink/runner/SupersededRuns.java
@@ -22,49 +22,53 @@
 import org.standlink.job.RunId;
 
 /**
- * The runs that a worker turned away as old ones: each has ended, was stopped before it began, or
- * stands below another that did. The worker's next list tells which.
+ * The runs that a worker rejected as superseded: each has ended, was stopped before it started, or
+ * has a lower number than another run of its task that did. The next list of the worker shows
+ * which.
  *
  * <p>{@code SupersededRuns} is mutable and not thread-safe.
  */
 final class SupersededRuns {
 
-    /** When each was turned away, on the agent's clock, in milliseconds. */
-    private final Map<RunId, Long> turnedAwayAt = new LinkedHashMap<>();
+    /** When each run was rejected, on the agent's clock, in milliseconds. */
+    private final Map<RunId, Long> rejectedAt = new LinkedHashMap<>();
 
     /**
-     * Takes note of a run that was turned away.
+     * Adds a run that was rejected.
      *
      * @param run the run
      * @param now the time on the agent's clock, in milliseconds
      */
     void add(RunId run, long now) {
-        turnedAwayAt.put(run, now);
+        rejectedAt.put(run, now);
     }
 
-    /** Forgets all. */
+    /** Removes all runs. */
     void clear() {
-        turnedAwayAt.clear();
+        rejectedAt.clear();
     }
 
     /**
-     * Takes the runs that are gone without an end: a list that was asked for after they were turned
-     * away names neither them nor their ends. An earlier list may lack an end that has come since.
+     * Removes the runs that are gone without a recorded end: a list that was requested after they
+     * were rejected contains neither them nor their ends. An earlier list may lack an end that has
+     * been added since.
      *
-     * @param lists what the worker said
-     * @param askedAt when it was asked, on the agent's clock, in milliseconds
+     * @param reportedRuns the lists of the worker
+     * @param requestedAt when they were requested, on the agent's clock, in milliseconds
      * @return the runs
      */
-    List<RunId> removeGone(ReportedRuns lists, long askedAt) {
-        turnedAwayAt.keySet().removeIf(run -> lists.hasEnded(run) || lists.isRunning(run));
+    List<RunId> removeGone(ReportedRuns reportedRuns, long requestedAt) {
+        rejectedAt
+                .keySet()
+                .removeIf(run -> reportedRuns.hasEnded(run) || reportedRuns.isRunning(run));
         List<RunId> gone = new ArrayList<>();
-        turnedAwayAt.forEach(
+        rejectedAt.forEach(
                 (run, at) -> {
-                    if (askedAt >= at) {
+                    if (requestedAt >= at) {
                         gone.add(run);
                     }
                 });
-        gone.forEach(turnedAwayAt::remove);
+        gone.forEach(rejectedAt::remove);
         return gone;
     }
 }
--- a/src/main/java/org/standlink/runner/ThrottlePolicy.java
+++ b/src/main/java/org/standlink/runner/ThrottlePolicy.java
@@ -22,9 +22,12 @@
 import org.standlink.policy.InterferenceTable;
 
 /**
- * Decides how much best-effort runs may work beside serving ones, image by image: at once less when
- * the tail of a serving image that they are believed to harm is near its target, slowly more when
- * it is well below. If a tail stays over its target all the same, all best-effort runs stand still.
+ * Decides for which share of time best-effort runs may run beside serving ones, image by image. A
+ * share is lowered at once when the tail latency of a serving image that the image is expected to
+ * interfere with is near its target, and raised slowly when it is well below. If a tail latency
+ * stays above its target nevertheless, all best-effort runs are paused.
+ *
+ * <p>Tail latencies are given as ratios to their targets.
  *
  * <p>{@code ThrottlePolicy} is mutable and not thread-safe.
  */
@@ -33,128 +36,136 @@
     /** The full share, in percent. */
     static final int FULL_SHARE_PERCENT = 100;
 
-    /** The smallest share beside a tail that is too long, in percent. */
-    private static final int LEAST = 5;
+    /** The minimum share beside a high tail latency, in percent. */
+    private static final int MIN_SHARE_PERCENT = 5;
 
-    /** The first share of an image beside one that it is believed to harm, in percent. */
-    private static final int FIRST_HARMFUL = 15;
+    /**
+     * The initial share of an image beside one for which high interference is expected, in percent.
+     */
+    private static final int INITIAL_HIGH_INTERFERENCE_PERCENT = 15;
 
     /**
-     * The first share of an image beside one of which it is not known whether it harms it, in
-     * percent: its tail shows it within half a second, and users are served for the whole of it.
+     * The initial share of an image beside one for which the interference is not known, in percent:
+     * the tail latency shows it within half a second, and users are served throughout.
      */
-    private static final int FIRST_UNKNOWN = 50;
+    private static final int INITIAL_UNKNOWN_PERCENT = 50;
 
     /**
-     * The tail to which shares are led, as a share of its target; figures are rough by about a
-     * tenth, and a serving run that is over its target for a second costs its users as much as some
-     * core-seconds of best-effort work bring.
+     * The tail ratio towards which shares are adjusted. Measurements are inaccurate by about a
+     * tenth, and a serving run above its target for a second costs its users as much as some
+     * core-seconds of best-effort work yield.
      */
-    private static final double AIM = 0.8;
+    private static final double TARGET_TAIL_RATIO = 0.8;
 
-    /** The tail above which shares are lowered, as a share of its target. */
-    private static final double HIGH = 0.88;
+    /** The tail ratio above which shares are lowered. */
+    private static final double HIGH_TAIL_RATIO = 0.88;
 
-    /** The tail below which shares are raised, as a share of its target. */
-    private static final double LOW = 0.72;
+    /** The tail ratio below which shares are raised. */
+    private static final double LOW_TAIL_RATIO = 0.72;
 
     /**
-     * The tail that a serving run is taken to have by its own load, as a share of its target. What
-     * is more is taken to grow with the shares; a wrong value here changes how fast they come to
-     * where the tail is right, not where that is.
+     * The tail ratio attributed to the own load of a serving run. The excess is assumed to grow
+     * with the shares; a wrong value here changes how fast the shares converge, not the tail ratio
+     * at which they do.
      */
-    private static final double OWN = 0.4;
+    private static final double OWN_LOAD_TAIL_RATIO = 0.4;
 
-    /** The most by which a share is raised at once, as a factor. */
-    private static final double MOST_RAISE = 1.5;
+    /** The largest factor by which a share is raised at once. */
+    private static final double MAX_CHANGE_FACTOR = 1.5;
 
-    /** The most by which a share is lowered at once, as a factor. */
-    private static final double MOST_CUT = 0.3;
+    /** The smallest factor by which a share is lowered at once. */
+    private static final double MIN_CHANGE_FACTOR = 0.3;
 
     /**
-     * How long after it was lowered a share stays as it is, in milliseconds: a worker takes 100 to
-     * follow and figures cover 500, so that earlier ones still show the tail from before and would
-     * lower it for the same cause again.
+     * How long a share stays unchanged after it was lowered, in milliseconds. A worker takes 100 ms
+     * to apply a share and measurements cover 500 ms, so earlier ones still show the previous tail
+     * latency and would lower the share again for the same cause.
      */
-    private static final long SETTLE_MILLIS = 600;
+    private static final long SETTLING_MILLIS = 600;
 
-    /** The share of its target above which a tail counts as over it; figures are rough. */
-    private static final double OVER = 0.97;
+    /**
+     * The tail ratio above which the target counts as exceeded; below 1, as measurements are
+     * inaccurate.
+     */
+    private static final double EXCEEDED_TAIL_RATIO = 0.97;
 
-    /** How long a tail may be over its target before suspects stand still, in milliseconds. */
-    private static final long SUSPECTS_MILLIS = 1200;
+    /**
+     * How long a tail latency may exceed its target before suspected images are paused, in
+     * milliseconds.
+     */
+    private static final long PAUSE_SUSPECTS_AFTER_MILLIS = 1200;
 
     /**
-     * How long a tail may be over its target before all best-effort runs stand still, in
-     * milliseconds: a tail may stay over its target for 4,000, and figures lag by half a second.
+     * How long a tail latency may exceed its target before all best-effort images are paused, in
+     * milliseconds: it may exceed its target for 4,000 ms, and measurements lag by half a second.
      */
-    private static final long ALL_MILLIS = 2200;
+    private static final long PAUSE_ALL_AFTER_MILLIS = 2200;
 
     /**
-     * The share up to which one is raised a little also beside a tail between the two, in percent:
-     * such a tail is not the doing of an image that hardly works.
+     * The share below which a share is raised slightly also while the tail ratio is between low and
+     * high, in percent: an image that hardly runs is not the cause of such a tail latency.
      */
-    private static final int SMALL = 30;
+    private static final int SMALL_SHARE_PERCENT = 30;
 
-    /** The least that is added when a share is raised, in percent. */
-    private static final int LEAST_RAISE = 2;
+    /** The minimum increase when a share is raised, in percentage points. */
+    private static final int MIN_INCREASE_PERCENT = 2;
 
-    /** What is added to a small share beside a tail between the two, in percent. */
-    private static final int SMALL_RAISE = 1;
+    /**
+     * The increase of a small share while the tail ratio is between low and high, in percentage
+     * points.
+     */
+    private static final int SMALL_SHARE_INCREASE_PERCENT = 1;
 
-    /** The beliefs. */
-    private final InterferenceTable harm;
+    /** The interference estimates. */
+    private final InterferenceTable interference;
 
-    /** The share of each best-effort image. */
+    /** The share of each best-effort image, in percent. */
     private final Map<String, Integer> shares = new HashMap<>();
 
-    /** When the share of each best-effort image was lowered last. */
+    /** When the share of each best-effort image was last lowered, in milliseconds. */
     private final Map<String, Long> loweredAt = new HashMap<>();
 
-    /** Since when the tail of each serving image has been over its target. */
-    private final Map<String, Long> overSince = new HashMap<>();
-
-    /** The serving images there. */
-    private Set<String> serving = new HashSet<>();
-
     /**
-     * Constructor.
-     *
-     * @param harm the beliefs
+     * Since when the tail latency of each serving image has exceeded its target, in milliseconds.
      */
-    ThrottlePolicy(InterferenceTable harm) {
-        this.harm = harm;
+    private final Map<String, Long> exceededSince = new HashMap<>();
+
+    /** The serving images on the worker. */
+    private Set<String> servingImages = new HashSet<>();
+
+    ThrottlePolicy(InterferenceTable interference) {
+        this.interference = interference;
     }
 
     /**
-     * Decides on the shares after new figures.
+     * Updates the shares from new measurements.
      *
-     * @param tails the worst tail of each serving image, as a share of its target
-     * @param bestEffort the best-effort images there
+     * @param tailRatios the highest tail ratio of each serving image
+     * @param bestEffort the best-effort images on the worker
      * @param now the time, in milliseconds
      */
-    void updateShares(Map<String, Double> tails, Set<String> bestEffort, long now) {
-        serving = new HashSet<>(tails.keySet());
-        noteOver(tails, now);
+    void updateShares(Map<String, Double> tailRatios, Set<String> bestEffort, long now) {
+        servingImages = new HashSet<>(tailRatios.keySet());
+        updateExceeded(tailRatios, now);
         shares.keySet().retainAll(bestEffort);
         loweredAt.keySet().retainAll(bestEffort);
-        boolean blamed =
-                tails.entrySet().stream()
-                        .filter(tail -> tail.getValue() > HIGH)
-                        .allMatch(tail -> isAnySuspect(tail.getKey(), bestEffort));
+        boolean allExplained =
+                tailRatios.entrySet().stream()
+                        .filter(ratio -> ratio.getValue() > HIGH_TAIL_RATIO)
+                        .allMatch(ratio -> isAnySuspected(ratio.getKey(), bestEffort));
         for (String image : bestEffort) {
-            double worst = 0;
-            for (Map.Entry<String, Double> tail : tails.entrySet()) {
-                if (!blamed || isSuspect(tail.getKey(), image)) {
-                    worst = Math.max(worst, tail.getValue());
+            double maxTailRatio = 0;
+            for (Map.Entry<String, Double> ratio : tailRatios.entrySet()) {
+                if (!allExplained || isSuspected(ratio.getKey(), image)) {
+                    maxTailRatio = Math.max(maxTailRatio, ratio.getValue());
                 }
             }
-            shares.put(image, isToStandStill(image, now) ? 0 : next(image, worst, now));
+            shares.put(image, mustPause(image, now) ? 0 : nextShare(image, maxTailRatio, now));
         }
     }
 
     /**
-     * Gets the share for which runs of an image may work.
+     * Gets the share of time for which runs of an image may run.
      *
      * @param image the best-effort image
      * @return the share, in percent
@@ -164,70 +175,81 @@
         if (share != null) {
             return share;
         }
-        double belief = harmOf(image);
-        if (belief >= InterferenceTable.HIGH_INTERFERENCE) {
-            return FIRST_HARMFUL;
+        double estimate = getMaxInterference(image);
+        if (estimate >= InterferenceTable.HIGH_INTERFERENCE) {
+            return INITIAL_HIGH_INTERFERENCE_PERCENT;
         }
-        return belief >= InterferenceTable.LOW_INTERFERENCE ? FIRST_UNKNOWN : FULL_SHARE_PERCENT;
+        return estimate >= InterferenceTable.LOW_INTERFERENCE
+                ? INITIAL_UNKNOWN_PERCENT
+                : FULL_SHARE_PERCENT;
     }
 
     // -----------------------------------------------------------------------
-    private void noteOver(Map<String, Double> tails, long now) {
-        overSince.keySet().retainAll(tails.keySet());
-        tails.forEach(
-                (image, tail) -> {
-                    if (tail <= OVER) {
-                        overSince.remove(image);
+    private void updateExceeded(Map<String, Double> tailRatios, long now) {
+        exceededSince.keySet().retainAll(tailRatios.keySet());
+        tailRatios.forEach(
+                (image, ratio) -> {
+                    if (ratio <= EXCEEDED_TAIL_RATIO) {
+                        exceededSince.remove(image);
                     } else {
-                        overSince.putIfAbsent(image, now);
+                        exceededSince.putIfAbsent(image, now);
                     }
                 });
     }
 
-    private boolean isToStandStill(String image, long now) {
-        for (Map.Entry<String, Long> over : overSince.entrySet()) {
-            long millis = now - over.getValue();
-            boolean suspect = isSuspect(over.getKey(), image);
-            if (millis >= ALL_MILLIS || suspect && millis >= SUSPECTS_MILLIS) {
+    private boolean mustPause(String image, long now) {
+        for (Map.Entry<String, Long> exceeded : exceededSince.entrySet()) {
+            long millis = now - exceeded.getValue();
+            boolean suspected = isSuspected(exceeded.getKey(), image);
+            if (millis >= PAUSE_ALL_AFTER_MILLIS
+                    || suspected && millis >= PAUSE_SUSPECTS_AFTER_MILLIS) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean isSuspect(String servingImage, String image) {
-        return harm.get(servingImage, image) >= InterferenceTable.LOW_INTERFERENCE;
+    private boolean isSuspected(String servingImage, String image) {
+        return interference.get(servingImage, image) >= InterferenceTable.LOW_INTERFERENCE;
     }
 
-    private boolean isAnySuspect(String servingImage, Set<String> bestEffort) {
-        return bestEffort.stream().anyMatch(image -> isSuspect(servingImage, image));
+    private boolean isAnySuspected(String servingImage, Set<String> bestEffort) {
+        return bestEffort.stream().anyMatch(image -> isSuspected(servingImage, image));
     }
 
-    private double harmOf(String image) {
-        return serving.stream().mapToDouble(one -> harm.get(one, image)).max().orElse(0);
+    private double getMaxInterference(String image) {
+        return servingImages.stream()
+                .mapToDouble(servingImage -> interference.get(servingImage, image))
+                .max()
+                .orElse(0);
     }
 
-    private int next(String image, double worst, long now) {
+    private int nextShare(String image, double maxTailRatio, long now) {
         int share = getShare(image);
-        if (worst > HIGH) {
+        if (maxTailRatio > HIGH_TAIL_RATIO) {
             Long lowered = loweredAt.get(image);
-            if (lowered != null && now - lowered < SETTLE_MILLIS) {
+            if (lowered != null && now - lowered < SETTLING_MILLIS) {
                 return share;
             }
             loweredAt.put(image, now);
-            return Math.max(LEAST, (int) (share * factor(worst)));
+            return Math.max(MIN_SHARE_PERCENT, (int) (share * getChangeFactor(maxTailRatio)));
         }
-        if (worst < LOW) {
-            int raised = (int) (share * factor(worst));
-            return Math.min(FULL_SHARE_PERCENT, Math.max(share + LEAST_RAISE, raised));
+        if (maxTailRatio < LOW_TAIL_RATIO) {
+            int raised = (int) (share * getChangeFactor(maxTailRatio));
+            return Math.min(FULL_SHARE_PERCENT, Math.max(share + MIN_INCREASE_PERCENT, raised));
         }
-        return share < SMALL ? share + SMALL_RAISE : share;
+        return share < SMALL_SHARE_PERCENT ? share + SMALL_SHARE_INCREASE_PERCENT : share;
     }
 
-    /** Predicts by what a share must change for the tail to come to where it should be. */
-    private static double factor(double worst) {
-        double byOthers = Math.max(worst - OWN, 0);
-        double factor = byOthers == 0 ? MOST_RAISE : (AIM - OWN) / byOthers;
-        return Math.max(MOST_CUT, Math.min(MOST_RAISE, factor));
+    /**
+     * Predicts by which factor a share must change for the tail ratio to reach its target value.
+     */
+    private static double getChangeFactor(double maxTailRatio) {
+        double excess = Math.max(maxTailRatio - OWN_LOAD_TAIL_RATIO, 0);
+        double factor =
+                excess == 0
+                        ? MAX_CHANGE_FACTOR
+                        : (TARGET_TAIL_RATIO - OWN_LOAD_TAIL_RATIO) / excess;
+        return Math.max(MIN_CHANGE_FACTOR, Math.min(MAX_CHANGE_FACTOR, factor));
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerClient.java
+++ b/src/main/java/org/standlink/runner/WorkerClient.java
@@ -22,45 +22,49 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * The calls that a worker takes.
+ * Calls a worker.
  *
- * <p>Each call names the life of the worker that it is meant for; another life does nothing.
+ * <p>Each call names the incarnation of the worker to which it is addressed; another incarnation
+ * does nothing.
  *
  * <p>Implementations must be thread-safe.
  */
 public interface WorkerClient {
 
     /**
-     * Starts a run; repeating the call does no harm.
+     * Starts a run. The call is idempotent.
      *
      * @param worker the worker
-     * @param order the run
-     * @param leaseUntil until when the worker keeps all it runs, on its own clock
+     * @param order the order to start the run
+     * @param leaseUntil the end of the lease for all runs of the worker, on the worker's clock, in
+     *     milliseconds
      * @param fence the fence of the orders in force
-     * @return what the worker said; never fails
+     * @return the result; never completes exceptionally
      */
     CompletableFuture<CallResult> start(
             WorkerDescription worker, StartOrder order, long leaseUntil, Fence fence);
 
     /**
-     * Stops a run; the worker also refuses the run if its start comes later.
+     * Stops a run; the worker also refuses the run if its start arrives later.
      *
      * @param worker the worker
      * @param run the run
      * @param fence the fence of the orders in force
-     * @return what the worker said; never fails
+     * @return the result; never completes exceptionally
      */
     CompletableFuture<CallResult> stop(WorkerDescription worker, RunId run, Fence fence);
 
     /**
-     * Prolongs the time for which the worker keeps all it runs, and asks what runs and has ended.
+     * Extends the lease for all runs of the worker, and lists running and ended runs.
      *
      * @param worker the worker
-     * @param leaseUntil until when, on the worker's clock; negative to prolong nothing
+     * @param leaseUntil the end of the lease, on the worker's clock, in milliseconds; negative not
+     *     to extend it
      * @param fence the fence of the orders in force
-     * @param recordedEnd the last end that has been recorded; the worker forgets it
-     * @param waitMillis how long the worker may wait for an end, in milliseconds
-     * @return the answer, with an empty list of what runs if the worker did not take the call
+     * @param recordedEnd the number of the last recorded end; the worker discards the ends up to it
+     * @param waitMillis how long the worker may wait for a run to end before it answers, in
+     *     milliseconds
+     * @return the answer, with no running runs if the worker did not carry out the call
      */
     CompletableFuture<RenewalResult> renew(
             WorkerDescription worker,
@@ -70,13 +74,13 @@
             long waitMillis);
 
     /**
-     * Sets the share of time for which a run works.
+     * Sets the share of time for which a run may run.
      *
      * @param worker the worker
      * @param run the run
      * @param percent the share, 0 to 100
      * @param fence the fence of the orders in force
-     * @return what the worker said; never fails
+     * @return the result; never completes exceptionally
      */
     CompletableFuture<CallResult> throttle(
             WorkerDescription worker, RunId run, int percent, Fence fence);
--- a/src/main/java/org/standlink/runner/WorkerContext.java
+++ b/src/main/java/org/standlink/runner/WorkerContext.java
@@ -28,15 +28,15 @@
 import org.standlink.process.Guarded;
 
 /**
- * What all that calls one worker needs.
+ * The dependencies of all classes that call one worker.
  *
- * <p>{@code WorkerContext} is immutable; what it holds belongs to the agent's loop.
+ * <p>{@code WorkerContext} is immutable; its components are confined to the agent's event loop.
  *
- * @param worker tells what the worker said of itself
- * @param client the calls of workers
+ * @param worker supplies the last reported description of the worker
+ * @param client the client of the workers
  * @param clock the clock
- * @param loop the agent's loop
- * @param fence tells the fence of the orders in force
+ * @param loop the agent's event loop
+ * @param fence supplies the fence of the orders in force
  */
 record WorkerContext(
         Supplier<WorkerDescription> worker,
@@ -45,41 +45,42 @@
         ScheduledExecutorService loop,
         Supplier<Fence> fence) {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerContext.class);
 
     /**
-     * Does something with the answer to a call, on the agent's loop.
+     * Handles the answer to a call on the agent's event loop.
      *
      * @param call the name of the call
      * @param answer the answer
-     * @param then takes the answer; a call that fails altogether may have been heard
+     * @param handler handles the answer; if the call failed altogether, the worker may have
+     *     received it
      */
     void whenAnswered(
-            String call, CompletableFuture<CallResult> answer, Consumer<CallResult> then) {
+            String call, CompletableFuture<CallResult> answer, Consumer<CallResult> handler) {
         Guarded.thenOn(
                 "worker-" + call,
                 answer,
                 loop,
-                (result, failure) -> then.accept(failure == null ? result : unknown(failure)));
+                (result, failure) ->
+                        handler.accept(failure == null ? result : unknownResult(failure)));
     }
 
     /**
-     * Does something later, on the agent's loop.
+     * Executes an action later on the agent's event loop.
      *
-     * @param millis after how long, in milliseconds
-     * @param work what is done
+     * @param millis the delay, in milliseconds
+     * @param action the action
      */
-    void schedule(long millis, Runnable work) {
-        loop.schedule(work, millis, TimeUnit.MILLISECONDS);
+    void schedule(long millis, Runnable action) {
+        loop.schedule(action, millis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Writes what became of a call.
+     * Logs the outcome of a call.
      *
      * @param call the name of the call
-     * @param run the run that it was about
-     * @param result the answer
+     * @param run the run
+     * @param result the outcome
      */
     void logResult(String call, RunId run, CallResult result) {
         LOG.info("worker-" + call)
@@ -91,7 +92,7 @@
                 .write();
     }
 
-    private static CallResult unknown(Throwable failure) {
+    private static CallResult unknownResult(Throwable failure) {
         return new CallResult(CallResult.Kind.UNKNOWN, CallResult.NO_CLOCK, failure.toString());
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerIncarnations.java
+++ b/src/main/java/org/standlink/runner/WorkerIncarnations.java
@@ -28,93 +28,79 @@
 import org.standlink.process.EventLog;
 
 /**
- * The lives of workers beside an agent: those that may be there, and those that are over.
+ * The incarnations of the workers of an agent: those that may be running, and those that have
+ * ended.
  *
- * <p>A heartbeat or a departure may come late, so neither tells which life is the present one; an
- * answered call does.
+ * <p>A heartbeat or a departure message may arrive late, so neither shows which incarnation is the
+ * current one; an answered call does.
  *
- * <p>{@code WorkerIncarnations} is not thread-safe; the agent's loop owns it.
+ * <p>{@code WorkerIncarnations} is not thread-safe; it is confined to the agent's event loop.
  */
 final class WorkerIncarnations implements IncarnationListener {
 
-    /** By how much the clock must fall behind at once for a line, in milliseconds. */
-    private static final long TOLD_MILLIS = 500;
+    /** The minimum lag of the clock that is logged, in milliseconds. */
+    private static final long LOGGED_LAG_MILLIS = 500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(AgentNode.class);
 
-    /** The calls of workers. */
-    private final WorkerClient calls;
+    private final WorkerClient client;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** The loop. */
     private final ScheduledExecutorService loop;
 
-    /** What the leader has granted. */
     private final AgentLease lease;
 
-    /** What the leader believes of images. */
-    private final InterferenceTable harm;
+    /** The leader's interference estimates. */
+    private final InterferenceTable interference;
 
-    /** Is told when there is something to report. */
-    private final Runnable whenChanged;
+    /** Called when there is something to report. */
+    private final Runnable onChange;
 
-    /** The lives that may be there. */
-    private final Map<WorkerIncarnation, WorkerSupervisor> workers = new LinkedHashMap<>();
+    /** The supervisors of the incarnations that may be running. */
+    private final Map<WorkerIncarnation, WorkerSupervisor> supervisors = new LinkedHashMap<>();
 
-    /** The lives that are over. */
+    /** The incarnations that have ended. */
     private final EndedIncarnations ended = new EndedIncarnations();
 
-    /**
-     * Constructor.
-     *
-     * @param calls the calls of workers
-     * @param clock the clock
-     * @param loop the agent's loop
-     * @param lease what the leader has granted
-     * @param harm what the leader believes of images
-     * @param whenChanged is told when there is something to report
-     */
     WorkerIncarnations(
-            WorkerClient calls,
+            WorkerClient client,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             AgentLease lease,
-            InterferenceTable harm,
-            Runnable whenChanged) {
-        this.calls = calls;
+            InterferenceTable interference,
+            Runnable onChange) {
+        this.client = client;
         this.clock = clock;
         this.loop = loop;
         this.lease = lease;
-        this.harm = harm;
-        this.whenChanged = whenChanged;
+        this.interference = interference;
+        this.onChange = onChange;
     }
 
     /**
-     * Finds what looks after a life.
+     * Finds the supervisor of an incarnation.
      *
-     * @param life the life
-     * @return its supervisor, null if it is not there
+     * @param incarnation the incarnation
+     * @return the supervisor, null if there is none
      */
-    WorkerSupervisor findSupervisor(WorkerIncarnation life) {
-        return workers.get(life);
+    WorkerSupervisor findSupervisor(WorkerIncarnation incarnation) {
+        return supervisors.get(incarnation);
     }
 
     /**
-     * Lists what looks after the lives that may be there.
+     * Gets the supervisors of the incarnations that may be running.
      *
      * @return the supervisors
      */
     Collection<WorkerSupervisor> getSupervisors() {
-        return List.copyOf(workers.values());
+        return List.copyOf(supervisors.values());
     }
 
     /**
-     * Lists the lives that are over and that the leader is to be told of.
+     * Lists the ended incarnations that are to be reported to the leader.
      *
-     * @return the lives
+     * @return the incarnations
      */
     List<WorkerIncarnation> listEnded() {
         return ended.list();
@@ -122,18 +108,18 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Takes note of a heartbeat.
+     * Handles a heartbeat.
      *
-     * @param worker what the worker said of itself
-     * @param sequence the number of the heartbeat in that life
+     * @param worker the description in the heartbeat
+     * @param sequence the sequence number of the heartbeat within the incarnation
      */
     void heartbeatReceived(WorkerDescription worker, long sequence) {
-        if (ended.contains(worker.incarnation()) || lacksBirth(worker.incarnation())) {
+        if (ended.contains(worker.incarnation()) || lacksStartTime(worker.incarnation())) {
             return;
         }
-        WorkerSupervisor present = workers.get(worker.incarnation());
-        if (present != null) {
-            present.heartbeatReceived(worker, sequence);
+        WorkerSupervisor existing = supervisors.get(worker.incarnation());
+        if (existing != null) {
+            existing.heartbeatReceived(worker, sequence);
             return;
         }
         LOG.info("worker-found")
@@ -143,41 +129,45 @@
                 .with("millicores", worker.capacity().milliCores())
                 .with("draining", worker.draining())
                 .write();
-        WorkerSupervisor made =
+        WorkerSupervisor supervisor =
                 new WorkerSupervisor(
                         worker,
-                        calls,
+                        client,
                         clock,
                         loop,
                         () -> lease.getEnd(worker.incarnation()),
                         lease::getFence,
-                        whenChanged,
+                        onChange,
                         this,
-                        harm);
-        workers.put(worker.incarnation(), made);
-        made.heartbeatReceived(worker, sequence);
-        made.start();
+                        interference);
+        supervisors.put(worker.incarnation(), supervisor);
+        supervisor.heartbeatReceived(worker, sequence);
+        supervisor.start();
     }
 
-    /** A worker that has told births tells one in each heartbeat; without, it names no life. */
-    private boolean lacksBirth(WorkerIncarnation told) {
+    /**
+     * A worker that has reported start times does so in each heartbeat; a heartbeat without one
+     * does not identify an incarnation of it.
+     */
+    private boolean lacksStartTime(WorkerIncarnation incarnation) {
         boolean lacks =
-                !told.hasStartTime()
-                        && (ended.hasKnownStartTime(told.getId())
-                                || workers.keySet().stream().anyMatch(told::isOtherIncarnationOf));
+                !incarnation.hasStartTime()
+                        && (ended.hasKnownStartTime(incarnation.getId())
+                                || supervisors.keySet().stream()
+                                        .anyMatch(incarnation::isOtherIncarnationOf));
         if (lacks) {
-            LOG.info("heartbeat-without-start-time").with("worker", told).write();
+            LOG.info("heartbeat-without-start-time").with("worker", incarnation).write();
         }
         return lacks;
     }
 
     /**
-     * Takes note that a worker has said that it has left.
+     * Handles a departure message.
      *
-     * @param worker its id
+     * @param worker the id of the worker
      */
     void workerLeft(WorkerId worker) {
-        List.copyOf(workers.values()).stream()
+        List.copyOf(supervisors.values()).stream()
                 .filter(
                         supervisor ->
                                 supervisor.getDescription().incarnation().getId().equals(worker))
@@ -187,8 +177,8 @@
     @Override
     public void confirmed(WorkerIncarnation worker) {
         ended.identified(worker.getId());
-        String address = workers.get(worker).getDescription().address();
-        workers.values().stream()
+        String address = supervisors.get(worker).getDescription().address();
+        supervisors.values().stream()
                 .map(WorkerSupervisor::getDescription)
                 .filter(other -> !other.incarnation().equals(worker))
                 .filter(
@@ -197,40 +187,42 @@
                                         || other.incarnation().isOtherIncarnationOf(worker))
                 .map(WorkerDescription::incarnation)
                 .toList()
-                .forEach(old -> over(old, "replaced"));
+                .forEach(old -> markEnded(old, "replaced"));
     }
 
     @Override
-    public void replaced(WorkerIncarnation worker, WorkerIncarnation by) {
-        boolean unheard = !workers.containsKey(by) || !workers.get(by).isConfirmed();
-        if (by != null && unheard) {
-            ended.awaitIdentification(by.getId());
+    public void replaced(WorkerIncarnation worker, WorkerIncarnation replacement) {
+        boolean unconfirmed =
+                !supervisors.containsKey(replacement)
+                        || !supervisors.get(replacement).isConfirmed();
+        if (replacement != null && unconfirmed) {
+            ended.awaitIdentification(replacement.getId());
         }
-        over(worker, by == null ? "another life answers" : by + " answers");
+        markEnded(worker, replacement == null ? "another life answers" : replacement + " answers");
     }
 
     @Override
     public void departed(WorkerIncarnation worker) {
-        over(worker, "left");
+        markEnded(worker, "left");
     }
 
     @Override
-    public void clockFellBehind(WorkerIncarnation worker, long millis) {
-        if (millis >= TOLD_MILLIS) {
-            LOG.info("clock-fell-behind").with("worker", worker).with("millis", millis).write();
+    public void clockFellBehind(WorkerIncarnation worker, long lagMillis) {
+        if (lagMillis >= LOGGED_LAG_MILLIS) {
+            LOG.info("clock-fell-behind").with("worker", worker).with("millis", lagMillis).write();
         }
-        lease.compensateClockLag(millis);
+        lease.compensateClockLag(lagMillis);
     }
 
-    private void over(WorkerIncarnation worker, String reason) {
-        WorkerSupervisor supervisor = workers.remove(worker);
+    private void markEnded(WorkerIncarnation worker, String reason) {
+        WorkerSupervisor supervisor = supervisors.remove(worker);
         if (supervisor != null) {
             supervisor.close();
             lease.remove(worker);
         }
         if (ended.add(worker, clock.nowMillis())) {
             LOG.info("worker-ended").with("worker", worker).with("reason", reason).write();
-            whenChanged.run();
+            onChange.run();
         }
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerLeaseClock.java
+++ b/src/main/java/org/standlink/runner/WorkerLeaseClock.java
@@ -18,107 +18,112 @@
 import java.util.function.LongConsumer;
 
 /**
- * Works out until when a worker may be told to keep its runs, and when they are surely over.
+ * Converts the ends of leases to a worker's clock, and determines when its leases have certainly
+ * expired.
  *
- * <p>A worker counts on a clock of its own, which may be slow by 2%. Times of the agent are on its
+ * <p>A worker uses a clock of its own, which may be slow by 2%. Times of the agent are on its
  * monotonic clock, in milliseconds.
  *
  * <p>{@code WorkerLeaseClock} is mutable and not thread-safe.
  */
 final class WorkerLeaseClock {
 
-    /** By how much a worker's clock may be slow. */
-    private static final double DRIFT = 1.02;
+    /** The factor by which a worker's clock may be slow. */
+    private static final double MAX_DRIFT_FACTOR = 1.02;
 
-    /** The time a worker takes to kill what it held, in milliseconds, with some to spare. */
-    private static final long KILL_MILLIS = 300;
+    /** The time that a worker takes to kill its runs, with a margin, in milliseconds. */
+    private static final long KILL_ALLOWANCE_MILLIS = 300;
 
     /**
-     * By how much more a worker's clock may have gone on than the agent's, in milliseconds, without
-     * the agent's being taken to have stood still: answers come sooner or later by that much.
+     * How much further a worker's clock may have advanced than the agent's without the agent's
+     * clock being taken to have stopped, in milliseconds: the latency of answers varies by that
+     * much.
      */
-    private static final long NOISE_MILLIS = 50;
+    private static final long ANSWER_JITTER_MILLIS = 50;
 
-    /** Is told by how much the agent's clock has fallen behind, in milliseconds. */
-    private final LongConsumer whenBehind;
+    /** Called with the time that the agent's clock has fallen behind, in milliseconds. */
+    private final LongConsumer onClockLag;
 
     /** The worker's clock in its last answer; negative if it has not answered yet. */
-    private long workerMillis = -1;
+    private long lastWorkerMillis = -1;
 
-    /** When that answer came. */
-    private long answeredAt;
+    /** When that answer was received. */
+    private long lastAnswerAt;
 
     /**
-     * How far the worker's clock is ahead of the agent's, by the quickest answers: those that come
-     * late for other reasons do not count, or each would shorten a lease when the next is quick.
+     * How far the worker's clock is ahead of the agent's, by the fastest answers. Answers that are
+     * delayed for other reasons do not count, since each would shorten a lease when the next one is
+     * fast.
      */
-    private double ahead;
+    private double offset;
 
-    /** The latest time up to which the worker was told to keep its runs. */
+    /** The latest lease end that was sent to the worker. */
     private long grantedUntil;
 
     /**
-     * Constructor.
+     * Creates a clock.
      *
-     * @param grantedUntil until when the worker may have been told before to keep its runs
-     * @param whenBehind is told by how much the agent's clock has fallen behind, in milliseconds
+     * @param grantedUntil the end of the lease that may have been granted to the worker before
+     * @param onClockLag called with the time that the agent's clock has fallen behind, in
+     *     milliseconds
      */
-    WorkerLeaseClock(long grantedUntil, LongConsumer whenBehind) {
+    WorkerLeaseClock(long grantedUntil, LongConsumer onClockLag) {
         this.grantedUntil = grantedUntil;
-        this.whenBehind = whenBehind;
+        this.onClockLag = onClockLag;
     }
 
     /**
-     * Takes note of the worker's clock. A worker's clock does not run fast; if it has gone on by
-     * more than the agent's, the agent's machine was suspended, and leases end sooner by that much.
+     * Updates the worker's clock from an answer. A worker's clock does not run fast; if it has
+     * advanced by more than the agent's, the agent's machine was suspended, and leases end sooner
+     * by that much.
      *
-     * @param clockMillis the worker's clock, negative if it told none
-     * @param now when the answer came
+     * @param clockMillis the worker's clock, negative if the answer did not contain it
+     * @param now when the answer was received
      */
     void answerReceived(long clockMillis, long now) {
         if (clockMillis >= 0) {
-            compare(clockMillis - now, now);
-            workerMillis = clockMillis;
-            answeredAt = now;
+            updateOffset(clockMillis - now, now);
+            lastWorkerMillis = clockMillis;
+            lastAnswerAt = now;
         }
     }
 
-    /** A clock that is slow falls back, so what was seen of it counts for less with time. */
-    private void compare(long aheadNow, long now) {
-        double expected = ahead - (now - answeredAt) * (DRIFT - 1);
-        if (isKnown() && aheadNow - expected > NOISE_MILLIS) {
-            whenBehind.accept((long) Math.ceil(aheadNow - expected));
+    /** A slow clock falls back, so an offset observed earlier is reduced with time. */
+    private void updateOffset(long observedOffset, long now) {
+        double expectedOffset = offset - (now - lastAnswerAt) * (MAX_DRIFT_FACTOR - 1);
+        if (isKnown() && observedOffset - expectedOffset > ANSWER_JITTER_MILLIS) {
+            onClockLag.accept((long) Math.ceil(observedOffset - expectedOffset));
         }
-        ahead = isKnown() ? Math.max(aheadNow, expected) : aheadNow;
+        offset = isKnown() ? Math.max(observedOffset, expectedOffset) : observedOffset;
     }
 
     /**
      * Checks whether the worker's clock is known.
      *
-     * @return true if it has answered
+     * @return true if the worker has answered
      */
     boolean isKnown() {
-        return workerMillis >= 0;
+        return lastWorkerMillis >= 0;
     }
 
     /**
-     * Works out what to tell the worker, and takes note that it is told.
+     * Converts the end of a lease to the worker's clock, and records that the lease is granted.
      *
-     * @param end until when the runs may go on, on the agent's clock
-     * @return until when on the worker's clock
+     * @param end the end of the lease, on the agent's clock
+     * @return the end of the lease, on the worker's clock
      */
     long grantUntil(long end) {
         grantedUntil = Math.max(grantedUntil, end);
-        return workerMillis + (long) Math.max(0, (end - answeredAt) / DRIFT);
+        return lastWorkerMillis + (long) Math.max(0, (end - lastAnswerAt) / MAX_DRIFT_FACTOR);
     }
 
     /**
-     * Checks whether all that the worker was told to keep is over.
+     * Checks whether all leases granted to the worker have expired and its runs have ended.
      *
      * @param now the time on the agent's clock
      * @return true if so
      */
     boolean isExpired(long now) {
-        return now > grantedUntil + KILL_MILLIS;
+        return now > grantedUntil + KILL_ALLOWANCE_MILLIS;
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerListener.java
+++ b/src/main/java/org/standlink/runner/WorkerListener.java
@@ -19,24 +19,25 @@
 import org.standlink.job.WorkerId;
 
 /**
- * Is told of workers that send heartbeats or leave.
+ * Receives the heartbeats and departure messages of workers.
  *
  * <p>Implementations must be thread-safe.
  */
 public interface WorkerListener {
 
     /**
-     * A worker has sent a heartbeat.
+     * Called when a worker has sent a heartbeat.
      *
-     * @param worker what it said of itself
-     * @param sequence rises with each heartbeat of one life, so that a late one can be known
+     * @param worker the description in the heartbeat
+     * @param sequence the sequence number, which rises with each heartbeat of an incarnation, so
+     *     that a late one can be detected
      */
     void heartbeatReceived(WorkerDescription worker, long sequence);
 
     /**
-     * A worker has said that it has left; which life of it, its message does not tell.
+     * Called when a worker has sent a departure message, which does not identify the incarnation.
      *
-     * @param worker its id
+     * @param worker the id of the worker
      */
     void workerLeft(WorkerId worker);
 }
--- a/src/main/java/org/standlink/runner/WorkerSupervisor.java
+++ b/src/main/java/org/standlink/runner/WorkerSupervisor.java
@@ -28,168 +28,150 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Carries out the leader's orders on one life of a worker, and keeps its lease up.
+ * Carries out the leader's orders on an incarnation of a worker, and renews its lease.
  *
- * <p>A call without an answer may be carried out later, so it is repeated until the worker has said
- * what became of the run.
+ * <p>A call without an answer may be carried out later, so it is repeated until the worker has
+ * reported the state of the run.
  *
- * <p>{@code WorkerSupervisor} is not thread-safe; the agent's loop owns it.
+ * <p>{@code WorkerSupervisor} is not thread-safe; it is confined to the agent's event loop.
  */
 final class WorkerSupervisor {
 
     /**
-     * How long a renewal waits for an end, in milliseconds; the figures of serving runs are as old.
+     * How long a renewal waits for a run to end, in milliseconds; the measurements of serving runs
+     * are up to that old.
      */
-    private static final long WAIT_MILLIS = 400;
+    private static final long RENEWAL_WAIT_MILLIS = 400;
 
-    /** The pause before a failed call is repeated, in milliseconds. */
-    private static final long PAUSE_MILLIS = 150;
+    /** The delay before a failed call is repeated, in milliseconds. */
+    private static final long RETRY_DELAY_MILLIS = 150;
 
-    /** How long recorded ends are waited for before the next renewal, in milliseconds. */
-    private static final long RECORD_MILLIS = 100;
+    /** The delay of the next renewal while ends are being recorded, in milliseconds. */
+    private static final long RECORDING_DELAY_MILLIS = 100;
 
     private static final EventLog LOG = EventLog.of(WorkerSupervisor.class);
 
-    /** The calls that renew the worker's lease. */
-    private final LeaseRenewer renewalCalls;
+    private final LeaseRenewer renewer;
 
     private final MonotonicClock clock;
 
     private final ScheduledExecutorService loop;
 
-    /** The series of renewals. */
-    private final LeaseRenewalLoop renewals;
+    private final LeaseRenewalLoop renewalLoop;
 
-    /** Tells until when runs may go on, on the agent's clock. */
+    /** Supplies the end of the lease, on the agent's clock, in milliseconds. */
     private final Supplier<Long> leaseEnd;
 
-    /** Tells the fence of the orders in force. */
+    /** Supplies the fence of the orders in force. */
     private final Supplier<Fence> fence;
 
-    /** Is told when there is something to report. */
-    private final Runnable whenChanged;
+    /** Called when there is something to report. */
+    private final Runnable onChange;
 
-    /** Finds out whether this life is there, and whether it is over. */
-    private final IncarnationTracker watch;
+    private final IncarnationTracker tracker;
 
-    /** The runs that the leader has spoken of. */
     private final RunTable runs;
 
-    /** What the worker's clock says. */
     private final WorkerLeaseClock leaseClock;
 
-    /** Throttles best-effort runs. */
     private final WorkerThrottle throttle;
 
-    /** What the worker said of itself. */
-    private final ReportedWorkerState heard;
+    private final ReportedWorkerState workerState;
 
-    /** What the worker said of its runs. */
-    private final RunListTracker lists = new RunListTracker();
+    private final RunListTracker runLists = new RunListTracker();
 
-    /** Whether orders to start have come under the fence in force. */
-    private boolean startsTold;
+    /** Whether start orders have been received under the fence in force. */
+    private boolean startsReceived;
 
-    /** Whether orders were voided for the lapse that goes on; until the worker answers again. */
-    private boolean lapseNoted;
+    /** Whether the orders were dropped for the current lapse; until the worker answers again. */
+    private boolean lapseHandled;
 
-    /** Whether the leader has yet to answer the report of a lapse; nothing is started meanwhile. */
-    private boolean lapseUntold;
+    /**
+     * Whether a reported lapse has yet to be acknowledged by the leader; nothing is started
+     * meanwhile.
+     */
+    private boolean lapseUnacknowledged;
 
     /** Whether the worker answered the last call. */
     private boolean reachable;
 
-    /** The fence that the worker refused, since it has seen a higher one; null if it did not. */
+    /** The fence that the worker refused, since it has seen a higher one; null if none. */
     private Fence refusedFence;
 
-    /** Whether this supervisor is closed. */
     private boolean closed;
 
-    /**
-     * Constructor.
-     *
-     * @param worker what the worker said of itself
-     * @param calls the calls of workers
-     * @param clock the clock
-     * @param loop the agent's loop
-     * @param leaseEnd tells until when runs may go on, on the agent's clock
-     * @param fence tells the fence of the orders in force
-     * @param whenChanged is told when there is something to report
-     * @param observer is told what the worker's answers show
-     * @param harm what is believed of images
-     */
     WorkerSupervisor(
             WorkerDescription worker,
-            WorkerClient calls,
+            WorkerClient client,
             MonotonicClock clock,
             ScheduledExecutorService loop,
             Supplier<Long> leaseEnd,
             Supplier<Fence> fence,
-            Runnable whenChanged,
-            IncarnationListener observer,
-            InterferenceTable harm) {
-        this.heard = new ReportedWorkerState(worker);
+            Runnable onChange,
+            IncarnationListener listener,
+            InterferenceTable interference) {
+        this.workerState = new ReportedWorkerState(worker);
         this.clock = clock;
         this.loop = loop;
-        this.renewals = new LeaseRenewalLoop(loop, PAUSE_MILLIS, () -> renew(0));
+        this.renewalLoop = new LeaseRenewalLoop(loop, RETRY_DELAY_MILLIS, () -> renew(0));
         this.leaseEnd = leaseEnd;
         this.fence = fence;
-        this.whenChanged = whenChanged;
-        this.watch = new IncarnationTracker(worker.incarnation(), observer);
-        this.throttle = new WorkerThrottle(harm);
-        // An earlier process of the agent may have told the worker to keep its runs until then.
+        this.onChange = onChange;
+        this.tracker = new IncarnationTracker(worker.incarnation(), listener);
+        this.throttle = new WorkerThrottle(interference);
+        // An earlier process of the agent may have granted a lease up to then.
         this.leaseClock =
                 new WorkerLeaseClock(
                         clock.nowMillis() + CellTimes.MAX_LEASE_MILLIS,
-                        millis -> observer.clockFellBehind(worker.incarnation(), millis));
-        WorkerContext context = new WorkerContext(heard::getDescription, calls, clock, loop, fence);
-        this.renewalCalls = new LeaseRenewer(context, leaseClock, lists, this::getLeaseEnd);
-        this.runs =
-                new RunTable(context, () -> reachable, leaseClock, this::getLeaseEnd, whenChanged);
+                        millis -> listener.clockFellBehind(worker.incarnation(), millis));
+        WorkerContext context =
+                new WorkerContext(workerState::getDescription, client, clock, loop, fence);
+        this.renewer = new LeaseRenewer(context, leaseClock, runLists, this::getLeaseEnd);
+        this.runs = new RunTable(context, () -> reachable, leaseClock, this::getLeaseEnd, onChange);
     }
 
-    /** Begins to look after the worker. */
+    /** Starts supervising the worker. */
     void start() {
         renew(0);
     }
 
-    /** Ends; this life is over. */
+    /** Closes this supervisor after the incarnation has ended. */
     void close() {
         closed = true;
         runs.clear();
     }
 
     /**
-     * Takes note of what the worker said of itself.
+     * Handles a heartbeat.
      *
-     * @param told the description
-     * @param number the number of the heartbeat
+     * @param reported the description in the heartbeat
+     * @param sequence the sequence number of the heartbeat
      */
-    void heartbeatReceived(WorkerDescription told, long number) {
-        if (heard.update(told, number, reachable)) {
-            whenChanged.run();
+    void heartbeatReceived(WorkerDescription reported, long sequence) {
+        if (workerState.update(reported, sequence, reachable)) {
+            onChange.run();
         }
     }
 
     /**
-     * Takes the leader's orders.
+     * Applies orders of the leader.
      *
      * @param orders the orders, under the fence in force
      */
     void applyOrders(RunOrders orders) {
         orders.stops().forEach(runs::stop);
-        if (lapseUntold) {
+        if (lapseUnacknowledged) {
             orders.starts().forEach(order -> runs.getReleased().addGone(order.run()));
         } else {
-            // The first that are told under a fence are all that should run, also since before.
-            boolean toldAnew = !startsTold;
-            startsTold |= !orders.starts().isEmpty();
-            orders.starts().forEach(order -> runs.start(order, toldAnew));
+            // The first starts under a fence are all runs that should run, including earlier ones.
+            boolean resent = !startsReceived;
+            startsReceived |= !orders.starts().isEmpty();
+            orders.starts().forEach(order -> runs.start(order, resent));
         }
-        long before = lists.getRecordedEnd();
-        if (lists.advanceRecordedEnd(orders.recordedEnd())) {
+        long before = runLists.getRecordedEnd();
+        if (runLists.advanceRecordedEnd(orders.recordedEnd())) {
             LOG.info("ends-recorded")
-                    .with("worker", heard.getIncarnation())
+                    .with("worker", workerState.getIncarnation())
                     .with("before", before)
                     .with("number", orders.recordedEnd())
                     .with("epoch", orders.epoch())
@@ -198,44 +180,47 @@
     }
 
     /**
-     * Takes note that a higher fence is in force, so that what has not begun is void. A worker that
-     * answers is asked at once, as whoever waits for its lists under that fence keeps tasks back.
+     * Handles a raised fence, which supersedes orders that have not been carried out. A reachable
+     * worker is asked for its lists at once, as the leader holds tasks until it has the lists under
+     * the new fence.
      */
     void fenceRaised() {
-        startsTold = false;
+        startsReceived = false;
         runs.dropAllButRunning();
         if (reachable) {
-            askNow();
+            requestListsNow();
         }
     }
 
     /**
-     * Takes note that the worker, or an earlier life under its id, has said that it has left. That
-     * it was the present one shows when it does not answer any more.
+     * Handles a departure message of the worker or of an earlier incarnation under its id. It was
+     * sent by this incarnation if it no longer answers.
      */
     void workerLeft() {
-        watch.departureReceived(heard.getDescription().draining(), reachable, clock.nowMillis());
+        tracker.departureReceived(
+                workerState.getDescription().draining(), reachable, clock.nowMillis());
     }
 
     /**
-     * Voids all orders once the worker's lease is over. The report that says so makes the leader
-     * give the runs to others, so that none may be started any more, even if its answer is lost.
+     * Drops all orders once the worker's lease has expired. The report of the lapse makes the
+     * leader assign the runs to other workers, so none may be started any more, even if its answer
+     * is lost.
      */
     void dropOrdersIfLapsed() {
-        if (isLapsed() && !lapseNoted) {
-            lapseNoted = true;
-            lapseUntold = true;
+        if (isLapsed() && !lapseHandled) {
+            lapseHandled = true;
+            lapseUnacknowledged = true;
             runs.dropAllButRunning();
             LOG.info("orders-superseded")
-                    .with("worker", heard.getIncarnation())
+                    .with("worker", workerState.getIncarnation())
                     .with("fence", fence.get())
                     .write();
         }
     }
 
     /**
-     * Checks whether the worker has seen a higher fence than the one in force, as another agent or
-     * an earlier process of this one may have called it.
+     * Checks whether the worker has seen a higher fence than the one in force, in a call of another
+     * agent or of an earlier process of this one.
      *
      * @return true if the leader has to raise the generation
      */
@@ -244,64 +229,65 @@
     }
 
     /**
-     * Makes a report.
+     * Creates a report.
      *
      * @return the report
      */
     WorkerReport createReport() {
         return new WorkerReport(
-                heard.getDescription(),
+                workerState.getDescription(),
                 reachable,
-                lapseUntold || isLapsed(),
-                lists.isKnown(),
-                lists.getRunning(),
-                lists.getEnded(),
+                lapseUnacknowledged || isLapsed(),
+                runLists.isKnown(),
+                runLists.getRunning(),
+                runLists.getEnded(),
                 runs.getReleased().getRefused(),
                 runs.getReleased().getGone(),
                 throttle.listThrottled(),
-                lists.isCompleteUnder(fence.get()));
+                runLists.isCompleteUnder(fence.get()));
     }
 
     /**
-     * Takes note that the leader has had a report.
+     * Handles the acknowledgement of a report by the leader.
      *
      * @param sent the report
      */
     void reportAcknowledged(WorkerReport sent) {
         runs.getReleased().removeReported(sent.refused(), sent.gone());
         if (sent.lapsed()) {
-            lapseUntold = false;
+            lapseUnacknowledged = false;
             runs.clear();
-            lists.clearUnlessReachable(reachable);
+            runLists.clearUnlessReachable(reachable);
         }
     }
 
     /**
-     * Checks whether this life has answered a call, so that no other has taken its address before.
+     * Checks whether this incarnation has answered a call, so that no other had already taken its
+     * address.
      *
-     * @return true if so
+     * @return true if it has answered
      */
     boolean isConfirmed() {
-        return watch.isConfirmed();
+        return tracker.isConfirmed();
     }
 
     /**
-     * Gets the life of the worker.
+     * Gets the last reported description of the worker.
      *
-     * @return what it said of itself
+     * @return the description
      */
     WorkerDescription getDescription() {
-        return heard.getDescription();
+        return workerState.getDescription();
     }
 
     // -----------------------------------------------------------------------
     private boolean isLapsed() {
-        return watch.isConfirmed() && !reachable && leaseClock.isExpired(clock.nowMillis());
+        return tracker.isConfirmed() && !reachable && leaseClock.isExpired(clock.nowMillis());
     }
 
-    /** Tells until when runs may go on; a lapse that the leader does not know of ends a lease. */
+    /** Gets the end of the lease; a lapse that the leader has not acknowledged ends it. */
     private long getLeaseEnd() {
-        return lapseUntold ? 0 : leaseEnd.get();
+        return lapseUnacknowledged ? 0 : leaseEnd.get();
     }
 
     private void renew(long waitMillis) {
@@ -309,92 +295,96 @@
             return;
         }
         if (isFenceRefused()) {
-            // Whoever has been replaced stays silent until it knows the higher fence.
-            renewals.schedule(PAUSE_MILLIS);
+            // A replaced agent sends nothing until it knows the higher fence.
+            renewalLoop.schedule(RETRY_DELAY_MILLIS);
             return;
         }
         long sentAt = clock.nowMillis();
-        Fence present = fence.get();
-        renewals.whenAnswered(
-                renewalCalls.renew(present, reachable, waitMillis),
-                result -> held(result, present, sentAt));
+        Fence currentFence = fence.get();
+        renewalLoop.whenAnswered(
+                renewer.renew(currentFence, reachable, waitMillis),
+                result -> handleRenewalAnswer(result, currentFence, sentAt));
     }
 
-    /** Asks for the lists beside the renewals, of which one may wait for an end. */
-    private void askNow() {
-        Fence present = fence.get();
+    /**
+     * Requests the lists independently of the renewals, of which one may be waiting for a run to
+     * end.
+     */
+    private void requestListsNow() {
+        Fence currentFence = fence.get();
         long sentAt = clock.nowMillis();
         Guarded.thenOn(
                 "worker-list",
-                renewalCalls.requestLists(present, reachable),
+                renewer.requestLists(currentFence, reachable),
                 loop,
                 (result, failure) -> {
                     if (failure == null
                             && !closed
                             && result.isDone()
-                            && !watch.checkReplaced(result)) {
-                        takeLists(result, present, sentAt);
+                            && !tracker.checkReplaced(result)) {
+                        applyLists(result, currentFence, sentAt);
                     }
                 });
     }
 
-    private void held(RenewalResult result, Fence sentFence, long sentAt) {
-        if (closed || watch.checkReplaced(result)) {
+    private void handleRenewalAnswer(RenewalResult result, Fence sentFence, long sentAt) {
+        if (closed || tracker.checkReplaced(result)) {
             return;
         }
         boolean fenced = result.result().kind() == CallResult.Kind.FENCED;
         if (fenced && fence.get().isAfter(sentFence)) {
-            // A call under the higher fence has overtaken this one; the worker is well.
+            // A call under the higher fence has overtaken this one; the worker is healthy.
             renew(0);
             return;
         }
         if (fenced && !sentFence.equals(refusedFence)) {
             refusedFence = sentFence;
             LOG.info("fence-refused")
-                    .with("worker", heard.getIncarnation())
+                    .with("worker", workerState.getIncarnation())
                     .with("fence", sentFence)
                     .write();
         }
         leaseClock.answerReceived(result.result().clockMillis(), clock.nowMillis());
-        boolean answers = result.isDone();
-        if (answers != reachable) {
-            reachable = answers;
-            LOG.info(answers ? "worker-regained" : "worker-lost")
-                    .with("worker", heard.getIncarnation())
+        boolean answered = result.isDone();
+        if (answered != reachable) {
+            reachable = answered;
+            LOG.info(answered ? "worker-regained" : "worker-lost")
+                    .with("worker", workerState.getIncarnation())
                     .with("detail", result.result().detail())
                     .write();
-            // At once, so that nothing more is given to a worker that is gone.
-            whenChanged.run();
+            // At once, so that nothing more is assigned to an unreachable worker.
+            onChange.run();
         }
-        if (!answers) {
-            watch.callUnanswered();
-            renewals.schedule(PAUSE_MILLIS);
+        if (!answered) {
+            tracker.callUnanswered();
+            renewalLoop.schedule(RETRY_DELAY_MILLIS);
             return;
         }
-        lapseNoted = false;
-        watch.answerReceived(sentAt);
-        takeLists(result, sentFence, sentAt);
-        if (lists.getEnded().isEmpty()) {
-            renew(WAIT_MILLIS);
+        lapseHandled = false;
+        tracker.answerReceived(sentAt);
+        applyLists(result, sentFence, sentAt);
+        if (runLists.getEnded().isEmpty()) {
+            renew(RENEWAL_WAIT_MILLIS);
         } else {
-            renewals.schedule(RECORD_MILLIS);
+            renewalLoop.schedule(RECORDING_DELAY_MILLIS);
         }
     }
 
-    private void takeLists(RenewalResult result, Fence sentFence, long sentAt) {
-        boolean listedBefore = lists.isCompleteUnder(fence.get());
-        boolean news = !lists.isKnown() || !result.ended().isEmpty();
-        if (!lists.update(result, sentFence)) {
+    private void applyLists(RenewalResult result, Fence sentFence, long sentAt) {
+        boolean wasComplete = runLists.isCompleteUnder(fence.get());
+        boolean changed = !runLists.isKnown() || !result.ended().isEmpty();
+        if (!runLists.update(result, sentFence)) {
             // A call under a higher fence has overtaken this one, and its lists are newer.
             return;
         }
         if (sentFence.equals(fence.get())) {
             runs.fenceAccepted();
         }
-        runs.reconcile(lists.getRunning(), lists.getEnded(), sentAt);
-        throttle.apply(heard.getIncarnation(), lists.getRunning(), runs, clock.nowMillis());
-        if (news || listedBefore != lists.isCompleteUnder(fence.get())) {
-            whenChanged.run();
+        runs.reconcile(runLists.getRunning(), runLists.getEnded(), sentAt);
+        throttle.apply(
+                workerState.getIncarnation(), runLists.getRunning(), runs, clock.nowMillis());
+        if (changed || wasComplete != runLists.isCompleteUnder(fence.get())) {
+            onChange.run();
         }
     }
 }
--- a/src/main/java/org/standlink/runner/WorkerThrottle.java
+++ b/src/main/java/org/standlink/runner/WorkerThrottle.java
@@ -29,77 +29,73 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * Throttles the best-effort runs of one worker by the figures that it reports, and tells now and
- * then what they were.
+ * Throttles the best-effort runs of a worker by the measurements that it reports, and logs these
+ * periodically.
  *
- * <p>{@code WorkerThrottle} is not thread-safe; the agent's loop owns it.
+ * <p>{@code WorkerThrottle} is not thread-safe; it is confined to the agent's event loop.
  */
 final class WorkerThrottle {
 
     /**
-     * The time between two decisions on throttling, in milliseconds; a figure covers half a second.
+     * The interval between two throttling decisions, in milliseconds; a measurement covers half a
+     * second.
      */
-    private static final long DECIDE_MILLIS = 350;
+    private static final long DECISION_INTERVAL_MILLIS = 350;
 
-    /** The time between two tellings of the figures, in milliseconds; two decisions in seven. */
-    private static final long TELL_MILLIS = 2000;
+    /**
+     * The interval at which the measurements are logged, in milliseconds; two decisions in seven.
+     */
+    private static final long LOG_INTERVAL_MILLIS = 2000;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkerThrottle.class);
 
-    /** Decides. */
     private final ThrottlePolicy policy;
 
-    /** The best-effort images there when throttling was decided on last. */
+    /** The best-effort images at the last throttling decision. */
     private Set<String> bestEffort = Set.of();
 
-    /** When throttling was decided on last. */
-    private long decidedAt;
+    /** When the last throttling decision was made, in milliseconds. */
+    private long lastDecisionAt;
 
-    /** When the figures were told last. */
-    private long toldAt;
+    /** When the measurements were last logged, in milliseconds. */
+    private long lastLoggedAt;
 
-    /**
-     * Constructor.
-     *
-     * @param harm what is believed of images
-     */
-    WorkerThrottle(InterferenceTable harm) {
-        this.policy = new ThrottlePolicy(harm);
+    WorkerThrottle(InterferenceTable interference) {
+        this.policy = new ThrottlePolicy(interference);
     }
 
     /**
-     * Takes new figures of a worker, and throttles its runs if it is time to.
+     * Throttles the runs of a worker by new measurements, if a decision is due.
      *
      * @param worker the worker
-     * @param running what runs, with the figures
-     * @param runs the runs that the leader has spoken of
+     * @param running the running runs, with their measurements
+     * @param runs the runs that the leader has ordered
      * @param now the time, in milliseconds
      */
     void apply(WorkerIncarnation worker, List<RunProgress> running, RunTable runs, long now) {
-        if (now - decidedAt < DECIDE_MILLIS) {
+        if (now - lastDecisionAt < DECISION_INTERVAL_MILLIS) {
             return;
         }
-        decidedAt = now;
-        Map<String, Double> tails = new HashMap<>();
-        Map<String, Long> used = new TreeMap<>();
+        lastDecisionAt = now;
+        Map<String, Double> tailRatios = new HashMap<>();
+        Map<String, Long> usedMilliCores = new TreeMap<>();
         for (RunProgress progress : running) {
             StartOrder order = runs.findOrder(progress.run());
             if (order != null && order.targetMillis() > 0) {
-                tails.merge(
+                tailRatios.merge(
                         order.image(), progress.measurement() / order.targetMillis(), Math::max);
             } else if (order != null && order.bestEffort()) {
-                used.merge(order.image(), progress.measurement(), Long::sum);
+                usedMilliCores.merge(order.image(), progress.measurement(), Long::sum);
             }
         }
-        bestEffort = Set.copyOf(used.keySet());
-        policy.updateShares(tails, bestEffort, now);
+        bestEffort = Set.copyOf(usedMilliCores.keySet());
+        policy.updateShares(tailRatios, bestEffort, now);
         runs.throttle(policy::getShare);
-        tell(worker, tails, used, now);
+        logMetrics(worker, tailRatios, usedMilliCores, now);
     }
 
     /**
-     * Lists the images whose runs may not work all the time.
+     * Lists the images whose runs may not run all the time.
      *
      * @return the images and their shares
      */
@@ -110,32 +106,36 @@
                 .toList();
     }
 
-    private void tell(
-            WorkerIncarnation worker, Map<String, Double> tails, Map<String, Long> used, long now) {
-        if (now - toldAt < TELL_MILLIS || tails.isEmpty() && used.isEmpty()) {
+    private void logMetrics(
+            WorkerIncarnation worker,
+            Map<String, Double> tailRatios,
+            Map<String, Long> usedMilliCores,
+            long now) {
+        if (now - lastLoggedAt < LOG_INTERVAL_MILLIS
+                || tailRatios.isEmpty() && usedMilliCores.isEmpty()) {
             return;
         }
-        toldAt = now;
-        StringBuilder serving = new StringBuilder();
-        new TreeMap<>(tails)
+        lastLoggedAt = now;
+        StringBuilder servingText = new StringBuilder();
+        new TreeMap<>(tailRatios)
                 .forEach(
-                        (image, tail) ->
-                                serving.append(
-                                        String.format(Locale.ROOT, "%s %.2f ", image, tail)));
-        StringBuilder bestEffort = new StringBuilder();
-        used.forEach(
-                (image, cores) ->
-                        bestEffort.append(
+                        (image, ratio) ->
+                                servingText.append(
+                                        String.format(Locale.ROOT, "%s %.2f ", image, ratio)));
+        StringBuilder bestEffortText = new StringBuilder();
+        usedMilliCores.forEach(
+                (image, milliCores) ->
+                        bestEffortText.append(
                                 String.format(
                                         Locale.ROOT,
                                         "%s %d%% %d ",
                                         image,
                                         policy.getShare(image),
-                                        cores)));
+                                        milliCores)));
         LOG.info("worker-figures")
                 .with("worker", worker)
-                .with("tails-by-target", serving.toString().trim())
-                .with("best-effort-share-and-millicores", bestEffort.toString().trim())
+                .with("tails-by-target", servingText.toString().trim())
+                .with("best-effort-share-and-millicores", bestEffortText.toString().trim())
                 .write();
     }
 }
--- a/src/main/java/org/standlink/runner/package-info.java
+++ b/src/main/java/org/standlink/runner/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The side of a worker: an agent that starts and stops runs on the worker beside it, as the leader
- * orders, and tells the leader what becomes of them.
+ * The agent of a machine: starts and stops runs on its workers, as the leader orders, and reports
+ * their state and outcome to the leader.
  */
 package org.standlink.runner;
--- a/src/test/java/org/standlink/runner/RunnerFixtures.java
+++ b/src/test/java/org/standlink/runner/RunnerFixtures.java
@@ -27,7 +27,7 @@
 import org.standlink.job.WorkerIncarnation;
 import org.standlink.wire.StartOrder;
 
-/** A worker, a run and an observer for tests. */
+/** A worker, a run and a listener for tests. */
 final class RunnerFixtures {
 
     static final WorkerIncarnation INCARNATION = WorkerIncarnation.parse("i-1@1000");
@@ -45,7 +45,7 @@
                     false,
                     0);
 
-    /** Hears of lives and does nothing. */
+    /** A listener that does nothing. */
     static final IncarnationListener NO_OP_LISTENER =
             new IncarnationListener() {
                 @Override
@@ -67,7 +67,7 @@
         return new StartOrder(RUN, "text", "", false, 0, "");
     }
 
-    /** An answer that comes after a while. */
+    /** Creates an answer that is completed after a delay. */
     static <T> CompletableFuture<T> completeLater(FakeLoop loop, long millis, T value) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         loop.schedule(
--- a/src/test/java/org/standlink/runner/TestAgentNode.java
+++ b/src/test/java/org/standlink/runner/TestAgentNode.java
@@ -39,13 +39,13 @@
 import org.standlink.job.WorkerIncarnation;
 import org.standlink.wire.StartOrder;
 
-/** Tests which life of its worker an agent looks after. */
+/** Tests which incarnation of its worker an agent supervises. */
 public class TestAgentNode {
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final List<Runnable> background = new ArrayList<>();
-    private final Address address = new Address();
+    private final ScriptedAddress address = new ScriptedAddress();
     private final AgentNode agent =
             new AgentNode(
                     "vm",
@@ -55,11 +55,11 @@
                     address,
                     clock,
                     loop,
-                    new Nobody(),
+                    new IgnoringObserver(),
                     () -> EvacuatedHalls.NONE);
 
-    /** Hears nothing of a leader. */
-    private static final class Nobody implements LeaderObserver {
+    /** An observer that does nothing. */
+    private static final class IgnoringObserver implements LeaderObserver {
 
         @Override
         public void leaderAnswered(long storeSilentMillis) {}
@@ -68,18 +68,18 @@
         public void leaderAbsent() {}
     }
 
-    /** The address of a worker, at which one life answers. */
-    private final class Address implements WorkerClient {
+    /** The address of a worker, at which one incarnation answers. */
+    private final class ScriptedAddress implements WorkerClient {
 
-        private WorkerIncarnation present;
-        private boolean silent;
-        private final List<WorkerIncarnation> called = new ArrayList<>();
-        private WorkerDescription last;
+        private WorkerIncarnation current;
+        private boolean unresponsive;
+        private final List<WorkerIncarnation> calledIncarnations = new ArrayList<>();
+        private WorkerDescription lastDescription;
 
         private CompletableFuture<CallResult> answer(WorkerDescription to) {
-            boolean same = to.incarnation().equals(present);
+            boolean same = to.incarnation().equals(current);
             CallResult.Kind kind = same ? CallResult.Kind.DONE : CallResult.Kind.OTHER_LIFE;
-            kind = silent ? CallResult.Kind.UNKNOWN : kind;
+            kind = unresponsive ? CallResult.Kind.UNKNOWN : kind;
             return CompletableFuture.completedFuture(
                     new CallResult(kind, clock.nowMillis(), "scripted"));
         }
@@ -97,19 +97,23 @@
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence fence, long recorded, long waitMillis) {
-            called.add(to.incarnation());
-            last = to;
-            CompletableFuture<RenewalResult> later = new CompletableFuture<>();
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
+            calledIncarnations.add(to.incarnation());
+            lastDescription = to;
+            CompletableFuture<RenewalResult> answer = new CompletableFuture<>();
             loop.schedule(
                     () -> {
-                        later.complete(
+                        answer.complete(
                                 new RenewalResult(
-                                        answer(to).join(), present, List.of(), List.of()));
+                                        answer(to).join(), current, List.of(), List.of()));
                     },
                     10,
                     TimeUnit.MILLISECONDS);
-            return later;
+            return answer;
         }
 
         @Override
@@ -119,20 +123,20 @@
         }
     }
 
-    private static WorkerDescription leaving(String id) {
-        WorkerDescription life = life(id);
+    private static WorkerDescription describeDraining(String id) {
+        WorkerDescription description = describe(id);
         return new WorkerDescription(
-                life.incarnation(),
-                life.service(),
-                life.address(),
-                life.capacity(),
-                life.hall(),
-                life.labels(),
+                description.incarnation(),
+                description.service(),
+                description.address(),
+                description.capacity(),
+                description.hall(),
+                description.labels(),
                 true,
                 1000);
     }
 
-    private static WorkerDescription life(String id) {
+    private static WorkerDescription describe(String id) {
         return new WorkerDescription(
                 WorkerIncarnation.parse(id + "@1000"),
                 "s",
@@ -151,130 +155,135 @@
 
     @Test
     public void aLateHeartbeatOfAnEarlierIncarnationDoesNotEndTheCurrentOne() {
-        address.present = WorkerIncarnation.parse("new@1000");
-        agent.heartbeatReceived(life("new"), 1);
+        address.current = WorkerIncarnation.parse("new@1000");
+        agent.heartbeatReceived(describe("new"), 1);
         loop.advance(1000);
-        agent.heartbeatReceived(life("old"), 7);
+        agent.heartbeatReceived(describe("old"), 7);
         loop.advance(1000);
-        address.called.clear();
-        agent.heartbeatReceived(life("old"), 8);
+        address.calledIncarnations.clear();
+        agent.heartbeatReceived(describe("old"), 8);
         loop.advance(1000);
-        assertTrue(address.called.contains(WorkerIncarnation.parse("new@1000")));
-        assertTrue(!address.called.contains(WorkerIncarnation.parse("old@1000")));
+        assertTrue(address.calledIncarnations.contains(WorkerIncarnation.parse("new@1000")));
+        assertTrue(!address.calledIncarnations.contains(WorkerIncarnation.parse("old@1000")));
     }
 
     @Test
     public void aLateHeartbeatDoesNotRevokeThatAWorkerIsDraining() {
-        address.present = WorkerIncarnation.parse("one@1000");
-        agent.heartbeatReceived(leaving("one"), 5);
-        agent.heartbeatReceived(life("one"), 4);
+        address.current = WorkerIncarnation.parse("one@1000");
+        agent.heartbeatReceived(describeDraining("one"), 5);
+        agent.heartbeatReceived(describe("one"), 4);
         loop.advance(1000);
-        assertTrue(address.last.draining());
+        assertTrue(address.lastDescription.draining());
     }
 
     @Test
     public void aNewIncarnationThatAnswersReplacesThePreviousOne() {
-        address.present = WorkerIncarnation.parse("old@1000");
-        agent.heartbeatReceived(life("old"), 1);
+        address.current = WorkerIncarnation.parse("old@1000");
+        agent.heartbeatReceived(describe("old"), 1);
         loop.advance(1000);
-        address.present = WorkerIncarnation.parse("new@1000");
-        agent.heartbeatReceived(life("new"), 1);
+        address.current = WorkerIncarnation.parse("new@1000");
+        agent.heartbeatReceived(describe("new"), 1);
         loop.advance(1000);
-        address.called.clear();
+        address.calledIncarnations.clear();
         loop.advance(1000);
-        assertEquals(1, address.called.stream().distinct().count());
-        assertEquals(WorkerIncarnation.parse("new@1000"), address.called.get(0));
+        assertEquals(1, address.calledIncarnations.stream().distinct().count());
+        assertEquals(WorkerIncarnation.parse("new@1000"), address.calledIncarnations.get(0));
     }
 
-    private static WorkerDescription again(long born, boolean leaves) {
-        WorkerDescription life = life("one");
+    private static WorkerDescription describeRestarted(long startTime, boolean draining) {
+        WorkerDescription description = describe("one");
         return new WorkerDescription(
-                WorkerIncarnation.parse("one@" + born),
-                life.service(),
-                life.address(),
-                life.capacity(),
-                life.hall(),
-                life.labels(),
-                leaves,
+                WorkerIncarnation.parse("one@" + startTime),
+                description.service(),
+                description.address(),
+                description.capacity(),
+                description.hall(),
+                description.labels(),
+                draining,
                 0);
     }
 
-    private long count(long born) {
-        return address.called.stream()
-                .filter(WorkerIncarnation.parse("one@" + born)::equals)
+    private long countCalls(long startTime) {
+        return address.calledIncarnations.stream()
+                .filter(WorkerIncarnation.parse("one@" + startTime)::equals)
                 .count();
     }
 
     @Test
     public void anIncarnationUnderTheSameIdReplacesThePreviousOneWhicheverStartedFirst() {
-        for (long born : List.of(3000L, 2000L)) {
-            address.present = WorkerIncarnation.parse("one@" + born);
-            agent.heartbeatReceived(again(born, false), 1);
+        for (long startTime : List.of(3000L, 2000L)) {
+            address.current = WorkerIncarnation.parse("one@" + startTime);
+            agent.heartbeatReceived(describeRestarted(startTime, false), 1);
             loop.advance(1000);
         }
-        address.called.clear();
-        agent.heartbeatReceived(again(3000, false), 9);
+        address.calledIncarnations.clear();
+        agent.heartbeatReceived(describeRestarted(3000, false), 9);
         loop.advance(1000);
-        assertEquals(0, count(3000));
-        assertTrue(count(2000) > 0);
+        assertEquals(0, countCalls(3000));
+        assertTrue(countCalls(2000) > 0);
     }
 
-    /** A departure names the id alone; it was sent by the life before, and came late. */
+    /**
+     * A departure message contains only the id; this one was sent by the previous incarnation and
+     * arrives late.
+     */
     @Test
     public void aLateDepartureDoesNotEndAnIncarnationThatAnswers() {
-        for (boolean leaves : List.of(false, true)) {
-            address.present = WorkerIncarnation.parse("one@2000");
-            agent.heartbeatReceived(again(2000, leaves), leaves ? 2 : 1);
+        for (boolean draining : List.of(false, true)) {
+            address.current = WorkerIncarnation.parse("one@2000");
+            agent.heartbeatReceived(describeRestarted(2000, draining), draining ? 2 : 1);
             loop.advance(1000);
             agent.workerLeft(WorkerId.parse("one"));
             loop.advance(3000);
-            address.called.clear();
+            address.calledIncarnations.clear();
             loop.advance(1000);
-            assertTrue(count(2000) > 0, "leaves: " + leaves);
+            assertTrue(countCalls(2000) > 0, "draining: " + draining);
         }
     }
 
     @Test
     public void aWorkerThatLeavesAndStopsAnsweringHasEnded() {
-        address.present = WorkerIncarnation.parse("one@2000");
-        agent.heartbeatReceived(again(2000, true), 1);
+        address.current = WorkerIncarnation.parse("one@2000");
+        agent.heartbeatReceived(describeRestarted(2000, true), 1);
         loop.advance(1000);
         agent.workerLeft(WorkerId.parse("one"));
-        address.silent = true;
+        address.unresponsive = true;
         loop.advance(1000);
-        address.called.clear();
+        address.calledIncarnations.clear();
         loop.advance(1000);
-        assertEquals(0, count(2000));
+        assertEquals(0, countCalls(2000));
     }
 
     @Test
     public void aHeartbeatWithoutAStartTimeIsIgnoredForAWorkerThatHasSentOne() {
-        address.present = WorkerIncarnation.parse("one@2000");
-        agent.heartbeatReceived(again(2000, false), 1);
+        address.current = WorkerIncarnation.parse("one@2000");
+        agent.heartbeatReceived(describeRestarted(2000, false), 1);
         loop.advance(1000);
-        WorkerDescription present = again(2000, true);
+        WorkerDescription current = describeRestarted(2000, true);
         agent.heartbeatReceived(
                 new WorkerDescription(
                         WorkerIncarnation.parse("one"),
-                        present.service(),
-                        present.address(),
-                        present.capacity(),
-                        present.hall(),
-                        present.labels(),
+                        current.service(),
+                        current.address(),
+                        current.capacity(),
+                        current.hall(),
+                        current.labels(),
                         true,
                         0),
                 9);
         loop.advance(1000);
-        assertTrue(address.called.stream().allMatch(WorkerIncarnation.parse("one@2000")::equals));
-        assertTrue(!address.last.draining());
+        assertTrue(
+                address.calledIncarnations.stream()
+                        .allMatch(WorkerIncarnation.parse("one@2000")::equals));
+        assertTrue(!address.lastDescription.draining());
     }
 
-    /** One id may be used again thousands of times. */
+    /** One id may be reused thousands of times. */
     @Test
     public void theNumberOfRememberedEndedIncarnationsIsBounded() {
         EndedIncarnations ended = new EndedIncarnations();
-        for (int born = 0; born < 10_000; born++) {
-            assertTrue(ended.add(WorkerIncarnation.parse("one@" + born), 1000));
+        for (int startTime = 0; startTime < 10_000; startTime++) {
+            assertTrue(ended.add(WorkerIncarnation.parse("one@" + startTime), 1000));
         }
         assertTrue(ended.list().size() < 100);
         assertTrue(ended.contains(WorkerIncarnation.parse("one@9999")));
