--- a/src/test/java/org/standlink/runner/TestAgentReports.java
+++ b/src/test/java/org/standlink/runner/TestAgentReports.java
@@ -44,16 +44,16 @@
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 
-/** Tests when an agent reports, and what it does with the leader's answers. */
+/** Tests when an agent reports, and how it handles the leader's answers. */
 public class TestAgentReports {
 
     private static final long LEASE_MILLIS = 6000;
-    private static final long READING_MILLIS = 60;
+    private static final long LOADING_STATE_MILLIS = 60;
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final Leader leader = new Leader();
-    private final Worker worker = new Worker();
+    private final ScriptedLeader leader = new ScriptedLeader();
+    private final ScriptedWorker worker = new ScriptedWorker();
     private final AgentNode agent =
             new AgentNode(
                     "vm",
@@ -63,11 +63,11 @@
                     worker,
                     clock,
                     loop,
-                    new Nobody(),
+                    new IgnoringObserver(),
                     () -> EvacuatedHalls.NONE);
 
-    /** Hears nothing of a leader. */
-    private static final class Nobody implements LeaderObserver {
+    /** An observer that does nothing. */
+    private static final class IgnoringObserver implements LeaderObserver {
 
         @Override
         public void leaderAnswered(long storeSilentMillis) {}
@@ -76,19 +76,19 @@
         public void leaderAbsent() {}
     }
 
-    /** A leader that answers after 2 ms as the test says. */
-    private final class Leader implements LeaderClient {
+    /** A leader that answers after 2 ms as set by the test. */
+    private final class ScriptedLeader implements LeaderClient {
 
         private final List<AgentReport> reports = new ArrayList<>();
         private LeaderNotice notice = new LeaderNotice(Epoch.of(1), "10.0.0.9:2");
         private LeaseGeneration generation = LeaseGeneration.of(1);
-        private long lease = LEASE_MILLIS;
+        private long leaseMillis = LEASE_MILLIS;
         private long storeSilentMillis;
-        private boolean silent;
+        private boolean unresponsive;
 
         @Override
-        public void offer(LeaderNotice told, String source) {
-            notice = told;
+        public void offer(LeaderNotice offered, String source) {
+            notice = offered;
         }
 
         @Override
@@ -101,8 +101,9 @@
             reports.add((AgentReport) message);
             CompletableFuture<Message> answer = new CompletableFuture<>();
             AgentGrant grant =
-                    new AgentGrant(notice.epoch(), generation, lease, storeSilentMillis, List.of());
-            if (silent) {
+                    new AgentGrant(
+                            notice.epoch(), generation, leaseMillis, storeSilentMillis, List.of());
+            if (unresponsive) {
                 loop.schedule(
                         () -> {
                             answer.completeExceptionally(new TimeoutException());
@@ -120,16 +121,16 @@
             return answer;
         }
 
-        private AgentReport last() {
+        private AgentReport lastReport() {
             return reports.get(reports.size() - 1);
         }
     }
 
-    /** A worker that does what it is told. */
-    private final class Worker implements WorkerClient {
+    /** A worker that accepts all calls, unless it refuses the fence. */
+    private final class ScriptedWorker implements WorkerClient {
 
         private final List<Fence> starts = new ArrayList<>();
-        private boolean refuses;
+        private boolean refusesFence;
 
         private CompletableFuture<CallResult> result(CallResult.Kind kind) {
             return CompletableFuture.completedFuture(
@@ -138,7 +139,7 @@
 
         @Override
         public CompletableFuture<CallResult> start(
-                WorkerDescription to, StartOrder order, long until, Fence fence) {
+                WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
             starts.add(fence);
             return result(CallResult.Kind.DONE);
         }
@@ -150,8 +151,12 @@
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence fence, long recorded, long waitMillis) {
-            CallResult.Kind kind = refuses ? CallResult.Kind.FENCED : CallResult.Kind.DONE;
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
+            CallResult.Kind kind = refusesFence ? CallResult.Kind.FENCED : CallResult.Kind.DONE;
             CompletableFuture<RenewalResult> answer = new CompletableFuture<>();
             loop.schedule(
                     () -> {
@@ -197,36 +202,37 @@
     // -----------------------------------------------------------------------
     @Test
     public void reportsAreRepeatedAtOnceWhileTheLeaderLoadsItsState() {
-        leader.lease = 0;
+        leader.leaseMillis = 0;
         loop.advance(100);
         int before = leader.reports.size();
-        loop.advance(5 * READING_MILLIS);
+        loop.advance(5 * LOADING_STATE_MILLIS);
         assertTrue(leader.reports.size() - before >= 4, () -> "" + leader.reports.size());
     }
 
     /**
-     * A leader without its store grants nothing for a while; leases that end meanwhile cost the
-     * work of the worker's runs, so a new one has to be asked for as soon as it may be granted.
+     * A leader without its store grants no lease for a while. If leases expire meanwhile, the
+     * progress of the worker's runs is lost, so a new lease has to be requested as soon as it may
+     * be granted.
      */
     @Test
     public void reportsAreMoreFrequentWhileALeaseIsAboutToEnd() {
         loop.advance(1000);
-        leader.lease = 0;
+        leader.leaseMillis = 0;
         leader.storeSilentMillis = 3500;
         loop.advance(LEASE_MILLIS - 3000);
-        int calm = leader.reports.size();
+        int beforeUrgent = leader.reports.size();
         loop.advance(1000);
-        assertTrue(leader.reports.size() - calm <= 3, "there is time left");
+        assertTrue(leader.reports.size() - beforeUrgent <= 3, "the lease does not end soon");
         loop.advance(1000);
-        int urgent = leader.reports.size();
+        int beforeEnd = leader.reports.size();
         loop.advance(1000);
-        assertTrue(leader.reports.size() - urgent >= 4, "the lease ends within a second");
+        assertTrue(leader.reports.size() - beforeEnd >= 4, "the lease ends within a second");
     }
 
     @Test
     public void reportsDoNotStayFrequentForeverWithoutALease() {
         loop.advance(1000);
-        leader.lease = 0;
+        leader.leaseMillis = 0;
         leader.storeSilentMillis = 3500;
         loop.advance(LEASE_MILLIS + 10_000);
         int before = leader.reports.size();
@@ -241,25 +247,26 @@
             assertEquals(i + 1, leader.reports.get(i).sequence());
         }
         assertEquals(
-                RunnerFixtures.INCARNATION, leader.last().workers().get(0).worker().incarnation());
-        assertEquals(LeaseGeneration.of(1), leader.last().generation());
-        assertFalse(leader.last().refused());
+                RunnerFixtures.INCARNATION,
+                leader.lastReport().workers().get(0).worker().incarnation());
+        assertEquals(LeaseGeneration.of(1), leader.lastReport().generation());
+        assertFalse(leader.lastReport().refused());
     }
 
     @Test
     public void aWaitingOrderIsDroppedWhenTheGrantNamesAHigherGeneration() {
         loop.advance(1000);
-        leader.silent = true;
+        leader.unresponsive = true;
         loop.advance(LEASE_MILLIS + 500);
         order(1);
         loop.advance(100);
-        leader.silent = false;
+        leader.unresponsive = false;
         leader.generation = LeaseGeneration.of(2);
         loop.advance(2500);
         assertEquals(List.of(), worker.starts);
         order(1);
         loop.advance(500);
-        assertEquals(List.of(), worker.starts, "an order of an older generation is passed over");
+        assertEquals(List.of(), worker.starts, "an order of an older generation is ignored");
         order(2);
         loop.advance(500);
         assertEquals(List.of(Fence.of(Epoch.of(1), LeaseGeneration.of(2))), worker.starts);
@@ -276,14 +283,14 @@
     @Test
     public void aRefusedFenceIsReportedUntilAHigherOneIsReceived() {
         loop.advance(1000);
-        worker.refuses = true;
+        worker.refusesFence = true;
         loop.advance(1500);
-        assertTrue(leader.last().refused());
-        worker.refuses = false;
+        assertTrue(leader.lastReport().refused());
+        worker.refusesFence = false;
         leader.generation = LeaseGeneration.of(2);
         loop.advance(1500);
-        assertFalse(leader.last().refused());
-        assertTrue(leader.last().workers().get(0).reachable());
+        assertFalse(leader.lastReport().refused());
+        assertTrue(leader.lastReport().workers().get(0).reachable());
     }
 
     @Test
--- a/src/test/java/org/standlink/runner/TestEvacuatedHall.java
+++ b/src/test/java/org/standlink/runner/TestEvacuatedHall.java
@@ -38,53 +38,60 @@
 import org.standlink.wire.StartRefusal;
 
 /**
- * Tests that an agent starts nothing in an evacuated hall, whoever ordered it, and that what runs
- * there goes on.
+ * Tests that an agent starts nothing in an evacuated hall, whichever leader ordered it, and that
+ * runs that are running there continue.
  *
- * <p>Seen: 842 tasks were started in two halls after the operator had evacuated them. The leader
- * may have read less than the agent, so the agent's last step decides.
+ * <p>Guards against starts in halls that the operator has evacuated (842 tasks were once started in
+ * two such halls): the leader may have read less of the operator's commands than the agent, so the
+ * agent has to check before each start.
  */
 public class TestEvacuatedHall {
 
-    private static final EvacuatedHalls HERE =
+    private static final EvacuatedHalls WORKER_HALL =
             EvacuatedHalls.of(List.of(RunnerFixtures.WORKER.hall()));
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final Fence fence = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
-    private final Script worker = new Script();
+    private final ScriptedWorker worker = new ScriptedWorker();
     private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
     private WorkerSupervisor supervisor;
 
-    /** A worker that answers as the test says. */
-    private final class Script implements WorkerClient {
+    /** A worker that answers as set by the test. */
+    private final class ScriptedWorker implements WorkerClient {
 
-        private final List<String> seen = new ArrayList<>();
-        private CallResult.Kind starts = CallResult.Kind.DONE;
+        private final List<String> calls = new ArrayList<>();
+        private CallResult.Kind startResult = CallResult.Kind.DONE;
         private List<RunProgress> running = List.of();
         private int renewals;
 
         private CompletableFuture<CallResult> answer(CallResult.Kind kind) {
-            long told = kind == CallResult.Kind.UNKNOWN ? CallResult.NO_CLOCK : clock.nowMillis();
-            return RunnerFixtures.completeLater(loop, 10, new CallResult(kind, told, "scripted"));
+            long clockMillis =
+                    kind == CallResult.Kind.UNKNOWN ? CallResult.NO_CLOCK : clock.nowMillis();
+            return RunnerFixtures.completeLater(
+                    loop, 10, new CallResult(kind, clockMillis, "scripted"));
         }
 
         @Override
         public CompletableFuture<CallResult> start(
-                WorkerDescription to, StartOrder order, long until, Fence under) {
-            seen.add("start");
-            return answer(starts);
+                WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
+            calls.add("start");
+            return answer(startResult);
         }
 
         @Override
-        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence under) {
-            seen.add("stop");
+        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
+            calls.add("stop");
             return answer(CallResult.Kind.DONE);
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
             renewals++;
             CallResult done = new CallResult(CallResult.Kind.DONE, clock.nowMillis(), "");
             return RunnerFixtures.completeLater(
@@ -93,7 +100,7 @@
 
         @Override
         public CompletableFuture<CallResult> throttle(
-                WorkerDescription to, RunId run, int percent, Fence under) {
+                WorkerDescription to, RunId run, int percent, Fence fence) {
             return answer(CallResult.Kind.DONE);
         }
     }
@@ -128,10 +135,10 @@
 
     @Test
     public void aStartIsRefusedWithoutACallAndItsWorkerAvoidedForAWhile() {
-        evacuated = HERE;
+        evacuated = WORKER_HALL;
         order();
         loop.advance(1000);
-        assertEquals(List.of(), worker.seen);
+        assertEquals(List.of(), worker.calls);
         List<StartRefusal> refused = supervisor.createReport().refused();
         assertEquals(RunnerFixtures.RUN, refused.get(0).run());
         assertTrue(refused.get(0).unwell());
@@ -139,14 +146,14 @@
 
     @Test
     public void aStartWithoutAnAnswerIsNotRepeatedButStopped() {
-        worker.starts = CallResult.Kind.UNKNOWN;
+        worker.startResult = CallResult.Kind.UNKNOWN;
         order();
         loop.advance(50);
-        evacuated = HERE;
+        evacuated = WORKER_HALL;
         loop.advance(3000);
-        assertEquals("start", worker.seen.get(0));
-        assertEquals("stop", worker.seen.get(1));
-        assertEquals(1, worker.seen.stream().filter("start"::equals).count());
+        assertEquals("start", worker.calls.get(0));
+        assertEquals("stop", worker.calls.get(1));
+        assertEquals(1, worker.calls.stream().filter("start"::equals).count());
         assertEquals(List.of(RunnerFixtures.RUN), supervisor.createReport().gone());
     }
 
@@ -156,22 +163,22 @@
         loop.advance(50);
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 10, 0));
         loop.advance(1000);
-        evacuated = HERE;
+        evacuated = WORKER_HALL;
         supervisor.fenceRaised();
         int before = worker.renewals;
         order();
         loop.advance(3000);
-        assertEquals(List.of("start"), worker.seen);
+        assertEquals(List.of("start"), worker.calls);
         assertTrue(worker.renewals > before);
         assertEquals(List.of(), supervisor.createReport().refused());
     }
 
     @Test
     public void aHallThatIsNoLongerEvacuatedIsUsedAtOnce() {
-        evacuated = HERE;
+        evacuated = WORKER_HALL;
         evacuated = EvacuatedHalls.NONE;
         order();
         loop.advance(50);
-        assertEquals(List.of("start"), worker.seen);
+        assertEquals(List.of("start"), worker.calls);
     }
 }
--- a/src/test/java/org/standlink/runner/TestRunListTracker.java
+++ b/src/test/java/org/standlink/runner/TestRunListTracker.java
@@ -27,19 +27,19 @@
 import org.standlink.job.TaskName;
 
 /**
- * Tests which ends a worker is told to forget.
+ * Tests which ends are acknowledged to a worker.
  *
- * <p>Seen: a task began once more after it had ended (simulated day with kept ids, seed 877). How
- * it came about: a renewal was not answered, the worker crashed, and its next incarnation took the
- * renewal late; it forgot an end of its own that nobody had heard of, since that had a number up to
- * the one recorded before. Cause: each renewal named the last recorded end, though the worker had
- * forgotten it long before.
+ * <p>Guards against a task that runs again after it has ended (seen in a simulated day with kept
+ * ids, seed 877). A renewal was not answered, the worker crashed, and its next incarnation received
+ * the renewal late. It then discarded an unreported end of its own, because each renewal named the
+ * last recorded end, also after the worker had discarded it, and the new end had a number up to
+ * that one.
  */
 public class TestRunListTracker {
 
     private final RunListTracker lists = new RunListTracker();
 
-    private void list(int... ends) {
+    private void reportEnds(int... ends) {
         List<RunEnd> ended = Arrays.stream(ends).mapToObj(TestRunListTracker::end).toList();
         CallResult done = new CallResult(CallResult.Kind.DONE, 1, "");
         lists.update(
@@ -53,21 +53,21 @@
 
     @Test
     public void recordedEndsAreAcknowledgedWhileTheWorkerListsThem() {
-        list(1, 2);
+        reportEnds(1, 2);
         assertEquals(0, lists.getEndToAcknowledge());
         lists.advanceRecordedEnd(2);
         assertEquals(2, lists.getEndToAcknowledge());
-        list(1, 2, 3);
+        reportEnds(1, 2, 3);
         assertEquals(2, lists.getEndToAcknowledge());
     }
 
     @Test
     public void endsThatAreNoLongerListedAreNotAcknowledgedAgain() {
-        list(1, 2);
+        reportEnds(1, 2);
         lists.advanceRecordedEnd(2);
-        list();
+        reportEnds();
         assertEquals(0, lists.getEndToAcknowledge());
-        list(3);
+        reportEnds(3);
         assertEquals(0, lists.getEndToAcknowledge());
         lists.advanceRecordedEnd(3);
         assertEquals(3, lists.getEndToAcknowledge());
--- a/src/test/java/org/standlink/runner/TestStaleAnswers.java
+++ b/src/test/java/org/standlink/runner/TestStaleAnswers.java
@@ -34,61 +34,66 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * Tests that an agent gives a run back only on what the worker said after it was asked last.
+ * Tests that an agent reports a run as refused or gone only because of an answer to its latest
+ * request.
  *
- * <p>A run that is reported as refused or gone begins elsewhere at once, under the next number. So
- * neither a list from before the worker turned the start away nor a refusal that a start still
- * under way may outlive is a reason to report it.
+ * <p>A run that is reported as refused or gone is started elsewhere at once, under the next number.
+ * So neither a list from before the worker rejected the start, nor a refusal while another start
+ * may still be in progress, is a reason to report it.
  */
 public class TestStaleAnswers {
 
-    private static final long CALL_MILLIS = 500;
+    private static final long CALL_TIMEOUT_MILLIS = 500;
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final Script worker = new Script();
+    private final ScriptedWorker worker = new ScriptedWorker();
     private Fence fence = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
     private WorkerSupervisor supervisor;
 
-    /** A worker that answers as the test says. */
-    private final class Script implements WorkerClient {
+    /** A worker that answers as set by the test. */
+    private final class ScriptedWorker implements WorkerClient {
 
-        private CallResult.Kind starts = CallResult.Kind.DONE;
-        private CallResult.Kind renewals = CallResult.Kind.DONE;
+        private CallResult.Kind startResult = CallResult.Kind.DONE;
+        private CallResult.Kind renewalResult = CallResult.Kind.DONE;
         private List<RunProgress> running = List.of();
 
         private CallResult result(CallResult.Kind kind) {
-            boolean heard = kind != CallResult.Kind.UNKNOWN;
-            return new CallResult(kind, heard ? clock.nowMillis() : -1, "scripted");
+            boolean answered = kind != CallResult.Kind.UNKNOWN;
+            return new CallResult(kind, answered ? clock.nowMillis() : -1, "scripted");
         }
 
         private static long delay(CallResult.Kind kind, long waitMillis) {
-            return kind == CallResult.Kind.UNKNOWN ? CALL_MILLIS + waitMillis : 10;
+            return kind == CallResult.Kind.UNKNOWN ? CALL_TIMEOUT_MILLIS + waitMillis : 10;
         }
 
         @Override
         public CompletableFuture<CallResult> start(
-                WorkerDescription to, StartOrder order, long until, Fence under) {
-            return RunnerFixtures.completeLater(loop, delay(starts, 0), result(starts));
+                WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
+            return RunnerFixtures.completeLater(loop, delay(startResult, 0), result(startResult));
         }
 
         @Override
-        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence under) {
+        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
             return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
             return RunnerFixtures.completeLater(
                     loop,
-                    Math.max(delay(renewals, waitMillis), waitMillis),
-                    new RenewalResult(result(renewals), to.incarnation(), running, List.of()));
+                    Math.max(delay(renewalResult, waitMillis), waitMillis),
+                    new RenewalResult(result(renewalResult), to.incarnation(), running, List.of()));
         }
 
         @Override
         public CompletableFuture<CallResult> throttle(
-                WorkerDescription to, RunId run, int percent, Fence under) {
+                WorkerDescription to, RunId run, int percent, Fence fence) {
             return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
@@ -124,27 +129,27 @@
 
     @Test
     public void anEarlierListDoesNotMakeAnEndedRunReportedAsGone() {
-        // The start is done, but its answer is lost, as are those to the next looks at the worker.
-        worker.starts = CallResult.Kind.UNKNOWN;
-        worker.renewals = CallResult.Kind.UNKNOWN;
+        // The start is carried out, but its answer is lost, as are those to the next renewals.
+        worker.startResult = CallResult.Kind.UNKNOWN;
+        worker.renewalResult = CallResult.Kind.UNKNOWN;
         order();
-        loop.advance(CALL_MILLIS);
-        // The run has ended meanwhile, so that the worker turns the start away as an old one.
-        worker.starts = CallResult.Kind.SUPERSEDED;
+        loop.advance(CALL_TIMEOUT_MILLIS);
+        // The run has ended meanwhile, so the worker rejects the start as superseded.
+        worker.startResult = CallResult.Kind.SUPERSEDED;
         loop.advance(800);
         assertEquals(List.of(), supervisor.createReport().gone());
     }
 
     @Test
     public void aRefusalIsNotReportedWhileAStartUnderAnOlderFenceMayBeInProgress() {
-        worker.starts = CallResult.Kind.UNKNOWN;
+        worker.startResult = CallResult.Kind.UNKNOWN;
         order();
-        loop.advance(CALL_MILLIS + 20);
-        // Given anew under the next fence; the worker is unwell and has taken note of no call.
+        loop.advance(CALL_TIMEOUT_MILLIS + 20);
+        // Repeated under the next fence; the worker is unhealthy and has carried out no call.
         fence = Fence.of(fence.getEpoch(), fence.getGeneration().next());
         supervisor.fenceRaised();
-        worker.starts = CallResult.Kind.UNWELL;
-        worker.renewals = CallResult.Kind.UNWELL;
+        worker.startResult = CallResult.Kind.UNWELL;
+        worker.renewalResult = CallResult.Kind.UNWELL;
         order();
         loop.advance(50);
         assertEquals(List.of(), supervisor.createReport().refused());
@@ -154,7 +159,7 @@
     public void aRunOfAnEarlierAgentProcessIsNotReportedAsRefusedByAnUnhealthyWorker() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 10, 0));
         loop.advance(1000);
-        worker.starts = CallResult.Kind.UNWELL;
+        worker.startResult = CallResult.Kind.UNWELL;
         order();
         loop.advance(50);
         assertEquals(List.of(), supervisor.createReport().refused());
--- a/src/test/java/org/standlink/runner/TestSupersededOrders.java
+++ b/src/test/java/org/standlink/runner/TestSupersededOrders.java
@@ -37,56 +37,60 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Tests that an agent starts nothing that its leader has given up.
+ * Tests that an agent does not start runs that its leader has abandoned.
  *
- * <p>A leader gives runs up when a lease is over in its book, or when an agent reports that a
- * worker has lapsed. Whatever the agent still has to start, or has under way, must not begin
- * afterwards: it would be at work beside the run that has taken its place.
+ * <p>A leader abandons runs when a lease has expired by its own records, or when an agent reports
+ * that the lease of a worker has lapsed. Starts that the agent has deferred or has in progress must
+ * not take effect afterwards: such a run would run beside the one that replaces it.
  */
 public class TestSupersededOrders {
 
     private static final long LEASE_MILLIS = 6000;
-    private static final long SLOW_MILLIS = 450;
+    private static final long SLOW_ANSWER_MILLIS = 450;
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final Script worker = new Script();
+    private final ScriptedWorker worker = new ScriptedWorker();
     private Fence fence = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
     private boolean leased = true;
     private WorkerSupervisor supervisor;
 
-    /** A worker that answers as the test says. */
-    private final class Script implements WorkerClient {
+    /** A worker that answers as set by the test. */
+    private final class ScriptedWorker implements WorkerClient {
 
-        private CallResult.Kind starts = CallResult.Kind.DONE;
-        private long startMillis = 10;
-        private boolean silent;
-        private final List<String> seen = new ArrayList<>();
-        private final List<Long> prolonged = new ArrayList<>();
+        private CallResult.Kind startResult = CallResult.Kind.DONE;
+        private long startDelayMillis = 10;
+        private boolean unresponsive;
+        private final List<String> calls = new ArrayList<>();
+        private final List<Long> leaseEnds = new ArrayList<>();
 
         private CallResult result(CallResult.Kind kind) {
-            CallResult.Kind told = silent ? CallResult.Kind.UNKNOWN : kind;
-            long clockMillis = told == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
-            return new CallResult(told, clockMillis, "scripted");
+            CallResult.Kind answered = unresponsive ? CallResult.Kind.UNKNOWN : kind;
+            long clockMillis = answered == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
+            return new CallResult(answered, clockMillis, "scripted");
         }
 
         @Override
         public CompletableFuture<CallResult> start(
-                WorkerDescription to, StartOrder order, long until, Fence under) {
-            seen.add("start under " + under);
-            return RunnerFixtures.completeLater(loop, startMillis, result(starts));
+                WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
+            calls.add("start under " + fence);
+            return RunnerFixtures.completeLater(loop, startDelayMillis, result(startResult));
         }
 
         @Override
-        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence under) {
-            seen.add("stop under " + under);
+        public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
+            calls.add("stop under " + fence);
             return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence under, long recorded, long waitMillis) {
-            prolonged.add(until);
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
+            leaseEnds.add(leaseUntil);
             return RunnerFixtures.completeLater(
                     loop,
                     10,
@@ -96,7 +100,7 @@
 
         @Override
         public CompletableFuture<CallResult> throttle(
-                WorkerDescription to, RunId run, int percent, Fence under) {
+                WorkerDescription to, RunId run, int percent, Fence fence) {
             return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
@@ -141,7 +145,7 @@
     }
 
     private void lapse() {
-        worker.silent = true;
+        worker.unresponsive = true;
         loop.advance(LEASE_MILLIS + 1500);
         assertTrue(report().lapsed());
     }
@@ -155,7 +159,7 @@
         raiseFence();
         leased = true;
         loop.advance(2000);
-        assertEquals(List.of(), worker.seen);
+        assertEquals(List.of(), worker.calls);
     }
 
     @Test
@@ -165,7 +169,7 @@
         loop.advance(1000);
         leased = true;
         loop.advance(2000);
-        assertEquals(List.of("start under 1.1"), worker.seen);
+        assertEquals(List.of("start under 1.1"), worker.calls);
     }
 
     @Test
@@ -176,28 +180,28 @@
         order();
         leased = true;
         loop.advance(2000);
-        assertEquals(List.of("start under 1.2"), worker.seen);
+        assertEquals(List.of("start under 1.2"), worker.calls);
     }
 
     @Test
     public void theAnswerToASupersededCallDoesNotAffectTheRepeatedOrder() {
-        worker.starts = CallResult.Kind.NO_ROOM;
-        worker.startMillis = SLOW_MILLIS;
+        worker.startResult = CallResult.Kind.NO_ROOM;
+        worker.startDelayMillis = SLOW_ANSWER_MILLIS;
         order();
         loop.advance(100);
         raiseFence();
-        worker.starts = CallResult.Kind.DONE;
-        worker.startMillis = 10;
+        worker.startResult = CallResult.Kind.DONE;
+        worker.startDelayMillis = 10;
         order();
         loop.advance(2000);
-        assertEquals(List.of("start under 1.1", "start under 1.2"), worker.seen);
+        assertEquals(List.of("start under 1.1", "start under 1.2"), worker.calls);
         assertEquals(List.of(), report().refused());
     }
 
     @Test
     public void aFencedSupersededCallDoesNotCancelTheRepeatedOrder() {
-        worker.starts = CallResult.Kind.FENCED;
-        worker.startMillis = SLOW_MILLIS;
+        worker.startResult = CallResult.Kind.FENCED;
+        worker.startDelayMillis = SLOW_ANSWER_MILLIS;
         order();
         loop.advance(100);
         fence = Fence.of(Epoch.of(2), LeaseGeneration.of(1));
@@ -205,70 +209,70 @@
         leased = false;
         order();
         loop.advance(1000);
-        worker.starts = CallResult.Kind.DONE;
+        worker.startResult = CallResult.Kind.DONE;
         leased = true;
         loop.advance(1000);
-        assertEquals(List.of("start under 1.1", "start under 2.1"), worker.seen);
+        assertEquals(List.of("start under 1.1", "start under 2.1"), worker.calls);
     }
 
     @Test
     public void aRunWhoseRefusalIsNotYetReportedIsNotStartedAgain() {
-        worker.starts = CallResult.Kind.NO_ROOM;
+        worker.startResult = CallResult.Kind.NO_ROOM;
         order();
         loop.advance(100);
-        worker.starts = CallResult.Kind.DONE;
+        worker.startResult = CallResult.Kind.DONE;
         order();
         loop.advance(2000);
-        assertEquals(1, worker.seen.size(), () -> worker.seen.toString());
+        assertEquals(1, worker.calls.size(), () -> worker.calls.toString());
         assertEquals(RunnerFixtures.RUN, report().refused().get(0).run());
     }
 
     // -----------------------------------------------------------------------
     @Test
     public void waitingStartsAreDroppedOnceTheWorkerIsReportedAsLapsed() {
-        worker.silent = true;
+        worker.unresponsive = true;
         loop.advance(600);
         order();
         lapse();
-        // The answer to the report is lost, and the worker is back.
-        worker.silent = false;
+        // The answer to the report is lost, and the worker answers again.
+        worker.unresponsive = false;
         loop.advance(2000);
-        assertEquals(List.of(), worker.seen);
-        assertTrue(report().lapsed(), "the leader may not have heard it");
+        assertEquals(List.of(), worker.calls);
+        assertTrue(report().lapsed(), "the leader may not have received it");
         supervisor.reportAcknowledged(report());
         assertFalse(report().lapsed());
         order();
         loop.advance(100);
-        assertEquals(List.of("start under 1.1"), worker.seen);
+        assertEquals(List.of("start under 1.1"), worker.calls);
     }
 
     @Test
     public void anOrderThatCrossesTheReportOfALapseIsReportedAsGone() {
         lapse();
-        worker.silent = false;
+        worker.unresponsive = false;
         loop.advance(1000);
         order();
         loop.advance(1000);
-        assertEquals(List.of(), worker.seen);
+        assertEquals(List.of(), worker.calls);
         assertEquals(List.of(RunnerFixtures.RUN), report().gone());
     }
 
     @Test
     public void noLeaseIsExtendedWhileALapseIsUnacknowledged() {
         lapse();
-        worker.silent = false;
-        worker.prolonged.clear();
+        worker.unresponsive = false;
+        worker.leaseEnds.clear();
         loop.advance(1000);
-        assertTrue(worker.prolonged.stream().allMatch(until -> until < 0));
+        assertTrue(worker.leaseEnds.stream().allMatch(leaseUntil -> leaseUntil < 0));
         supervisor.reportAcknowledged(report());
         loop.advance(1000);
-        assertTrue(worker.prolonged.stream().anyMatch(until -> until > 0));
+        assertTrue(worker.leaseEnds.stream().anyMatch(leaseUntil -> leaseUntil > 0));
     }
 
     @Test
     public void aWorkerThatAnsweredOnceMayHoldRunsOfAnEarlierAgentProcess() {
         leased = false;
-        WorkerSupervisor restarted =
+        WorkerSupervisor newSupervisor =
                 new WorkerSupervisor(
                         RunnerFixtures.WORKER,
                         worker,
@@ -279,13 +283,13 @@
                         () -> {},
                         RunnerFixtures.NO_OP_LISTENER,
                         new InterferenceTable());
-        restarted.start();
+        newSupervisor.start();
         loop.advance(100);
-        worker.silent = true;
+        worker.unresponsive = true;
         loop.advance(LEASE_MILLIS - 500);
-        assertFalse(restarted.createReport().reachable());
-        assertFalse(restarted.createReport().lapsed());
+        assertFalse(newSupervisor.createReport().reachable());
+        assertFalse(newSupervisor.createReport().lapsed());
         loop.advance(1500);
-        assertTrue(restarted.createReport().lapsed());
+        assertTrue(newSupervisor.createReport().lapsed());
     }
 }
--- a/src/test/java/org/standlink/runner/TestThrottlePolicy.java
+++ b/src/test/java/org/standlink/runner/TestThrottlePolicy.java
@@ -26,146 +26,150 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.policy.InterferenceTable;
 
-/** Tests that serving tails are protected with as little pacing as that takes. */
+/** Tests that serving tail latencies are protected with as little throttling as possible. */
 public class TestThrottlePolicy {
 
-    private final InterferenceTable harm = new InterferenceTable();
-    private final ThrottlePolicy throttling = new ThrottlePolicy(harm);
+    private final InterferenceTable interference = new InterferenceTable();
+    private final ThrottlePolicy policy = new ThrottlePolicy(interference);
 
     private long now = 1_000_000;
 
-    private void believe(String serving, String bestEffort, double belief) {
-        harm.putAll(List.of(new InterferenceTable.Entry(serving, bestEffort, belief)));
+    private void setEstimate(String serving, String bestEffort, double estimate) {
+        interference.putAll(List.of(new InterferenceTable.Entry(serving, bestEffort, estimate)));
     }
 
     @Test
     public void onlySuspectedImagesAreThrottled() {
-        believe("s", "good", 0.05);
-        believe("s", "bad", 0.9);
-        throttling.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
-        throttling.updateShares(Map.of("s", 2.0), Set.of("good", "bad"), now += 400);
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
-        assertTrue(throttling.getShare("bad") < 20);
+        setEstimate("s", "good", 0.05);
+        setEstimate("s", "bad", 0.9);
+        policy.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
+        policy.updateShares(Map.of("s", 2.0), Set.of("good", "bad"), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("good"));
+        assertTrue(policy.getShare("bad") < 20);
     }
 
-    /** A worker on which the tail grows with the share, and whose figures cover 500 ms. */
-    private double[] play(double own, double slope, int rounds) {
-        Deque<Double> covered = new ArrayDeque<>(List.of(own, own));
-        double over = 0;
+    /**
+     * Simulates a worker on which the tail ratio grows with the share, and whose measurements cover
+     * 500 ms.
+     */
+    private double[] simulate(double ownTail, double slope, int rounds) {
+        Deque<Double> window = new ArrayDeque<>(List.of(ownTail, ownTail));
+        double exceeded = 0;
         double shares = 0;
         for (int i = 0; i < rounds; i++) {
-            double tail = own + slope * throttling.getShare("f") / 100;
-            covered.addLast(tail);
-            covered.removeFirst();
-            double figure = (covered.getFirst() + covered.getLast()) / 2;
-            throttling.updateShares(Map.of("s", figure), Set.of("f"), now += 350);
-            over += tail > 1 ? 1 : 0;
-            shares += throttling.getShare("f");
+            double tail = ownTail + slope * policy.getShare("f") / 100;
+            window.addLast(tail);
+            window.removeFirst();
+            double measured = (window.getFirst() + window.getLast()) / 2;
+            policy.updateShares(Map.of("s", measured), Set.of("f"), now += 350);
+            exceeded += tail > 1 ? 1 : 0;
+            shares += policy.getShare("f");
         }
-        return new double[] {over / rounds, shares / rounds};
+        return new double[] {exceeded / rounds, shares / rounds};
     }
 
     @Test
     public void sharesStayNearTheMaximumThatTheTailLatencyAllows() {
         for (double slope : new double[] {0.6, 1.0, 2.0, 4.0}) {
-            for (double own : new double[] {0.3, 0.4, 0.5}) {
-                believe("s", "f", 0.9);
-                throttling.updateShares(Map.of(), Set.of(), now += 350);
-                double[] seen = play(own, slope, 60);
-                double ideal = 100 * Math.min(1, (0.8 - own) / slope);
-                String where = own + " " + slope + " over " + seen[0] + " share " + seen[1];
-                assertTrue(seen[0] <= 0.05, where);
-                assertTrue(seen[1] >= 0.75 * ideal, where + " of " + ideal);
+            for (double ownTail : new double[] {0.3, 0.4, 0.5}) {
+                setEstimate("s", "f", 0.9);
+                policy.updateShares(Map.of(), Set.of(), now += 350);
+                double[] result = simulate(ownTail, slope, 60);
+                double ideal = 100 * Math.min(1, (0.8 - ownTail) / slope);
+                String message =
+                        ownTail + " " + slope + " over " + result[0] + " share " + result[1];
+                assertTrue(result[0] <= 0.05, message);
+                assertTrue(result[1] >= 0.75 * ideal, message + " of " + ideal);
             }
         }
     }
 
     @Test
     public void oneHighTailLatencyLowersAShareOnce() {
-        believe("s", "f", 0.05);
-        throttling.updateShares(Map.of("s", 0.5), Set.of("f"), now += 350);
-        throttling.updateShares(Map.of("s", 1.2), Set.of("f"), now += 350);
-        assertEquals(50, throttling.getShare("f"));
-        throttling.updateShares(Map.of("s", 1.1), Set.of("f"), now += 350);
-        assertEquals(50, throttling.getShare("f"));
+        setEstimate("s", "f", 0.05);
+        policy.updateShares(Map.of("s", 0.5), Set.of("f"), now += 350);
+        policy.updateShares(Map.of("s", 1.2), Set.of("f"), now += 350);
+        assertEquals(50, policy.getShare("f"));
+        policy.updateShares(Map.of("s", 1.1), Set.of("f"), now += 350);
+        assertEquals(50, policy.getShare("f"));
     }
 
     @Test
     public void allImagesAreThrottledWhenNoneIsSuspected() {
-        believe("s", "one", 0.05);
-        believe("s", "two", 0.05);
-        throttling.updateShares(Map.of("s", 0.5), Set.of("one", "two"), now += 400);
-        throttling.updateShares(Map.of("s", 2.0), Set.of("one", "two"), now += 400);
-        assertEquals(30, throttling.getShare("one"));
-        assertEquals(30, throttling.getShare("two"));
+        setEstimate("s", "one", 0.05);
+        setEstimate("s", "two", 0.05);
+        policy.updateShares(Map.of("s", 0.5), Set.of("one", "two"), now += 400);
+        policy.updateShares(Map.of("s", 2.0), Set.of("one", "two"), now += 400);
+        assertEquals(30, policy.getShare("one"));
+        assertEquals(30, policy.getShare("two"));
     }
 
     @Test
     public void sharesRecoverOnceTheTailLatencyIsLow() {
-        believe("s", "f", 0.05);
+        setEstimate("s", "f", 0.05);
         for (int i = 0; i < 3; i++) {
-            throttling.updateShares(Map.of("s", 9.0), Set.of("f"), now += 400);
+            policy.updateShares(Map.of("s", 9.0), Set.of("f"), now += 400);
         }
-        assertEquals(9, throttling.getShare("f"));
+        assertEquals(9, policy.getShare("f"));
         for (int i = 0; i < 20; i++) {
-            throttling.updateShares(Map.of("s", 0.3), Set.of("f"), now += 400);
+            policy.updateShares(Map.of("s", 0.3), Set.of("f"), now += 400);
         }
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("f"));
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("f"));
     }
 
     @Test
     public void allImagesArePausedWhileATailLatencyStaysOverItsTarget() {
-        believe("s", "good", 0.05);
-        believe("s", "bad", 0.9);
+        setEstimate("s", "good", 0.05);
+        setEstimate("s", "bad", 0.9);
         for (int i = 0; i < 4; i++) {
-            throttling.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
+            policy.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
         }
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
-        assertEquals(0, throttling.getShare("bad"));
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("good"));
+        assertEquals(0, policy.getShare("bad"));
         for (int i = 0; i < 3; i++) {
-            throttling.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
+            policy.updateShares(Map.of("s", 1.1), Set.of("good", "bad"), now += 400);
         }
-        assertEquals(0, throttling.getShare("good"));
-        assertEquals(0, throttling.getShare("bad"));
-        throttling.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
-        assertTrue(throttling.getShare("good") > 0);
+        assertEquals(0, policy.getShare("good"));
+        assertEquals(0, policy.getShare("bad"));
+        policy.updateShares(Map.of("s", 0.5), Set.of("good", "bad"), now += 400);
+        assertTrue(policy.getShare("good") > 0);
     }
 
     @Test
     public void nothingIsThrottledWithoutServingRuns() {
-        throttling.updateShares(Map.of(), Set.of("f"), now += 400);
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("f"));
+        policy.updateShares(Map.of(), Set.of("f"), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("f"));
     }
 
     @Test
     public void anUnknownImageStartsWithHalf() {
-        believe("s", "good", 0.05);
-        believe("s", "bad", 0.9);
-        throttling.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
-        assertEquals(50, throttling.getShare("unknown"));
-        assertEquals(15, throttling.getShare("bad"));
+        setEstimate("s", "good", 0.05);
+        setEstimate("s", "bad", 0.9);
+        policy.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("good"));
+        assertEquals(50, policy.getShare("unknown"));
+        assertEquals(15, policy.getShare("bad"));
     }
 
     @Test
     public void anImageThatReturnsStartsWithItsInitialShare() {
-        believe("s", "good", 0.05);
+        setEstimate("s", "good", 0.05);
         for (int i = 0; i < 3; i++) {
-            throttling.updateShares(Map.of("s", 9.0), Set.of("good"), now += 400);
+            policy.updateShares(Map.of("s", 9.0), Set.of("good"), now += 400);
         }
-        throttling.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
-        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, throttling.getShare("good"));
+        policy.updateShares(Map.of("s", 0.8), Set.of(), now += 400);
+        assertEquals(ThrottlePolicy.FULL_SHARE_PERCENT, policy.getShare("good"));
     }
 
     @Test
     public void aSmallShareGrowsWhileTheTailLatencyHasAnotherCause() {
-        believe("s", "bad", 0.9);
-        throttling.updateShares(Map.of("s", 1.95), Set.of("bad"), now += 400);
-        assertEquals(5, throttling.getShare("bad"));
+        setEstimate("s", "bad", 0.9);
+        policy.updateShares(Map.of("s", 1.95), Set.of("bad"), now += 400);
+        assertEquals(5, policy.getShare("bad"));
         for (int i = 0; i < 30; i++) {
-            throttling.updateShares(Map.of("s", 0.8), Set.of("bad"), now += 400);
+            policy.updateShares(Map.of("s", 0.8), Set.of("bad"), now += 400);
         }
-        assertTrue(throttling.getShare("bad") >= 30);
-        assertTrue(throttling.getShare("bad") < 40);
+        assertTrue(policy.getShare("bad") >= 30);
+        assertTrue(policy.getShare("bad") < 40);
     }
 }
--- a/src/test/java/org/standlink/runner/TestUnenforcedCapacity.java
+++ b/src/test/java/org/standlink/runner/TestUnenforcedCapacity.java
@@ -48,44 +48,45 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Plays an agent beside a worker that does not guard its room, leaves calls unanswered and carries
- * them out late, and a leader that gives room again only as the agent's reports allow.
+ * Simulates an agent beside a worker that does not enforce its capacity, leaves calls unanswered
+ * and carries them out late, and a leader that assigns capacity again only as the agent's reports
+ * allow.
  */
 public class TestUnenforcedCapacity {
 
-    private static final int ROOM = 3;
+    private static final int CAPACITY = 3;
     private static final int TASKS = 8;
-    private static final long DAY_MILLIS = 25_000;
-    private static final long LEADER_MILLIS = 50;
+    private static final long DURATION_MILLIS = 25_000;
+    private static final long LEADER_INTERVAL_MILLIS = 50;
     private static final long LEASE_MILLIS = 6000;
     private static final Fence FENCE = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
-    private static final WorkerIncarnation ID = WorkerIncarnation.parse("i-1@1000");
+    private static final WorkerIncarnation INCARNATION = WorkerIncarnation.parse("i-1@1000");
     private static final WorkerDescription WORKER =
             new WorkerDescription(
-                    ID,
+                    INCARNATION,
                     "s",
                     "10.0.0.1:1",
-                    new Resources(ROOM, ROOM, 0),
+                    new Resources(CAPACITY, CAPACITY, 0),
                     HallId.parse("h"),
                     List.of(),
                     false,
                     0);
 
-    /** One day with one seed. */
-    private static final class Day {
+    /** One simulated scenario with one seed. */
+    private static final class Scenario {
 
         private final Random random;
         private final FakeClock clock = new FakeClock();
         private final FakeLoop loop = new FakeLoop(clock);
-        private final LateWorker worker = new LateWorker();
+        private final DelayedWorker worker = new DelayedWorker();
         private final WorkerSupervisor supervisor;
-        private final Map<TaskName, RunId> taken = new LinkedHashMap<>();
+        private final Map<TaskName, RunId> assigned = new LinkedHashMap<>();
         private final Map<TaskName, Integer> lastRun = new HashMap<>();
         private final List<String> violations = new ArrayList<>();
-        private long handledEnd;
-        private int started;
+        private long lastHandledEnd;
+        private int startCount;
 
-        Day(long seed) {
+        Scenario(long seed) {
             random = new Random(seed);
             supervisor =
                     new WorkerSupervisor(
@@ -100,155 +101,172 @@
                             new InterferenceTable());
         }
 
-        void play() {
+        void run() {
             supervisor.start();
             loop.scheduleWithFixedDelay(
-                    this::lead, LEADER_MILLIS, LEADER_MILLIS, TimeUnit.MILLISECONDS);
-            loop.advance(DAY_MILLIS);
+                    this::runLeader,
+                    LEADER_INTERVAL_MILLIS,
+                    LEADER_INTERVAL_MILLIS,
+                    TimeUnit.MILLISECONDS);
+            loop.advance(DURATION_MILLIS);
         }
 
-        /** Frees what the report says is over, and gives what is free to the next task. */
-        private void lead() {
+        /**
+         * Releases the runs that the report shows as ended, and assigns free capacity to the next
+         * tasks.
+         */
+        private void runLeader() {
             WorkerReport report = supervisor.createReport();
             for (RunEnd end : report.ended()) {
-                if (end.number() > handledEnd) {
-                    handledEnd = end.number();
-                    free(end.run());
+                if (end.number() > lastHandledEnd) {
+                    lastHandledEnd = end.number();
+                    release(end.run());
                 }
             }
-            report.refused().stream().map(StartRefusal::run).forEach(this::free);
-            report.gone().forEach(this::free);
+            report.refused().stream().map(StartRefusal::run).forEach(this::release);
+            report.gone().forEach(this::release);
             if (report.lapsed()) {
-                taken.clear();
+                assigned.clear();
             }
             supervisor.reportAcknowledged(report);
             List<StartOrder> starts = new ArrayList<>();
-            while (report.reachable() && taken.size() < ROOM) {
-                starts.add(next());
+            while (report.reachable() && assigned.size() < CAPACITY) {
+                starts.add(nextOrder());
             }
             List<RunId> stops = new ArrayList<>();
-            if (random.nextInt(10) == 0 && !taken.isEmpty()) {
-                stops.add(taken.values().iterator().next());
+            if (random.nextInt(10) == 0 && !assigned.isEmpty()) {
+                stops.add(assigned.values().iterator().next());
             }
             supervisor.applyOrders(
                     new RunOrders(
-                            Epoch.of(1), FENCE.getGeneration(), ID, starts, stops, handledEnd));
+                            Epoch.of(1),
+                            FENCE.getGeneration(),
+                            INCARNATION,
+                            starts,
+                            stops,
+                            lastHandledEnd));
         }
 
-        private void free(RunId run) {
-            taken.remove(run.task(), run);
+        private void release(RunId run) {
+            assigned.remove(run.task(), run);
         }
 
-        private StartOrder next() {
+        private StartOrder nextOrder() {
             TaskName task;
             do {
                 task = TaskName.parse("j.0.0." + random.nextInt(TASKS));
-            } while (taken.containsKey(task));
+            } while (assigned.containsKey(task));
             RunId run = new RunId(task, lastRun.merge(task, 1, Integer::sum));
-            taken.put(task, run);
+            assigned.put(task, run);
             return new StartOrder(run, "text", "", false, 0, "");
         }
 
-        /** The worker. */
-        private final class LateWorker implements WorkerClient {
+        /** A worker that may carry out calls late or not answer them. */
+        private final class DelayedWorker implements WorkerClient {
 
             private final Map<RunId, Long> running = new LinkedHashMap<>();
-            private final Map<TaskName, Integer> barred = new HashMap<>();
+            private final Map<TaskName, Integer> barredUpTo = new HashMap<>();
             private final List<RunEnd> ended = new ArrayList<>();
-            private long leaseUntil;
+            private long currentLeaseUntil;
 
             private CallResult result(CallResult.Kind kind) {
-                long told = kind == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
-                return new CallResult(kind, told, "scripted");
+                long clockMillis = kind == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
+                return new CallResult(kind, clockMillis, "scripted");
             }
 
-            /** Does a call now or late, or not at all, and answers it or not. */
-            private CompletableFuture<CallResult> call(Runnable effect) {
+            /** Carries out a call soon, late or not at all, with or without an answer. */
+            private CompletableFuture<CallResult> deliver(Runnable effect) {
                 CompletableFuture<CallResult> answer = new CompletableFuture<>();
-                int fate = random.nextInt(10);
+                int outcome = random.nextInt(10);
                 CallResult.Kind kind = CallResult.Kind.DONE;
                 long answerAfter = 10;
-                if (fate == 0) {
+                if (outcome == 0) {
                     kind = CallResult.Kind.UNWELL;
-                } else if (fate <= 3) {
+                } else if (outcome <= 3) {
                     kind = CallResult.Kind.UNKNOWN;
                     answerAfter = 500;
-                    long late = fate == 1 ? 5 : 2000 + random.nextInt(6000);
-                    loop.schedule(effect, late, TimeUnit.MILLISECONDS);
+                    long delay = outcome == 1 ? 5 : 2000 + random.nextInt(6000);
+                    loop.schedule(effect, delay, TimeUnit.MILLISECONDS);
                 } else {
                     loop.schedule(effect, 5, TimeUnit.MILLISECONDS);
                 }
-                CallResult told = result(kind);
+                CallResult result = result(kind);
                 loop.schedule(
                         () -> {
-                            answer.complete(told);
+                            answer.complete(result);
                         },
                         answerAfter,
                         TimeUnit.MILLISECONDS);
                 return answer;
             }
 
-            private void end(RunId run, RunEndKind kind) {
+            private void endRun(RunId run, RunEndKind kind) {
                 if (running.remove(run) != null) {
-                    barred.merge(run.task(), run.number(), Math::max);
+                    barredUpTo.merge(run.task(), run.number(), Math::max);
                     ended.add(new RunEnd(ended.size() + 1, run, kind, ""));
                 }
             }
 
-            private void begin(RunId run, long until) {
-                boolean late = until <= clock.nowMillis();
-                boolean old = run.number() <= barred.getOrDefault(run.task(), 0);
-                if (late || old || running.containsKey(run)) {
+            private void startRun(RunId run, long leaseUntil) {
+                boolean expired = leaseUntil <= clock.nowMillis();
+                boolean barred = run.number() <= barredUpTo.getOrDefault(run.task(), 0);
+                if (expired || barred || running.containsKey(run)) {
                     return;
                 }
-                leaseUntil = Math.max(leaseUntil, until);
-                boolean twice =
+                currentLeaseUntil = Math.max(currentLeaseUntil, leaseUntil);
+                boolean duplicate =
                         running.keySet().stream().anyMatch(r -> r.task().equals(run.task()));
                 running.put(run, clock.nowMillis());
-                started++;
-                if (twice || running.size() > ROOM) {
+                startCount++;
+                if (duplicate || running.size() > CAPACITY) {
                     violations.add(clock.nowMillis() + " " + run + " beside " + running.keySet());
                 }
                 loop.schedule(
-                        () -> end(run, RunEndKind.DONE),
+                        () -> endRun(run, RunEndKind.DONE),
                         300 + random.nextInt(3000),
                         TimeUnit.MILLISECONDS);
             }
 
             @Override
             public CompletableFuture<CallResult> start(
-                    WorkerDescription to, StartOrder order, long until, Fence fence) {
-                return call(() -> begin(order.run(), until));
+                    WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
+                return deliver(() -> startRun(order.run(), leaseUntil));
             }
 
             @Override
             public CompletableFuture<CallResult> stop(
                     WorkerDescription to, RunId run, Fence fence) {
-                return call(
+                return deliver(
                         () -> {
-                            barred.merge(run.task(), run.number(), Math::max);
+                            barredUpTo.merge(run.task(), run.number(), Math::max);
                             loop.schedule(
-                                    () -> end(run, RunEndKind.STOPPED), 200, TimeUnit.MILLISECONDS);
+                                    () -> endRun(run, RunEndKind.STOPPED),
+                                    200,
+                                    TimeUnit.MILLISECONDS);
                         });
             }
 
             @Override
             public CompletableFuture<RenewalResult> renew(
-                    WorkerDescription to, long until, Fence fence, long recorded, long waitMillis) {
-                if (clock.nowMillis() > leaseUntil) {
-                    List.copyOf(running.keySet()).forEach(run -> end(run, RunEndKind.LAPSED));
+                    WorkerDescription to,
+                    long leaseUntil,
+                    Fence fence,
+                    long recordedEnd,
+                    long waitMillis) {
+                if (clock.nowMillis() > currentLeaseUntil) {
+                    List.copyOf(running.keySet()).forEach(run -> endRun(run, RunEndKind.LAPSED));
                 }
-                leaseUntil = Math.max(leaseUntil, until);
+                currentLeaseUntil = Math.max(currentLeaseUntil, leaseUntil);
                 boolean answers = random.nextInt(20) > 0;
                 CompletableFuture<RenewalResult> answer = new CompletableFuture<>();
                 loop.schedule(
                         () -> {
                             answer.complete(
                                     answers
-                                            ? lists(recorded)
+                                            ? createLists(recordedEnd)
                                             : new RenewalResult(
                                                     result(CallResult.Kind.UNKNOWN),
-                                                    ID,
+                                                    INCARNATION,
                                                     List.of(),
                                                     List.of()));
                         },
@@ -257,14 +275,14 @@
                 return answer;
             }
 
-            private RenewalResult lists(long recorded) {
+            private RenewalResult createLists(long recordedEnd) {
                 return new RenewalResult(
                         result(CallResult.Kind.DONE),
-                        ID,
+                        INCARNATION,
                         running.keySet().stream()
                                 .map(run -> new RunProgress(run, "", 50, 0))
                                 .toList(),
-                        ended.stream().filter(end -> end.number() > recorded).toList());
+                        ended.stream().filter(end -> end.number() > recordedEnd).toList());
             }
 
             @Override
@@ -277,9 +295,9 @@
 
     @Property(tries = 60, seed = "20261202")
     void noInterleavingOfLateCallsExceedsTheCapacityOfAWorker(@ForAll long seed) {
-        Day day = new Day(seed);
-        day.play();
-        assertTrue(day.violations.isEmpty(), () -> seed + " " + day.violations.get(0));
-        assertTrue(day.started > 5, () -> seed + " started only " + day.started);
+        Scenario scenario = new Scenario(seed);
+        scenario.run();
+        assertTrue(scenario.violations.isEmpty(), () -> seed + " " + scenario.violations.get(0));
+        assertTrue(scenario.startCount > 5, () -> seed + " started only " + scenario.startCount);
     }
 }
--- a/src/test/java/org/standlink/runner/TestWorkerLeaseClock.java
+++ b/src/test/java/org/standlink/runner/TestWorkerLeaseClock.java
@@ -27,20 +27,20 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Tests that no worker keeps a run longer than its agent believes. */
+/** Tests that no worker keeps a run longer than its agent assumes. */
 public class TestWorkerLeaseClock {
 
-    private final List<Long> behind = new ArrayList<>();
+    private final List<Long> reportedLags = new ArrayList<>();
 
     @Property(seed = "4489833508711455555")
     void aSlowClockNeverKeepsARunBeyondTheEnd(
-            @ForAll @LongRange(max = 10_000) long lease,
-            @ForAll @LongRange(max = 2000) long way,
+            @ForAll @LongRange(max = 10_000) long leaseMillis,
+            @ForAll @LongRange(max = 2000) long transitMillis,
             @ForAll @DoubleRange(min = 1.0, max = 1.02) double slowness) {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
-        // The worker read its clock at time 0; the answer came a while later.
-        clock.answerReceived(5000, way);
-        long end = way + lease;
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
+        // The worker read its clock at time 0; the answer was received after the transit time.
+        clock.answerReceived(5000, transitMillis);
+        long end = transitMillis + leaseMillis;
         long until = clock.grantUntil(end);
         double killedAt = (until - 5000) * slowness;
         assertTrue(killedAt <= end, () -> "killed at " + killedAt + ", end " + end);
@@ -48,7 +48,7 @@
 
     @Test
     public void aLeaseExpiresOnlyAfterTheLatestEndEverGranted() {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
         clock.answerReceived(0, 100);
         clock.grantUntil(6100);
         clock.grantUntil(4000);
@@ -58,43 +58,44 @@
 
     @Test
     public void anEndThatHasPassedIsSentAsTheWorkersCurrentTime() {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
         clock.answerReceived(700, 100);
         assertEquals(700, clock.grantUntil(50));
     }
 
     @Test
     public void theLagOfASuspendedAgentsClockIsReported() {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
         clock.answerReceived(5000, 100);
         clock.answerReceived(6000, 1120);
         clock.answerReceived(6900, 2020);
-        assertEquals(List.of(), behind);
+        assertEquals(List.of(), reportedLags);
         clock.answerReceived(10_000, 2120);
-        assertEquals(1, behind.size());
-        assertTrue(behind.get(0) >= 3000 && behind.get(0) <= 3050, behind::toString);
+        assertEquals(1, reportedLags.size());
+        assertTrue(
+                reportedLags.get(0) >= 3000 && reportedLags.get(0) <= 3050, reportedLags::toString);
         clock.answerReceived(9_900, 2130);
-        assertEquals(1, behind.size());
+        assertEquals(1, reportedLags.size());
     }
 
     @Test
     public void lateAnswersAreNotTakenForALagOfTheAgentsClock() {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
         for (int i = 0; i < 100; i++) {
-            long late = i % 2 == 0 ? 0 : 400;
-            clock.answerReceived(5000 + 500L * i, 100 + 500L * i + late);
+            long delay = i % 2 == 0 ? 0 : 400;
+            clock.answerReceived(5000 + 500L * i, 100 + 500L * i + delay);
         }
-        assertEquals(List.of(), behind);
+        assertEquals(List.of(), reportedLags);
     }
 
     @Test
     public void aSlowWorkerClockIsNotTakenForALagOfTheAgentsClock() {
-        WorkerLeaseClock clock = new WorkerLeaseClock(0, behind::add);
+        WorkerLeaseClock clock = new WorkerLeaseClock(0, reportedLags::add);
         for (long now = 0; now < 60_000; now += 400) {
             clock.answerReceived((long) (5000 + now * 0.98), now);
         }
-        assertEquals(List.of(), behind);
+        assertEquals(List.of(), reportedLags);
         clock.answerReceived((long) (5000 + 60_400 * 0.98), 60_000);
-        assertEquals(1, behind.size());
+        assertEquals(1, reportedLags.size());
     }
 }
--- a/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
+++ b/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
@@ -39,87 +39,91 @@
 import org.standlink.wire.RunOrders;
 import org.standlink.wire.StartOrder;
 
-/** Tests what an agent does when its worker answers, refuses or is silent. */
+/** Tests what an agent does when its worker answers, refuses or is unresponsive. */
 public class TestWorkerSupervisor {
 
     private static final long LEASE_MILLIS = 6000;
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
-    private final Script worker = new Script();
-    private final Lives lives = new Lives();
+    private final ScriptedWorker worker = new ScriptedWorker();
+    private final RecordingListener listener = new RecordingListener();
     private Fence fence = fence(1);
     private WorkerSupervisor supervisor;
 
-    /** Notes which lives were said to answer, or to be over. */
-    private static final class Lives implements IncarnationListener {
+    /** Records the calls of the listener. */
+    private static final class RecordingListener implements IncarnationListener {
 
-        private final List<String> told = new ArrayList<>();
+        private final List<String> events = new ArrayList<>();
 
         @Override
-        public void confirmed(WorkerIncarnation id) {
-            told.add("confirmed " + id);
+        public void confirmed(WorkerIncarnation worker) {
+            events.add("confirmed " + worker);
         }
 
         @Override
-        public void replaced(WorkerIncarnation id, WorkerIncarnation by) {
-            told.add("replaced " + id);
+        public void replaced(WorkerIncarnation worker, WorkerIncarnation replacement) {
+            events.add("replaced " + worker);
         }
 
         @Override
-        public void departed(WorkerIncarnation id) {
-            told.add("departed " + id);
+        public void departed(WorkerIncarnation worker) {
+            events.add("departed " + worker);
         }
 
         @Override
-        public void clockFellBehind(WorkerIncarnation id, long millis) {
-            told.add(id + " behind by " + millis);
+        public void clockFellBehind(WorkerIncarnation worker, long lagMillis) {
+            events.add(worker + " behind by " + lagMillis);
         }
     }
 
-    /** A worker that answers as the test says, 10 ms after each call. */
-    private final class Script implements WorkerClient {
+    /** A worker that answers as set by the test, 10 ms after each call. */
+    private final class ScriptedWorker implements WorkerClient {
 
-        private CallResult.Kind starts = CallResult.Kind.DONE;
-        private CallResult.Kind holds = CallResult.Kind.DONE;
-        private CallResult.Kind stops = CallResult.Kind.DONE;
+        private CallResult.Kind startResult = CallResult.Kind.DONE;
+        private CallResult.Kind renewalResult = CallResult.Kind.DONE;
+        private CallResult.Kind stopResult = CallResult.Kind.DONE;
         private List<RunProgress> running = List.of();
         private List<RunEnd> ended = List.of();
-        private final List<String> seen = new ArrayList<>();
-        private final List<String> stopped = new ArrayList<>();
+        private final List<String> calls = new ArrayList<>();
+        private final List<String> stopCalls = new ArrayList<>();
         private int renewals;
 
         private CallResult result(CallResult.Kind kind) {
-            long told = kind == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
-            return new CallResult(kind, told, "scripted");
+            long clockMillis = kind == CallResult.Kind.UNKNOWN ? -1 : clock.nowMillis();
+            return new CallResult(kind, clockMillis, "scripted");
         }
 
         @Override
         public CompletableFuture<CallResult> start(
                 WorkerDescription to, StartOrder order, long leaseUntil, Fence fence) {
-            seen.add("start " + order.run().number());
-            return RunnerFixtures.completeLater(loop, 10, result(starts));
+            calls.add("start " + order.run().number());
+            return RunnerFixtures.completeLater(loop, 10, result(startResult));
         }
 
         @Override
         public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
-            seen.add("stop " + run.number());
-            stopped.add("stop " + run.number() + " of " + fence);
-            return RunnerFixtures.completeLater(loop, 10, result(stops));
+            calls.add("stop " + run.number());
+            stopCalls.add("stop " + run.number() + " of " + fence);
+            return RunnerFixtures.completeLater(loop, 10, result(stopResult));
         }
 
         @Override
         public CompletableFuture<RenewalResult> renew(
-                WorkerDescription to, long until, Fence fence, long recorded, long waitMillis) {
-            boolean done = holds == CallResult.Kind.DONE;
+                WorkerDescription to,
+                long leaseUntil,
+                Fence fence,
+                long recordedEnd,
+                long waitMillis) {
+            boolean done = renewalResult == CallResult.Kind.DONE;
             renewals++;
             List<RunEnd> unrecorded =
-                    ended.stream().filter(end -> end.number() > recorded).toList();
+                    ended.stream().filter(end -> end.number() > recordedEnd).toList();
             return RunnerFixtures.completeLater(
                     loop,
                     10,
                     new RenewalResult(
-                            result(holds),
+                            result(renewalResult),
                             to.incarnation(),
                             done ? running : List.of(),
                             done ? unrecorded : List.of()));
@@ -128,7 +132,7 @@
         @Override
         public CompletableFuture<CallResult> throttle(
                 WorkerDescription to, RunId run, int percent, Fence fence) {
-            seen.add("share " + percent);
+            calls.add("share " + percent);
             return RunnerFixtures.completeLater(loop, 10, result(CallResult.Kind.DONE));
         }
     }
@@ -144,7 +148,7 @@
                         () -> clock.nowMillis() + LEASE_MILLIS,
                         () -> fence,
                         () -> {},
-                        lives,
+                        listener,
                         new InterferenceTable());
         supervisor.start();
         loop.advance(100);
@@ -154,7 +158,7 @@
         return Fence.of(Epoch.of(epoch), LeaseGeneration.of(1));
     }
 
-    private void order(List<StartOrder> starts, List<RunId> stops, long recorded) {
+    private void order(List<StartOrder> starts, List<RunId> stops, long recordedEnd) {
         supervisor.applyOrders(
                 new RunOrders(
                         Epoch.of(1),
@@ -162,13 +166,13 @@
                         RunnerFixtures.INCARNATION,
                         starts,
                         stops,
-                        recorded));
+                        recordedEnd));
     }
 
     @Test
     public void anUnresponsiveWorkerHasLapsedOnceItsLeaseHasExpired() {
         assertTrue(supervisor.createReport().known());
-        worker.holds = CallResult.Kind.UNKNOWN;
+        worker.renewalResult = CallResult.Kind.UNKNOWN;
         loop.advance(LEASE_MILLIS - 500);
         assertFalse(supervisor.createReport().reachable());
         assertFalse(supervisor.createReport().lapsed());
@@ -178,19 +182,19 @@
 
     @Test
     public void aStartWithoutAnAnswerIsRepeatedUnderTheSameNumber() {
-        worker.starts = CallResult.Kind.UNKNOWN;
+        worker.startResult = CallResult.Kind.UNKNOWN;
         order(List.of(RunnerFixtures.startOrder()), List.of(), 0);
         loop.advance(500);
-        worker.starts = CallResult.Kind.DONE;
+        worker.startResult = CallResult.Kind.DONE;
         loop.advance(500);
-        long calls = worker.seen.stream().filter(call -> call.equals("start 1")).count();
-        assertTrue(calls >= 3, () -> worker.seen.toString());
-        assertEquals(calls, worker.seen.size());
+        long calls = worker.calls.stream().filter(call -> call.equals("start 1")).count();
+        assertTrue(calls >= 3, () -> worker.calls.toString());
+        assertEquals(calls, worker.calls.size());
     }
 
     @Test
     public void aRefusedStartIsReportedUntilTheLeaderAcknowledgesIt() {
-        worker.starts = CallResult.Kind.NO_ROOM;
+        worker.startResult = CallResult.Kind.NO_ROOM;
         order(List.of(RunnerFixtures.startOrder()), List.of(), 0);
         loop.advance(100);
         assertEquals(RunnerFixtures.RUN, supervisor.createReport().refused().get(0).run());
@@ -233,37 +237,37 @@
     public void runsOfALapsedWorkerAreNoLongerReported() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(1000);
-        worker.holds = CallResult.Kind.UNKNOWN;
+        worker.renewalResult = CallResult.Kind.UNKNOWN;
         loop.advance(LEASE_MILLIS + 1000);
         assertTrue(supervisor.createReport().lapsed());
         supervisor.reportAcknowledged(supervisor.createReport());
         assertTrue(supervisor.createReport().running().isEmpty());
         assertFalse(supervisor.createReport().known());
-        assertTrue(supervisor.createReport().lapsed(), "a new leader has to be told as well");
+        assertTrue(supervisor.createReport().lapsed(), "a new leader has to receive it as well");
     }
 
     @Test
     public void repeatedOrdersToStopDoNotMultiplyCalls() {
-        worker.stops = CallResult.Kind.UNKNOWN;
+        worker.stopResult = CallResult.Kind.UNKNOWN;
         for (int i = 0; i < 5; i++) {
             order(List.of(), List.of(RunnerFixtures.RUN), 0);
             loop.advance(100);
         }
-        worker.seen.clear();
+        worker.calls.clear();
         loop.advance(1000);
-        assertTrue(worker.seen.size() <= 7, () -> worker.seen.toString());
+        assertTrue(worker.calls.size() <= 7, () -> worker.calls.toString());
     }
 
     @Test
     public void aStopWaitsForAWorkerThatDoesNotAnswer() {
-        worker.holds = CallResult.Kind.UNKNOWN;
+        worker.renewalResult = CallResult.Kind.UNKNOWN;
         loop.advance(1000);
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(1000);
-        assertTrue(worker.seen.isEmpty(), () -> worker.seen.toString());
-        worker.holds = CallResult.Kind.DONE;
+        assertTrue(worker.calls.isEmpty(), () -> worker.calls.toString());
+        worker.renewalResult = CallResult.Kind.DONE;
         loop.advance(1000);
-        assertEquals(List.of("stop 1"), worker.seen);
+        assertEquals(List.of("stop 1"), worker.calls);
     }
 
     @Test
@@ -275,18 +279,18 @@
                 List.of(),
                 0);
         loop.advance(1000);
-        assertTrue(worker.seen.contains("share 100"), () -> worker.seen.toString());
+        assertTrue(worker.calls.contains("share 100"), () -> worker.calls.toString());
     }
 
     @Test
     public void aRefusalAfterACallWithoutAnAnswerIsOnlyReportedOnceTheRunIsStopped() {
-        worker.starts = CallResult.Kind.UNKNOWN;
+        worker.startResult = CallResult.Kind.UNKNOWN;
         order(List.of(RunnerFixtures.startOrder()), List.of(), 0);
         loop.advance(100);
-        worker.starts = CallResult.Kind.UNWELL;
+        worker.startResult = CallResult.Kind.UNWELL;
         loop.advance(500);
         assertTrue(supervisor.createReport().refused().isEmpty());
-        assertTrue(worker.seen.contains("stop 1"), () -> worker.seen.toString());
+        assertTrue(worker.calls.contains("stop 1"), () -> worker.calls.toString());
         loop.advance(2000);
         assertEquals(List.of(RunnerFixtures.RUN), supervisor.createReport().gone());
     }
@@ -294,25 +298,25 @@
     @Test
     public void anIncarnationThatAnswersIsConfirmedOnce() {
         loop.advance(2000);
-        assertEquals(List.of("confirmed i-1@1000"), lives.told);
+        assertEquals(List.of("confirmed i-1@1000"), listener.events);
         assertTrue(supervisor.isConfirmed());
     }
 
     @Test
     public void anIncarnationInWhosePlaceAnotherAnswersIsReplaced() {
-        worker.holds = CallResult.Kind.OTHER_LIFE;
+        worker.renewalResult = CallResult.Kind.OTHER_LIFE;
         loop.advance(1000);
-        assertEquals("replaced i-1@1000", lives.told.get(1));
+        assertEquals("replaced i-1@1000", listener.events.get(1));
     }
 
     @Test
     public void anEpochThatWasRefusedIsNotUsedAgain() {
-        worker.holds = CallResult.Kind.FENCED;
+        worker.renewalResult = CallResult.Kind.FENCED;
         loop.advance(1000);
         int before = worker.renewals;
         loop.advance(5000);
         assertEquals(before, worker.renewals);
-        worker.holds = CallResult.Kind.DONE;
+        worker.renewalResult = CallResult.Kind.DONE;
         fence = fence(2);
         loop.advance(1000);
         assertTrue(worker.renewals > before);
@@ -323,23 +327,24 @@
     public void aStopRefusedUnderAnOldEpochIsRepeatedUnderTheNewOne() {
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(600);
-        worker.stops = CallResult.Kind.FENCED;
+        worker.stopResult = CallResult.Kind.FENCED;
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
-        // The worker hears of the new leader, and the agent is told to stop, before the answer.
+        // The worker learns of the new leader, and the agent receives the stop order, before the
+        // answer.
         fence = fence(2);
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(20);
-        worker.stops = CallResult.Kind.DONE;
+        worker.stopResult = CallResult.Kind.DONE;
         loop.advance(500);
-        assertEquals(List.of("stop 1 of 1.1", "stop 1 of 2.1"), worker.stopped);
+        assertEquals(List.of("stop 1 of 1.1", "stop 1 of 2.1"), worker.stopCalls);
     }
 
     @Test
     public void aStopIsNotRepeatedUnderAnEpochThatWasRefused() {
-        worker.stops = CallResult.Kind.FENCED;
+        worker.stopResult = CallResult.Kind.FENCED;
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(2000);
-        assertEquals(List.of("stop 1 of 1.1"), worker.stopped);
+        assertEquals(List.of("stop 1 of 1.1"), worker.stopCalls);
     }
 
     @Test
@@ -347,9 +352,9 @@
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         order(List.of(), List.of(RunnerFixtures.RUN), 0);
         loop.advance(500);
-        assertEquals(1, worker.stopped.size());
+        assertEquals(1, worker.stopCalls.size());
         loop.advance(1500);
-        assertEquals(2, worker.stopped.size());
+        assertEquals(2, worker.stopCalls.size());
     }
 
     @Test
@@ -358,6 +363,6 @@
         loop.advance(500);
         worker.running = List.of(new RunProgress(RunnerFixtures.RUN, "", 50, 0));
         loop.advance(1500);
-        assertEquals(2, worker.stopped.size());
+        assertEquals(2, worker.stopCalls.size());
     }
 }
