--- a/src/main/java/org/standlink/runner/EndedIncarnations.java
+++ b/src/main/java/org/standlink/runner/EndedIncarnations.java
@@ -33,7 +33,7 @@
 final class EndedIncarnations {
 
     /**
-     * How long an ended incarnation is remembered, in milliseconds. A heartbeat after that makes
+     * How long an ended incarnation is remembered, in milliseconds. A later heartbeat of it makes
      * the agent call the worker again to find out which incarnation answers.
      */
     private static final long RETENTION_MILLIS = 60_000;
--- a/src/main/java/org/standlink/runner/ThrottlePolicy.java
+++ b/src/main/java/org/standlink/runner/ThrottlePolicy.java
@@ -70,10 +70,10 @@
      */
     private static final double OWN_LOAD_TAIL_RATIO = 0.4;
 
-    /** The largest factor by which a share is raised at once. */
+    /** The largest factor by which a share is multiplied at once. */
     private static final double MAX_CHANGE_FACTOR = 1.5;
 
-    /** The smallest factor by which a share is lowered at once. */
+    /** The smallest factor by which a share is multiplied at once. */
     private static final double MIN_CHANGE_FACTOR = 0.3;
 
     /**
@@ -102,7 +102,7 @@
     private static final long PAUSE_ALL_AFTER_MILLIS = 2200;
 
     /**
-     * The share below which a share is raised slightly also while the tail ratio is between low and
+     * Shares below this value are raised slightly also while the tail ratio is between low and
      * high, in percent: an image that hardly runs is not the cause of such a tail latency.
      */
     private static final int SMALL_SHARE_PERCENT = 30;
--- a/src/main/java/org/standlink/runner/WorkerSupervisor.java
+++ b/src/main/java/org/standlink/runner/WorkerSupervisor.java
@@ -83,7 +83,7 @@
     /** Whether start orders have been received under the fence in force. */
     private boolean startsReceived;
 
-    /** Whether the orders were dropped for the current lapse; until the worker answers again. */
+    /** Whether the orders were dropped for the current lapse; reset when the worker answers. */
     private boolean lapseHandled;
 
     /**
@@ -163,7 +163,8 @@
         if (lapseUnacknowledged) {
             orders.starts().forEach(order -> runs.getReleased().addGone(order.run()));
         } else {
-            // The first starts under a fence are all runs that should run, including earlier ones.
+            // The first starts received under a fence name all runs that should be running,
+            // including those that were started before.
             boolean resent = !startsReceived;
             startsReceived |= !orders.starts().isEmpty();
             orders.starts().forEach(order -> runs.start(order, resent));
--- a/src/main/java/org/standlink/runner/WorkerThrottle.java
+++ b/src/main/java/org/standlink/runner/WorkerThrottle.java
@@ -43,7 +43,7 @@
     private static final long DECISION_INTERVAL_MILLIS = 350;
 
     /**
-     * The interval at which the measurements are logged, in milliseconds; two decisions in seven.
+     * The interval at which the measurements are logged, in milliseconds; two of seven decisions.
      */
     private static final long LOG_INTERVAL_MILLIS = 2000;
 
--- a/src/test/java/org/standlink/runner/RunnerFixtures.java
+++ b/src/test/java/org/standlink/runner/RunnerFixtures.java
@@ -52,13 +52,13 @@
                 public void confirmed(WorkerIncarnation worker) {}
 
                 @Override
-                public void replaced(WorkerIncarnation worker, WorkerIncarnation by) {}
+                public void replaced(WorkerIncarnation worker, WorkerIncarnation replacement) {}
 
                 @Override
                 public void departed(WorkerIncarnation worker) {}
 
                 @Override
-                public void clockFellBehind(WorkerIncarnation worker, long millis) {}
+                public void clockFellBehind(WorkerIncarnation worker, long lagMillis) {}
             };
 
     private RunnerFixtures() {}
--- a/src/test/java/org/standlink/runner/TestRunListTracker.java
+++ b/src/test/java/org/standlink/runner/TestRunListTracker.java
@@ -29,11 +29,11 @@
 /**
  * Tests which ends are acknowledged to a worker.
  *
- * <p>Guards against a task that runs again after it has ended (seen in a simulated day with kept
- * ids, seed 877). A renewal was not answered, the worker crashed, and its next incarnation received
- * the renewal late. It then discarded an unreported end of its own, because each renewal named the
- * last recorded end, also after the worker had discarded it, and the new end had a number up to
- * that one.
+ * <p>Guards against a task that runs again after it has ended (seen in a simulated day in which
+ * workers keep their ids, seed 877). A renewal was not answered, the worker crashed, and its next
+ * incarnation received the renewal late. It then discarded an unreported end of its own, because
+ * each renewal named the last recorded end, also after the worker had discarded it, and the new end
+ * had a number up to that one.
  */
 public class TestRunListTracker {
 
