--- a/src/main/java/org/standlink/policy/AbstractPlacement.java
+++ b/src/main/java/org/standlink/policy/AbstractPlacement.java
@@ -19,23 +19,25 @@
 import org.standlink.Resources;
 
 /**
- * The part that every placement shares: what may not be, and why a task waits.
+ * Base class of placement policies, which selects the eligible workers and determines why a task
+ * waits.
  *
- * <p>Subclasses only say how good a worker is. {@code AbstractPlacement} is as thread-safe as its
- * size estimator.
+ * <p>Subclasses score the workers that comply with the placement rules and have enough free
+ * capacity; the worker with the highest score is chosen.
+ *
+ * <p>{@code AbstractPlacement} is as thread-safe as its size estimator.
  */
 public abstract class AbstractPlacement implements PlacementPolicy {
 
-    /** The score of a worker that must not be taken. */
+    /** The score of a worker that must not be chosen. */
     protected static final double INELIGIBLE = Double.NEGATIVE_INFINITY;
 
-    /** Estimates what tasks take. */
     private final SizeEstimator sizes;
 
     /**
-     * Constructor.
+     * Creates a placement policy.
      *
-     * @param sizes estimates what tasks take
+     * @param sizes estimates the resources of tasks
      */
     protected AbstractPlacement(SizeEstimator sizes) {
         this.sizes = sizes;
@@ -57,17 +59,17 @@
             }
         }
         return best == null
-                ? PlacementDecision.ofWaiting(reason(demand, workers, size))
+                ? PlacementDecision.ofWaiting(findWaitingReason(demand, workers, size))
                 : PlacementDecision.ofPlaced(best.getVm(), size);
     }
 
     /**
-     * Says how good a worker is for a task.
+     * Scores a worker for a task.
      *
      * @param demand the task
-     * @param worker a worker that may be taken and has room
-     * @param size what the task would be granted
-     * @return greater is better; {@link #INELIGIBLE} to leave the worker out
+     * @param worker a worker that complies with the placement rules and has enough free capacity
+     * @param size the resources that the task would be granted
+     * @return the score, greater is better; {@link #INELIGIBLE} to exclude the worker
      */
     protected abstract double score(TaskDemand demand, WorkerView worker, Resources size);
 
@@ -77,11 +79,11 @@
     }
 
     /**
-     * Checks the placement rules alone.
+     * Checks whether the placement rules permit a worker, regardless of its health and capacity.
      *
      * @param demand the task
      * @param worker the worker
-     * @return true if no rule speaks against it
+     * @return true if no rule excludes the worker
      */
     static boolean isPermitted(TaskDemand demand, WorkerView worker) {
         if (!demand.halls().isEmpty() && !demand.halls().contains(worker.getHall())) {
@@ -98,28 +100,31 @@
         return true;
     }
 
-    private static String reason(TaskDemand demand, List<WorkerView> workers, Resources size) {
+    private static String findWaitingReason(
+            TaskDemand demand, List<WorkerView> workers, Resources size) {
         boolean permitted = false;
-        boolean large = true;
+        boolean tooLarge = true;
         boolean usable = false;
-        boolean room = false;
+        boolean hasFreeCapacity = false;
         for (WorkerView worker : workers) {
-            boolean here = isPermitted(demand, worker);
+            boolean rulesPermit = isPermitted(demand, worker);
             boolean fits = size.fitsIn(worker.getAllocatable());
-            permitted |= here;
-            large &= !(here && fits);
-            usable |= here && fits && worker.isUsable();
-            room |= here && worker.isUsable() && size.fitsIn(worker.getFree());
+            permitted |= rulesPermit;
+            tooLarge &= !(rulesPermit && fits);
+            usable |= rulesPermit && fits && worker.isUsable();
+            hasFreeCapacity |= rulesPermit && worker.isUsable() && size.fitsIn(worker.getFree());
         }
         if (!permitted) {
             return WaitingReason.NO_PERMITTED_WORKER.toString();
         }
-        if (large) {
+        if (tooLarge) {
             return WaitingReason.TOO_LARGE.toString();
         }
         if (!usable) {
             return WaitingReason.NO_USABLE_WORKER.toString();
         }
-        return room ? WaitingReason.WOULD_DISTURB.toString() : WaitingReason.NO_ROOM.toString();
+        return hasFreeCapacity
+                ? WaitingReason.WOULD_DISTURB.toString()
+                : WaitingReason.NO_ROOM.toString();
     }
 }
--- a/src/main/java/org/standlink/policy/ConcurrencyLimiter.java
+++ b/src/main/java/org/standlink/policy/ConcurrencyLimiter.java
@@ -19,45 +19,45 @@
 import java.util.Map;
 
 /**
- * Limits how many requests of each key are in progress.
+ * Limits the number of concurrent requests per key.
  *
  * <p>{@code ConcurrencyLimiter} is thread-safe.
  */
 public final class ConcurrencyLimiter {
 
-    /** The number in progress of each key. */
+    /** The number of requests in progress, by key; keys without any are absent. */
     private final Map<Object, Integer> inProgress = new HashMap<>();
 
     /**
-     * Takes a place if there is one.
+     * Acquires a permit if fewer than the limit are in use.
      *
-     * @param key what is limited
-     * @param limit how many may be in progress
-     * @return true if taken; then {@link #release} must follow
+     * @param key the key that is limited
+     * @param limit the maximum number of concurrent requests
+     * @return true if acquired, in which case {@link #release} must follow
      */
     public synchronized boolean tryAcquire(Object key, int limit) {
-        int present = inProgress.getOrDefault(key, 0);
-        if (present >= limit) {
+        int count = inProgress.getOrDefault(key, 0);
+        if (count >= limit) {
             return false;
         }
-        inProgress.put(key, present + 1);
+        inProgress.put(key, count + 1);
         return true;
     }
 
     /**
-     * Gives a place back.
+     * Releases a permit.
      *
-     * @param key what is limited
+     * @param key the key that is limited
      */
     public synchronized void release(Object key) {
-        inProgress.computeIfPresent(key, (any, present) -> present > 1 ? present - 1 : null);
+        inProgress.computeIfPresent(key, (sameKey, count) -> count > 1 ? count - 1 : null);
     }
 
     /**
-     * Gets the number in progress.
+     * Gets the number of requests in progress.
      *
-     * @param key what is limited
-     * @return the number
+     * @param key the key that is limited
+     * @return the number of requests, 0 if there are none
      */
     public synchronized int getInProgress(Object key) {
         return inProgress.getOrDefault(key, 0);
--- a/src/main/java/org/standlink/policy/FirstFitPlacement.java
+++ b/src/main/java/org/standlink/policy/FirstFitPlacement.java
@@ -18,16 +18,16 @@
 import org.standlink.Resources;
 
 /**
- * The baseline: the first worker with room.
+ * Baseline policy that chooses the first worker with enough free capacity.
  *
  * <p>{@code FirstFitPlacement} is as thread-safe as its size estimator.
  */
 public final class FirstFitPlacement extends AbstractPlacement {
 
     /**
-     * Constructor.
+     * Creates a placement policy.
      *
-     * @param sizes estimates what tasks take
+     * @param sizes estimates the resources of tasks
      */
     public FirstFitPlacement(SizeEstimator sizes) {
         super(sizes);
--- a/src/main/java/org/standlink/policy/GradualRelief.java
+++ b/src/main/java/org/standlink/policy/GradualRelief.java
@@ -23,153 +23,161 @@
 import org.standlink.VmId;
 
 /**
- * Throttles the task that disturbs most, then the next, and stops one only when throttling did not
- * help for a while.
+ * Throttles the task that interferes most, then the next, and stops a task only when throttling has
+ * not helped for a while.
  *
- * <p>It acts only after several measurements above the target in a row and waits after each act,
- * since measurements are late. It gives processors back, one step at a time, only well below the
- * target. So a noisy wave costs throttling rather than swinging evictions.
+ * <p>The policy acts only after several consecutive measurements near or above the target and
+ * pauses after each action, since measurements are delayed. It raises the processor shares again
+ * only well below the target, one step at a time. Noisy measurements thus cause throttling rather
+ * than oscillating evictions.
  *
- * <p>{@code GradualRelief} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code GradualRelief} is mutable and not thread-safe; callers must synchronize access.
  */
 public final class GradualRelief implements ReliefPolicy {
 
-    /** Above this a measurement speaks for relief, in percent of the target. */
-    private static final double HIGH = 95;
+    /**
+     * The tail latency above which a measurement counts towards relief, in percent of the target.
+     */
+    private static final double RELIEF_THRESHOLD_PERCENT = 95;
 
-    /** Below this a measurement speaks for giving back, in percent of the target. */
-    private static final double LOW = 80;
+    /**
+     * The tail latency below which a measurement counts towards recovery, in percent of the target.
+     */
+    private static final double RECOVERY_THRESHOLD_PERCENT = 80;
 
-    /** How many measurements in a row bring relief. */
-    private static final int HIGH_IN_ROW = 2;
+    /** The number of consecutive high measurements that cause relief. */
+    private static final int RELIEF_MEASUREMENTS = 2;
 
-    /** How many measurements in a row give back. */
-    private static final int LOW_IN_ROW = 2;
+    /** The number of consecutive low measurements that cause recovery. */
+    private static final int RECOVERY_MEASUREMENTS = 2;
 
-    /** How many measurements are passed over after an act, because they are late. */
-    private static final int SETTLE = 3;
+    /** The number of measurements ignored after an action, because they are delayed. */
+    private static final int SETTLING_MEASUREMENTS = 3;
 
-    /** The steps of throttling, in percent of the processors. */
-    private static final int[] STEPS = {100, 50, 25};
+    /** The processor shares of a task, from unthrottled to most throttled, in percent. */
+    private static final int[] SHARES_PERCENT = {100, 50, 25};
 
-    /** How many relief acts without an end to the trouble come before a task is stopped. */
-    private static final int ACTS_BEFORE_STOP = 3;
+    /** The number of throttling actions without success before a task is stopped. */
+    private static final int ACTIONS_BEFORE_STOP = 3;
 
-    /** Learned interference. */
     private final InterferenceModel model;
+    private final Map<VmId, VmState> states = new HashMap<>();
 
-    /** What was seen of each VM. */
-    private final Map<VmId, Seen> seen = new HashMap<>();
-
-    /** What was seen of a VM. */
-    private static final class Seen {
+    /** The recent measurements and actions of one VM. */
+    private static final class VmState {
 
-        /** Measurements above the high mark in a row. */
-        private int high;
+        /** The number of consecutive high measurements. */
+        private int highCount;
 
-        /** Measurements below the low mark in a row. */
-        private int low;
+        /** The number of consecutive low measurements. */
+        private int lowCount;
 
-        /** Measurements still to pass over. */
-        private int settling;
+        /** The number of measurements still to be ignored. */
+        private int measurementsToIgnore;
 
-        /** Relief acts since the trouble began. */
-        private int acts;
+        /** The number of relief actions since the last low measurement or stopped task. */
+        private int actions;
     }
 
     /**
-     * Constructor.
+     * Creates a relief policy.
      *
-     * @param model learned interference
+     * @param model estimates how much each task interferes
      */
     public GradualRelief(InterferenceModel model) {
         this.model = model;
     }
 
     @Override
-    public List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside) {
-        Seen here = seen.computeIfAbsent(measure.worker(), key -> new Seen());
-        count(here, measure.latencyPercent());
-        if (here.settling > 0) {
-            here.settling--;
+    public List<ReliefAction> relieve(ServiceMeasurement measurement, List<RunningTask> colocated) {
+        VmState state = states.computeIfAbsent(measurement.worker(), key -> new VmState());
+        updateCounts(state, measurement.latencyPercent());
+        if (state.measurementsToIgnore > 0) {
+            state.measurementsToIgnore--;
             return List.of();
         }
         Optional<ReliefAction> action = Optional.empty();
-        if (here.high >= HIGH_IN_ROW) {
-            action = tighten(here, measure, beside);
-        } else if (here.low >= LOW_IN_ROW) {
-            action = giveBack(measure, beside);
+        if (state.highCount >= RELIEF_MEASUREMENTS) {
+            action = throttleOrStop(state, measurement, colocated);
+        } else if (state.lowCount >= RECOVERY_MEASUREMENTS) {
+            action = raiseShare(measurement, colocated);
         }
         if (action.isPresent()) {
-            here.settling = SETTLE;
-            here.high = 0;
-            here.low = 0;
+            state.measurementsToIgnore = SETTLING_MEASUREMENTS;
+            state.highCount = 0;
+            state.lowCount = 0;
         }
         return action.map(List::of).orElse(List.of());
     }
 
     // -----------------------------------------------------------------------
-    private static void count(Seen here, double latencyPercent) {
-        here.high = latencyPercent > HIGH ? here.high + 1 : 0;
-        here.low = latencyPercent < LOW ? here.low + 1 : 0;
-        if (here.low > 0) {
-            here.acts = 0;
+    private static void updateCounts(VmState state, double latencyPercent) {
+        state.highCount = latencyPercent > RELIEF_THRESHOLD_PERCENT ? state.highCount + 1 : 0;
+        state.lowCount = latencyPercent < RECOVERY_THRESHOLD_PERCENT ? state.lowCount + 1 : 0;
+        if (state.lowCount > 0) {
+            state.actions = 0;
         }
     }
 
-    private Optional<ReliefAction> tighten(
-            Seen here, ServiceMeasurement measure, List<RunningTask> beside) {
-        Comparator<RunningTask> byShare =
+    private Optional<ReliefAction> throttleOrStop(
+            VmState state, ServiceMeasurement measurement, List<RunningTask> colocated) {
+        Comparator<RunningTask> byIncrease =
                 Comparator.comparingDouble(
-                        task -> model.estimateIncrease(measure.load(), task.batchClass()));
-        here.acts++;
-        if (here.acts <= ACTS_BEFORE_STOP) {
-            Optional<RunningTask> target =
-                    beside.stream()
+                        task -> model.estimateIncrease(measurement.load(), task.batchClass()));
+        state.actions++;
+        if (state.actions <= ACTIONS_BEFORE_STOP) {
+            Optional<RunningTask> candidate =
+                    colocated.stream()
                             .filter(GradualRelief::isRunning)
-                            .filter(task -> stepDown(task.throttlePercent()) > 0)
-                            .max(byShare);
-            if (target.isPresent()) {
-                int step = stepDown(target.get().throttlePercent());
-                return Optional.of(new ReliefAction(target.get().task(), step));
+                            .filter(task -> nextLowerShare(task.throttlePercent()) > 0)
+                            .max(byIncrease);
+            if (candidate.isPresent()) {
+                int share = nextLowerShare(candidate.get().throttlePercent());
+                return Optional.of(new ReliefAction(candidate.get().task(), share));
             }
         }
-        here.acts = 0;
-        return beside.stream()
+        state.actions = 0;
+        return colocated.stream()
                 .filter(GradualRelief::isRunning)
-                .max(Comparator.comparing(RunningTask::checkpointable).thenComparing(byShare))
+                .max(Comparator.comparing(RunningTask::checkpointable).thenComparing(byIncrease))
                 .map(task -> new ReliefAction(task.task(), 0));
     }
 
-    private Optional<ReliefAction> giveBack(ServiceMeasurement measure, List<RunningTask> beside) {
-        return beside.stream()
+    private Optional<ReliefAction> raiseShare(
+            ServiceMeasurement measurement, List<RunningTask> colocated) {
+        return colocated.stream()
                 .filter(GradualRelief::isRunning)
-                .filter(task -> task.throttlePercent() < STEPS[0])
+                .filter(task -> task.throttlePercent() < SHARES_PERCENT[0])
                 .min(
                         Comparator.comparingDouble(
-                                task -> model.estimateIncrease(measure.load(), task.batchClass())))
-                .map(task -> new ReliefAction(task.task(), stepUp(task.throttlePercent())));
+                                task ->
+                                        model.estimateIncrease(
+                                                measurement.load(), task.batchClass())))
+                .map(
+                        task ->
+                                new ReliefAction(
+                                        task.task(), nextHigherShare(task.throttlePercent())));
     }
 
     private static boolean isRunning(RunningTask task) {
         return !task.stopping() && !task.queued();
     }
 
-    private static int stepDown(int percent) {
-        for (int step : STEPS) {
-            if (step < percent) {
-                return step;
+    private static int nextLowerShare(int percent) {
+        for (int share : SHARES_PERCENT) {
+            if (share < percent) {
+                return share;
             }
         }
         return 0;
     }
 
-    private static int stepUp(int percent) {
-        for (int i = STEPS.length - 1; i >= 0; i--) {
-            if (STEPS[i] > percent) {
-                return STEPS[i];
+    private static int nextHigherShare(int percent) {
+        for (int i = SHARES_PERCENT.length - 1; i >= 0; i--) {
+            if (SHARES_PERCENT[i] > percent) {
+                return SHARES_PERCENT[i];
             }
         }
-        return STEPS[0];
+        return SHARES_PERCENT[0];
     }
 }
--- a/src/main/java/org/standlink/policy/InterferenceAwarePlacement.java
+++ b/src/main/java/org/standlink/policy/InterferenceAwarePlacement.java
@@ -18,35 +18,36 @@
 import org.standlink.Resources;
 
 /**
- * Places a task where it disturbs services least, and packs tightly among equals.
+ * Chooses the worker on which the task interferes least with services, and packs tightly among
+ * equals.
  *
- * <p>A worker is left out when a service there is expected to come too near its target. How near is
- * too near follows from the operators' weights: the more tail latency weighs, the earlier.
+ * <p>A worker is excluded if the expected tail latency of one of its services exceeds a limit below
+ * the target, unless the task is urgent. The limit follows from the operators' weights: the greater
+ * the weight of tail latency, the lower the limit.
  *
  * <p>{@code InterferenceAwarePlacement} is as thread-safe as its estimator and model.
  */
 public final class InterferenceAwarePlacement extends AbstractPlacement {
 
-    /** The highest tail latency expected that is accepted, in percent of the target. */
-    private static final double HIGHEST_LIMIT = 95;
+    /** The limit if tail latency has no weight, in percent of the target. */
+    private static final double MAX_LIMIT_PERCENT = 95;
 
-    /** How much lower that limit is when only tail latency weighs, in percent of the target. */
-    private static final double LIMIT_RANGE = 25;
+    /** How much lower the limit is if only tail latency has weight, in percent of the target. */
+    private static final double LIMIT_RANGE_PERCENT = 25;
 
-    /** How much packing weighs against disturbance. */
-    private static final double PACKING = 5;
+    /** The score of a fully used worker, against the percentage points that the task adds. */
+    private static final double PACKING_WEIGHT = 5;
 
-    /** Learned interference. */
     private final InterferenceModel model;
 
-    /** The tail latency expected that is accepted, in percent of the target. */
-    private final double limit;
+    /** The greatest expected tail latency that is accepted, in percent of the target. */
+    private final double limitPercent;
 
     /**
-     * Constructor.
+     * Creates a placement policy.
      *
-     * @param sizes estimates what tasks take
-     * @param model learned interference
+     * @param sizes estimates the resources of tasks
+     * @param model estimates how much each task interferes
      * @param latencyWeight the operators' weight of tail latency
      * @param throughputWeight the operators' weight of batch throughput
      */
@@ -59,7 +60,7 @@
         this.model = model;
         double sum = latencyWeight + throughputWeight;
         double share = sum == 0 ? 0 : latencyWeight / sum;
-        this.limit = HIGHEST_LIMIT - LIMIT_RANGE * share;
+        this.limitPercent = MAX_LIMIT_PERCENT - LIMIT_RANGE_PERCENT * share;
     }
 
     @Override
@@ -67,15 +68,15 @@
         double added = 0;
         for (int i = 0; i < worker.getServices().size(); i++) {
             ServiceLoad load = worker.getServices().get(i);
-            double share = model.estimateIncrease(load, demand.batchClass());
-            double expected = worker.getExpectedLatency(i, model) + share;
-            if (expected > limit && !demand.urgent()) {
+            double increase = model.estimateIncrease(load, demand.batchClass());
+            double expected = worker.getExpectedLatency(i, model) + increase;
+            if (expected > limitPercent && !demand.urgent()) {
                 return INELIGIBLE;
             }
-            added += share;
+            added += increase;
         }
         double capacity = Math.max(1, worker.getCapacity().milliCores());
         double used = 1 - worker.getFree().milliCores() / capacity;
-        return PACKING * used - added;
+        return PACKING_WEIGHT * used - added;
     }
 }
--- a/src/main/java/org/standlink/policy/InterferenceModel.java
+++ b/src/main/java/org/standlink/policy/InterferenceModel.java
@@ -17,15 +17,15 @@
 
 import java.util.Collection;
 
-/** Estimates how much batch tasks slow the services beside them. */
+/** Estimates how much batch tasks lengthen the tail latency of colocated services. */
 public interface InterferenceModel {
 
     /**
      * Learns from a measurement.
      *
-     * @param load the service and its load when measured
-     * @param classes the classes of the tasks beside it then, one entry for each task
-     * @param latencyPercent its tail latency, in percent of its target
+     * @param load the service and its load at the time of the measurement
+     * @param classes the batch classes of the tasks colocated at that time, one entry per task
+     * @param latencyPercent the tail latency of the service, in percent of its target
      */
     void observe(ServiceLoad load, Collection<String> classes, double latencyPercent);
 
@@ -33,22 +33,22 @@
      * Estimates the tail latency of a service.
      *
      * @param load the service and its load
-     * @param classes the classes of the tasks beside it, one entry for each task
+     * @param classes the batch classes of the colocated tasks, one entry per task
      * @return the tail latency, in percent of the target
      */
     double estimate(ServiceLoad load, Collection<String> classes);
 
     /**
-     * Estimates what one task adds.
+     * Estimates how much one task adds to the tail latency of a service.
      *
      * @param load the service and its load
-     * @param batchClass the class of the task
-     * @return what it adds to the tail latency, in percent of the target
+     * @param batchClass the batch class of the task
+     * @return the increase of the tail latency, in percent of the target
      */
     double estimateIncrease(ServiceLoad load, String batchClass);
 
     /**
-     * Makes the baseline, which knows of no interference.
+     * Returns the baseline, which assumes that there is no interference.
      *
      * @return the model
      */
@@ -57,7 +57,7 @@
             @Override
             public void observe(
                     ServiceLoad load, Collection<String> classes, double latencyPercent) {
-                // Nothing is learned.
+                // The baseline does not learn.
             }
 
             @Override
--- a/src/main/java/org/standlink/policy/InterferenceTable.java
+++ b/src/main/java/org/standlink/policy/InterferenceTable.java
@@ -22,160 +22,171 @@
 import java.util.Map;
 
 /**
- * Learns which best-effort images lengthen the tail of which serving images, pair by pair.
+ * Learns which best-effort images lengthen the tail latency of which serving images, pair by pair.
  *
- * <p>Samples of the users' platform showed that a pair either hardly matters or lengthens the tail
- * up to fifteenfold, so each pair has one belief from 0 (harmless) to 1 (harmful). A tail above its
- * target raises the beliefs of the images that worked beside it, those most that are believed
- * harmful already; a tail well below lowers them. {@link LearnedInterference} adds shares instead,
- * which such outliers spoil.
+ * <p>In samples from the users' platform a pair had either hardly any effect or lengthened the tail
+ * latency up to fifteenfold, so each pair has one estimate from 0 (no interference) to 1 (strong
+ * interference). A tail latency near or above its target raises the estimates of the colocated
+ * images in proportion to their processor use and their present estimates; a tail latency well
+ * below its target lowers them. {@link LearnedInterference} adds up contributions of tasks instead,
+ * which such outliers distort.
  *
  * <p>{@code InterferenceTable} is thread-safe.
  */
 public final class InterferenceTable {
 
     /**
-     * The belief of a pair that was never seen; serving tails are protected by throttling
-     * meanwhile.
+     * The estimate of a pair that has not been observed; until it is, throttling protects the tail
+     * latency of the serving image.
      */
     public static final double INITIAL_ESTIMATE = 0.4;
 
-    /** The belief from which a pair counts as harmful. */
+    /** The estimate from which a pair counts as interfering. */
     public static final double HIGH_INTERFERENCE = 0.6;
 
-    /** The belief below which a pair counts as harmless. */
+    /** The estimate below which a pair counts as not interfering. */
     public static final double LOW_INTERFERENCE = 0.2;
 
-    /** The share of its target above which a tail blames what works beside it. */
-    private static final double HIGH = 0.95;
+    /** The ratio of tail latency to target above which estimates are raised. */
+    private static final double HIGH_TAIL_RATIO = 0.95;
 
-    /** The share of its target below which a tail clears what works beside it. */
-    private static final double LOW = 0.7;
+    /** The ratio of tail latency to target below which estimates are lowered. */
+    private static final double LOW_TAIL_RATIO = 0.7;
 
-    /** The least use of processors that is blamed, in thousandths of a core. */
-    private static final long LEAST_BLAMED = 300;
+    /** The processor use from which an estimate is raised, in thousandths of a core. */
+    private static final long MIN_RAISE_MILLICORES = 300;
 
-    /** The least use of processors that is cleared, in thousandths of a core. */
-    private static final long LEAST_CLEARED = 1000;
+    /** The processor use from which an estimate is lowered, in thousandths of a core. */
+    private static final long MIN_LOWER_MILLICORES = 1000;
 
-    /** How much of the way to 1 a belief is raised at once, if one image bears all the blame. */
-    private static final double RAISE = 0.5;
+    /**
+     * The fraction of the distance to 1 by which one sample raises the estimates; it is divided
+     * among the images by their weights.
+     */
+    private static final double RAISE_FRACTION = 0.5;
 
-    /** How much of the way to 0 a belief is lowered at once. */
-    private static final double LOWER = 0.12;
+    /** The fraction by which one sample lowers an estimate. */
+    private static final double LOWER_FRACTION = 0.12;
 
-    /** By how much a belief must have changed to be told anew. */
-    private static final double STEP = 0.1;
+    /** The step to which listed estimates are rounded. */
+    private static final double ROUNDING_STEP = 0.1;
 
     /**
-     * The belief of one pair.
+     * The estimate of one pair.
      *
      * @param serving the serving image
      * @param bestEffort the best-effort image
-     * @param estimate 0 for harmless to 1 for harmful
+     * @param estimate the estimated interference, from 0 for none to 1 for strong
      */
     @JsonFormat(shape = JsonFormat.Shape.ARRAY)
     public record Entry(String serving, String bestEffort, double estimate) {}
 
-    /** The beliefs, by serving and then best-effort image; guarded by this. */
-    private final Map<String, Map<String, Double>> beliefs = new HashMap<>();
+    /** The estimates, by serving and then best-effort image; guarded by this. */
+    private final Map<String, Map<String, Double>> estimates = new HashMap<>();
 
-    /** How often the rounded beliefs have changed; guarded by this. */
+    /** The number of changes of rounded estimates; guarded by this. */
     private long version;
 
     /**
      * Learns from one sample of a worker.
      *
      * @param serving the serving image
-     * @param ratio its tail as a share of its target
-     * @param used the processors in use by each best-effort image there, in thousandths of a core
+     * @param ratio the ratio of its tail latency to its target
+     * @param used the processor use of each colocated best-effort image, in thousandths of a core
      */
     public synchronized void observe(String serving, double ratio, Map<String, Long> used) {
-        if (ratio > HIGH) {
-            blame(serving, used);
-        } else if (ratio < LOW) {
+        if (ratio > HIGH_TAIL_RATIO) {
+            raise(serving, used);
+        } else if (ratio < LOW_TAIL_RATIO) {
             used.forEach(
-                    (bestEffort, cores) -> {
-                        if (cores >= LEAST_CLEARED) {
-                            put(serving, bestEffort, get(serving, bestEffort) * (1 - LOWER));
+                    (bestEffort, milliCores) -> {
+                        if (milliCores >= MIN_LOWER_MILLICORES) {
+                            put(
+                                    serving,
+                                    bestEffort,
+                                    get(serving, bestEffort) * (1 - LOWER_FRACTION));
                         }
                     });
         }
     }
 
-    private void blame(String serving, Map<String, Long> used) {
-        double sum = 0;
-        for (Map.Entry<String, Long> one : used.entrySet()) {
-            sum += guilt(serving, one);
+    private void raise(String serving, Map<String, Long> used) {
+        double totalWeight = 0;
+        for (Map.Entry<String, Long> imageUse : used.entrySet()) {
+            totalWeight += weight(serving, imageUse);
         }
-        for (Map.Entry<String, Long> one : used.entrySet()) {
-            double guilt = guilt(serving, one);
-            if (guilt > 0) {
-                double belief = get(serving, one.getKey());
-                double raised = belief + RAISE * (guilt / sum) * (1 - belief);
-                put(serving, one.getKey(), raised);
+        for (Map.Entry<String, Long> imageUse : used.entrySet()) {
+            double weight = weight(serving, imageUse);
+            if (weight > 0) {
+                double estimate = get(serving, imageUse.getKey());
+                double raised = estimate + RAISE_FRACTION * (weight / totalWeight) * (1 - estimate);
+                put(serving, imageUse.getKey(), raised);
             }
         }
     }
 
-    private double guilt(String serving, Map.Entry<String, Long> used) {
-        return used.getValue() < LEAST_BLAMED ? 0 : used.getValue() * get(serving, used.getKey());
+    private double weight(String serving, Map.Entry<String, Long> used) {
+        return used.getValue() < MIN_RAISE_MILLICORES
+                ? 0
+                : used.getValue() * get(serving, used.getKey());
     }
 
-    private void put(String serving, String bestEffort, double belief) {
-        Double before =
-                beliefs.computeIfAbsent(serving, key -> new HashMap<>()).put(bestEffort, belief);
-        if (before == null || round(before) != round(belief)) {
+    private void put(String serving, String bestEffort, double estimate) {
+        Double previous =
+                estimates
+                        .computeIfAbsent(serving, key -> new HashMap<>())
+                        .put(bestEffort, estimate);
+        if (previous == null || round(previous) != round(estimate)) {
             version++;
         }
     }
 
-    private static double round(double belief) {
-        return Math.round(belief / STEP) * STEP;
+    private static double round(double estimate) {
+        return Math.round(estimate / ROUNDING_STEP) * ROUNDING_STEP;
     }
 
     /**
-     * Gets the number of changes that {@link #list} shows.
+     * Gets the version, which increases with each change to the result of {@link #list}.
      *
-     * @return the number, which rises
+     * @return the version
      */
     public synchronized long getVersion() {
         return version;
     }
 
     /**
-     * Gets the belief of a pair.
+     * Gets the estimate of a pair.
      *
      * @param serving the serving image
      * @param bestEffort the best-effort image
-     * @return 0 for harmless to 1 for harmful
+     * @return the estimated interference, from 0 for none to 1 for strong
      */
     public synchronized double get(String serving, String bestEffort) {
-        Map<String, Double> row = beliefs.get(serving);
+        Map<String, Double> row = estimates.get(serving);
         return row == null ? INITIAL_ESTIMATE : row.getOrDefault(bestEffort, INITIAL_ESTIMATE);
     }
 
     /**
-     * Takes over beliefs that another process has learnt.
+     * Replaces the estimates of the given pairs, such as by those that another process has learned.
      *
-     * @param told the beliefs
+     * @param entries the estimates
      */
-    public synchronized void putAll(List<Entry> told) {
-        told.forEach(entry -> put(entry.serving(), entry.bestEffort(), entry.estimate()));
+    public synchronized void putAll(List<Entry> entries) {
+        entries.forEach(entry -> put(entry.serving(), entry.bestEffort(), entry.estimate()));
     }
 
     /**
-     * Lists the beliefs, rounded, so that small changes need not be told.
+     * Lists the estimates, rounded so that small changes need not be sent.
      *
-     * @return the beliefs
+     * @return the estimates
      */
     public synchronized List<Entry> list() {
         List<Entry> all = new ArrayList<>();
-        beliefs.forEach(
+        estimates.forEach(
                 (serving, row) ->
                         row.forEach(
-                                (bestEffort, belief) -> {
-                                    all.add(new Entry(serving, bestEffort, round(belief)));
+                                (bestEffort, estimate) -> {
+                                    all.add(new Entry(serving, bestEffort, round(estimate)));
                                 }));
         return all;
     }
--- a/src/main/java/org/standlink/policy/LearnedInterference.java
+++ b/src/main/java/org/standlink/policy/LearnedInterference.java
@@ -20,88 +20,79 @@
 import java.util.Map;
 
 /**
- * Learns, pair by pair, how much a task of a batch class adds to a service's tail latency at each
- * load level.
+ * Learns how much a task of a batch class adds to the tail latency of a service at each load level.
  *
- * <p>A measurement is explained as a base of the service at that level plus a share for each task
- * beside it. What is left unexplained corrects the base and the shares a little (normalised least
- * mean squares), so that the model forgets as interference shifts. While a pair has few
- * measurements its share is drawn towards the mean of its class over all services and levels.
+ * <p>A measurement is modelled as a base value of the service at that load level plus a
+ * contribution of each colocated task. A fraction of the residual corrects the base value and the
+ * contributions (normalised least mean squares), so that the model adapts when interference
+ * changes. While a pair has few measurements, its contribution is drawn towards the mean of its
+ * batch class over all services and load levels.
  *
- * <p>{@code LearnedInterference} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code LearnedInterference} is mutable and not thread-safe; callers must synchronize access.
  */
 public final class LearnedInterference implements InterferenceModel {
 
-    /** How much of the unexplained part is corrected at once. */
-    private static final double RATE = 0.3;
+    /** The fraction of the residual that one measurement corrects. */
+    private static final double CORRECTION_RATE = 0.3;
 
-    /** How many measurements weigh as much as the class mean. */
+    /** The number of measurements that have the same weight as the class mean. */
     private static final double PRIOR_COUNT = 5;
 
-    /** The share of a task of a class that was never seen, in percent of the target. */
-    private static final double UNSEEN_SHARE = 4;
+    /** The contribution of a batch class without measurements, in percent of the target. */
+    private static final double DEFAULT_CONTRIBUTION = 4;
 
-    /** The base of a service that was never seen, in percent of the target. */
-    private static final double UNSEEN_BASE = 50;
+    /** The base value of a service without measurements, in percent of the target. */
+    private static final double DEFAULT_BASE = 50;
 
-    /** The name under which bases are kept; no batch class has it. */
-    private static final String BASE = "";
+    /** The key of base values, used in place of a batch class; no batch class has an empty name. */
+    private static final String BASE_KEY = "";
 
-    /** A service at a load level with a batch class. */
+    /** A service at a load level and a batch class. */
     private record Pair(ServiceLoad load, String batchClass) {}
 
-    /** A learned share. */
-    private static final class Share {
+    /** A learned base value or contribution. */
+    private static final class Coefficient {
 
-        /** The share, in percent of the target. */
+        /** The value, in percent of the target. */
         private double value;
 
-        /** How many measurements there were. */
+        /** The number of corrections. */
         private long count;
 
-        /**
-         * Constructor.
-         *
-         * @param value the first value
-         */
-        private Share(double value) {
+        private Coefficient(double value) {
             this.value = value;
         }
 
-        /**
-         * Corrects the share.
-         *
-         * @param correction what to add
-         */
+        /** Adds a correction; the value never becomes negative. */
         private void correct(double correction) {
             value = Math.max(0, value + correction);
             count++;
         }
     }
 
-    /** The learned shares of pairs. */
-    private final Map<Pair, Share> pairs = new HashMap<>();
+    /** The base values and the contributions of each pair. */
+    private final Map<Pair, Coefficient> pairs = new HashMap<>();
 
-    /** The learned shares of classes over all services and levels. */
-    private final Map<String, Share> classes = new HashMap<>();
+    /** The contributions of each batch class over all services and load levels. */
+    private final Map<String, Coefficient> classes = new HashMap<>();
 
     @Override
-    public void observe(ServiceLoad load, Collection<String> beside, double latencyPercent) {
-        double unexplained = latencyPercent - estimate(load, beside);
-        double correction = RATE * unexplained / (1 + beside.size());
-        pair(load, BASE, UNSEEN_BASE).correct(correction);
-        for (String batchClass : beside) {
-            pair(load, batchClass, classShare(batchClass)).correct(correction);
-            classes.computeIfAbsent(batchClass, key -> new Share(UNSEEN_SHARE))
+    public void observe(ServiceLoad load, Collection<String> colocated, double latencyPercent) {
+        double residual = latencyPercent - estimate(load, colocated);
+        double correction = CORRECTION_RATE * residual / (1 + colocated.size());
+        getOrAdd(load, BASE_KEY, DEFAULT_BASE).correct(correction);
+        for (String batchClass : colocated) {
+            getOrAdd(load, batchClass, getClassMean(batchClass)).correct(correction);
+            classes.computeIfAbsent(batchClass, key -> new Coefficient(DEFAULT_CONTRIBUTION))
                     .correct(correction / PRIOR_COUNT);
         }
     }
 
     @Override
-    public double estimate(ServiceLoad load, Collection<String> beside) {
-        Share base = pairs.get(new Pair(load, BASE));
-        double sum = base == null ? UNSEEN_BASE : base.value;
-        for (String batchClass : beside) {
+    public double estimate(ServiceLoad load, Collection<String> colocated) {
+        Coefficient base = pairs.get(new Pair(load, BASE_KEY));
+        double sum = base == null ? DEFAULT_BASE : base.value;
+        for (String batchClass : colocated) {
             sum += estimateIncrease(load, batchClass);
         }
         return sum;
@@ -109,22 +100,23 @@
 
     @Override
     public double estimateIncrease(ServiceLoad load, String batchClass) {
-        double prior = classShare(batchClass);
-        Share share = pairs.get(new Pair(load, batchClass));
-        if (share == null) {
+        double prior = getClassMean(batchClass);
+        Coefficient coefficient = pairs.get(new Pair(load, batchClass));
+        if (coefficient == null) {
             return prior;
         }
-        double trust = share.count / (share.count + PRIOR_COUNT);
-        return trust * share.value + (1 - trust) * prior;
+        double weight = coefficient.count / (coefficient.count + PRIOR_COUNT);
+        return weight * coefficient.value + (1 - weight) * prior;
     }
 
     // -----------------------------------------------------------------------
-    private double classShare(String batchClass) {
-        Share share = classes.get(batchClass);
-        return share == null ? UNSEEN_SHARE : share.value;
+    private double getClassMean(String batchClass) {
+        Coefficient coefficient = classes.get(batchClass);
+        return coefficient == null ? DEFAULT_CONTRIBUTION : coefficient.value;
     }
 
-    private Share pair(ServiceLoad load, String batchClass, double first) {
-        return pairs.computeIfAbsent(new Pair(load, batchClass), key -> new Share(first));
+    private Coefficient getOrAdd(ServiceLoad load, String batchClass, double initialValue) {
+        return pairs.computeIfAbsent(
+                new Pair(load, batchClass), key -> new Coefficient(initialValue));
     }
 }
--- a/src/main/java/org/standlink/policy/LearnedSizes.java
+++ b/src/main/java/org/standlink/policy/LearnedSizes.java
@@ -20,63 +20,62 @@
 import org.standlink.Resources;
 
 /**
- * Learns what the tasks of each class take, in place of what is declared.
+ * Learns the resource use of the tasks of each batch class.
  *
- * <p>The estimate is the mean of recent measurements plus a margin of their deviation. It starts at
- * the declaration and moves to the measurements as they come in. Accelerators are whole and are
- * taken as declared.
+ * <p>The estimate is the mean of recent measurements plus a multiple of their standard deviation.
+ * It starts at the declared size and approaches the measurements as they arrive. Accelerators are
+ * indivisible and are granted as declared.
  *
- * <p>{@code LearnedSizes} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code LearnedSizes} is mutable and not thread-safe; callers must synchronize access.
  */
 public final class LearnedSizes implements SizeEstimator {
 
-    /** How much a new measurement counts. */
-    private static final double RATE = 0.05;
+    /** The weight of a new measurement. */
+    private static final double MEASUREMENT_WEIGHT = 0.05;
 
-    /** How many measurements weigh as much as the declaration. */
+    /** The number of measurements that have the same weight as the declared size. */
     private static final double PRIOR_COUNT = 4;
 
-    /** How many deviations are added to the mean. */
+    /** The number of standard deviations added to the mean. */
     private static final double DEVIATIONS = 1;
 
-    /** The least that a task is granted, in thousandths of a core and in megabytes. */
-    private static final long LEAST = 50;
+    /** The smallest estimate, in thousandths of a core and in megabytes. */
+    private static final long MIN_ESTIMATE = 50;
 
-    /** What is known of each class. */
-    private final Map<String, Learned> classes = new HashMap<>();
+    private final Map<String, Measurements> classes = new HashMap<>();
 
-    /** What is known of one class. */
-    private static final class Learned {
+    /** The measured use of one batch class. */
+    private static final class Measurements {
 
-        /** Processors. */
-        private final RunningMean cores = new RunningMean(RATE);
+        /** The processor use, in thousandths of a core. */
+        private final RunningMean cores = new RunningMean(MEASUREMENT_WEIGHT);
 
-        /** Memory. */
-        private final RunningMean memory = new RunningMean(RATE);
+        /** The memory use, in megabytes. */
+        private final RunningMean memory = new RunningMean(MEASUREMENT_WEIGHT);
     }
 
     @Override
     public void observe(String batchClass, Resources usage) {
-        Learned learned = classes.computeIfAbsent(batchClass, key -> new Learned());
-        learned.cores.add(usage.milliCores());
-        learned.memory.add(usage.memoryMegabytes());
+        Measurements measurements = classes.computeIfAbsent(batchClass, key -> new Measurements());
+        measurements.cores.add(usage.milliCores());
+        measurements.memory.add(usage.memoryMegabytes());
     }
 
     @Override
     public Resources estimate(String batchClass, Resources declared) {
-        Learned learned = classes.get(batchClass);
-        if (learned == null) {
+        Measurements measurements = classes.get(batchClass);
+        if (measurements == null) {
             return declared;
         }
         return new Resources(
-                blend(learned.cores, declared.milliCores()),
-                blend(learned.memory, declared.memoryMegabytes()),
+                blend(measurements.cores, declared.milliCores()),
+                blend(measurements.memory, declared.memoryMegabytes()),
                 declared.accelerators());
     }
 
-    private static long blend(RunningMean learned, long declared) {
-        double trust = learned.getCount() / (learned.getCount() + PRIOR_COUNT);
-        double measured = learned.getMean() + DEVIATIONS * learned.getDeviation();
-        return Math.max(LEAST, Math.round(trust * measured + (1 - trust) * declared));
+    private static long blend(RunningMean measurements, long declared) {
+        double weight = measurements.getCount() / (measurements.getCount() + PRIOR_COUNT);
+        double measured = measurements.getMean() + DEVIATIONS * measurements.getDeviation();
+        return Math.max(MIN_ESTIMATE, Math.round(weight * measured + (1 - weight) * declared));
     }
 }
--- a/src/main/java/org/standlink/policy/LeastLoadedPlacement.java
+++ b/src/main/java/org/standlink/policy/LeastLoadedPlacement.java
@@ -18,16 +18,16 @@
 import org.standlink.Resources;
 
 /**
- * A baseline: the worker with the most processors free.
+ * Baseline policy that chooses the worker with the most free processor capacity.
  *
  * <p>{@code LeastLoadedPlacement} is as thread-safe as its size estimator.
  */
 public final class LeastLoadedPlacement extends AbstractPlacement {
 
     /**
-     * Constructor.
+     * Creates a placement policy.
      *
-     * @param sizes estimates what tasks take
+     * @param sizes estimates the resources of tasks
      */
     public LeastLoadedPlacement(SizeEstimator sizes) {
         super(sizes);
--- a/src/main/java/org/standlink/policy/OutlierDetector.java
+++ b/src/main/java/org/standlink/policy/OutlierDetector.java
@@ -21,118 +21,124 @@
 import org.standlink.VmId;
 
 /**
- * Takes upstreams that fail, or are far slower than the others, out of routing for a while.
+ * Ejects upstreams from routing for a while if they fail or are far slower than the others.
  *
- * <p>A removed upstream is probed with single requests after a time that doubles with each removal.
- * At most half of the upstreams are out at a time, so that a common cause never leaves none.
+ * <p>An ejected upstream is probed with single requests after a time that doubles with each
+ * ejection. At most half of the upstreams are ejected at a time, so that a common cause of failure
+ * never leaves none.
  *
  * <p>{@code OutlierDetector} is thread-safe.
  */
 public final class OutlierDetector {
 
-    /** How many failures in a row remove an upstream. */
-    private static final int FAILURES_TO_REMOVE = 3;
+    /** The number of consecutive failures after which an upstream is ejected. */
+    private static final int FAILURES_TO_EJECT = 3;
 
-    /** How many times the median answer time removes an upstream. */
-    private static final double SLOWER_THAN_MEDIAN = 5;
+    /** The multiple of the median answer time above which an upstream is ejected. */
+    private static final double SLOW_FACTOR = 5;
 
-    /** How many answers must have been seen before slowness counts. */
-    private static final long ANSWERS_TO_JUDGE = 20;
+    /** The number of answers before an upstream can be ejected for being slow. */
+    private static final long MIN_ANSWERS = 20;
 
-    /** The first time out, in milliseconds. */
-    private static final long FIRST_OUT_MILLIS = 1_000;
+    /** The duration of the first ejection, in milliseconds. */
+    private static final long FIRST_EJECTION_MILLIS = 1_000;
 
-    /** The longest time out, in milliseconds. */
-    private static final long LONGEST_OUT_MILLIS = 30_000;
+    /** The longest duration of an ejection, in milliseconds. */
+    private static final long MAX_EJECTION_MILLIS = 30_000;
 
-    /** How much a new answer time counts. */
-    private static final double RATE = 0.1;
+    /** The weight of a new answer time in the mean. */
+    private static final double ANSWER_WEIGHT = 0.1;
 
-    /** What is known of each upstream. */
-    private final Map<VmId, Record> records = new HashMap<>();
+    private final Map<VmId, UpstreamState> states = new HashMap<>();
 
-    /** What is known of an upstream. */
-    private static final class Record {
+    /** The state of one upstream. */
+    private static final class UpstreamState {
 
-        /** Answer times, in microseconds. */
-        private final RunningMean latency = new RunningMean(RATE);
+        /** The mean answer time, in microseconds. */
+        private final RunningMean latency = new RunningMean(ANSWER_WEIGHT);
 
-        /** Failures since the last answer. */
+        /** The number of failures since the last answer. */
         private int failures;
 
-        /** When it may be probed, in milliseconds; 0 while it is in routing. */
-        private long outUntil;
+        /** When the upstream may be probed, in milliseconds; 0 if it is not ejected. */
+        private long ejectedUntilMillis;
 
-        /** Whether a probe is under way. */
+        /** Whether a probe is in progress. */
         private boolean probing;
 
-        /** The next time out, in milliseconds. */
-        private long nextOut = FIRST_OUT_MILLIS;
+        /** The duration of the next ejection, in milliseconds. */
+        private long nextEjectionMillis = FIRST_EJECTION_MILLIS;
     }
 
     /**
-     * Notes an answer.
+     * Records an answer.
      *
      * @param vm the upstream
-     * @param micros how long it took, in microseconds
-     * @param nowMillis the time, in milliseconds
+     * @param micros the answer time, in microseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public synchronized void recordAnswer(VmId vm, long micros, long nowMillis) {
-        Record record = records.computeIfAbsent(vm, key -> new Record());
-        record.latency.add(micros);
-        record.failures = 0;
-        double median = median();
+        UpstreamState state = states.computeIfAbsent(vm, key -> new UpstreamState());
+        state.latency.add(micros);
+        state.failures = 0;
+        double median = getMedianLatency();
         boolean slow =
-                record.latency.getCount() >= ANSWERS_TO_JUDGE
-                        && micros > median * SLOWER_THAN_MEDIAN
-                        && record.latency.getMean() > median * SLOWER_THAN_MEDIAN;
+                state.latency.getCount() >= MIN_ANSWERS
+                        && micros > median * SLOW_FACTOR
+                        && state.latency.getMean() > median * SLOW_FACTOR;
         if (slow) {
-            remove(record, nowMillis);
-        } else if (record.outUntil != 0) {
-            record.outUntil = 0;
-            record.probing = false;
+            eject(state, nowMillis);
+        } else if (state.ejectedUntilMillis != 0) {
+            state.ejectedUntilMillis = 0;
+            state.probing = false;
         } else {
-            record.nextOut = Math.max(FIRST_OUT_MILLIS, record.nextOut - 1);
+            state.nextEjectionMillis =
+                    Math.max(FIRST_EJECTION_MILLIS, state.nextEjectionMillis - 1);
         }
     }
 
     /**
-     * Notes a failure.
+     * Records a failure.
      *
      * @param vm the upstream
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public synchronized void recordFailure(VmId vm, long nowMillis) {
-        Record record = records.computeIfAbsent(vm, key -> new Record());
-        record.failures++;
-        if (record.failures >= FAILURES_TO_REMOVE) {
-            remove(record, nowMillis);
+        UpstreamState state = states.computeIfAbsent(vm, key -> new UpstreamState());
+        state.failures++;
+        if (state.failures >= FAILURES_TO_EJECT) {
+            eject(state, nowMillis);
         }
     }
 
     /**
-     * Checks whether an upstream may be taken; a removed one that is due may be taken once.
+     * Checks whether a request may be sent to an upstream; an ejected one may get a single probe
+     * when the time of its ejection has passed.
      *
      * @param vm the upstream
-     * @param nowMillis the time, in milliseconds
-     * @return true if it may
+     * @param nowMillis the current time, in milliseconds
+     * @return true if a request may be sent
      */
     public synchronized boolean isAllowed(VmId vm, long nowMillis) {
-        Record record = records.get(vm);
-        return record == null || record.outUntil == 0 || nowMillis >= record.outUntil;
+        UpstreamState state = states.get(vm);
+        return state == null
+                || state.ejectedUntilMillis == 0
+                || nowMillis >= state.ejectedUntilMillis;
     }
 
     /**
-     * Notes that a request was sent to an upstream, which is its probe if it was removed.
+     * Records that a request was sent to an upstream, which is its probe if it is ejected.
      *
      * @param vm the upstream
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public synchronized void recordSend(VmId vm, long nowMillis) {
-        Record record = records.get(vm);
-        if (record != null && record.outUntil != 0 && nowMillis >= record.outUntil) {
-            record.outUntil = nowMillis + record.nextOut;
-            record.probing = true;
+        UpstreamState state = states.get(vm);
+        if (state != null
+                && state.ejectedUntilMillis != 0
+                && nowMillis >= state.ejectedUntilMillis) {
+            state.ejectedUntilMillis = nowMillis + state.nextEjectionMillis;
+            state.probing = true;
         }
     }
 
@@ -140,42 +146,43 @@
      * Gets the mean answer time of an upstream.
      *
      * @param vm the upstream
-     * @return the mean, in microseconds, 0 if not known
+     * @return the mean, in microseconds; 0 if not known
      */
     public synchronized long getLatencyMicros(VmId vm) {
-        Record record = records.get(vm);
-        return record == null ? 0 : Math.round(record.latency.getMean());
+        UpstreamState state = states.get(vm);
+        return state == null ? 0 : Math.round(state.latency.getMean());
     }
 
     /**
-     * Forgets the upstreams that are gone.
+     * Removes the state of all upstreams but the given ones.
      *
-     * @param present the upstreams that are still there
+     * @param existing the upstreams that still exist
      */
-    public synchronized void retain(Collection<VmId> present) {
-        records.keySet().retainAll(present);
+    public synchronized void retain(Collection<VmId> existing) {
+        states.keySet().retainAll(existing);
     }
 
     // -----------------------------------------------------------------------
-    private void remove(Record record, long nowMillis) {
-        if (record.outUntil != 0 && !record.probing) {
-            // What was sent before the removal says nothing new.
+    private void eject(UpstreamState state, long nowMillis) {
+        if (state.ejectedUntilMillis != 0 && !state.probing) {
+            // The request was sent before the ejection, so its result is no new evidence.
             return;
         }
-        record.probing = false;
-        long out = records.values().stream().filter(other -> other.outUntil != 0).count();
-        if (record.outUntil == 0 && (out + 1) * 2 > records.size()) {
+        state.probing = false;
+        long ejected =
+                states.values().stream().filter(other -> other.ejectedUntilMillis != 0).count();
+        if (state.ejectedUntilMillis == 0 && (ejected + 1) * 2 > states.size()) {
             return;
         }
-        record.outUntil = nowMillis + record.nextOut;
-        record.nextOut = Math.min(LONGEST_OUT_MILLIS, record.nextOut * 2);
+        state.ejectedUntilMillis = nowMillis + state.nextEjectionMillis;
+        state.nextEjectionMillis = Math.min(MAX_EJECTION_MILLIS, state.nextEjectionMillis * 2);
     }
 
-    private double median() {
+    private double getMedianLatency() {
         double[] means =
-                records.values().stream()
-                        .filter(record -> record.latency.getCount() > 0)
-                        .mapToDouble(record -> record.latency.getMean())
+                states.values().stream()
+                        .filter(state -> state.latency.getCount() > 0)
+                        .mapToDouble(state -> state.latency.getMean())
                         .sorted()
                         .toArray();
         return means.length == 0 ? 0 : means[means.length / 2];
--- a/src/main/java/org/standlink/policy/PlacementDecision.java
+++ b/src/main/java/org/standlink/policy/PlacementDecision.java
@@ -19,21 +19,21 @@
 import org.standlink.VmId;
 
 /**
- * Where a task goes, or why it waits.
+ * The worker that a task is assigned to, or the reason why it waits.
  *
  * <p>{@code PlacementDecision} is thread-safe and immutable.
  *
  * @param worker the VM, null if the task waits
- * @param resources what it is granted there, null if it waits
- * @param reason why it waits, empty if placed
+ * @param resources the resources granted to the task, null if it waits
+ * @param reason why the task waits, empty if it is placed
  */
 public record PlacementDecision(VmId worker, Resources resources, String reason) {
 
     /**
-     * Makes a decision to place.
+     * Creates a decision to place the task.
      *
      * @param worker the VM
-     * @param resources what is granted there
+     * @param resources the resources granted to the task
      * @return the decision
      */
     public static PlacementDecision ofPlaced(VmId worker, Resources resources) {
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Makes a decision to wait.
+     * Creates a decision to let the task wait.
      *
-     * @param reason why
+     * @param reason why the task waits
      * @return the decision
      */
     public static PlacementDecision ofWaiting(String reason) {
--- a/src/main/java/org/standlink/policy/PlacementPolicy.java
+++ b/src/main/java/org/standlink/policy/PlacementPolicy.java
@@ -21,11 +21,11 @@
 public interface PlacementPolicy {
 
     /**
-     * Chooses a worker with room now.
+     * Chooses a worker with enough free capacity.
      *
      * @param demand the task
      * @param workers the workers of the cell
-     * @return where it goes or why it waits; no worker is given more than it has
+     * @return the worker, or why the task waits; the free capacity of a worker is never exceeded
      */
     PlacementDecision place(TaskDemand demand, List<WorkerView> workers);
 }
--- a/src/main/java/org/standlink/policy/PlanningResult.java
+++ b/src/main/java/org/standlink/policy/PlanningResult.java
@@ -20,13 +20,13 @@
 import org.standlink.TaskId;
 
 /**
- * The outcome of one round of planning.
+ * The result of one planning round.
  *
  * <p>{@code PlanningResult} is thread-safe and immutable.
  *
- * @param placements where tasks go
- * @param waiting why the others wait
- * @param evictions tasks to checkpoint and stop, to make room for urgent ones
+ * @param placements the decisions on the tasks that are assigned to workers
+ * @param waiting why each of the other tasks waits
+ * @param evictions the tasks to checkpoint and stop, to free capacity for urgent ones
  */
 public record PlanningResult(
         Map<TaskId, PlacementDecision> placements,
--- a/src/main/java/org/standlink/policy/QuotaUsage.java
+++ b/src/main/java/org/standlink/policy/QuotaUsage.java
@@ -21,20 +21,17 @@
 import org.standlink.TeamId;
 
 /**
- * What each team holds of its quota during one round of planning.
+ * The resources that each team uses of its quota during one planning round.
  *
- * <p>{@code QuotaUsage} is mutable and not thread-safe; each round of planning makes its own.
+ * <p>{@code QuotaUsage} is mutable and not thread-safe; each planning round creates its own.
  */
 public final class QuotaUsage {
 
-    /** The quotas. */
     private final Map<TeamId, Resources> quotas;
-
-    /** What the teams hold. */
-    private final Map<TeamId, Resources> held = new HashMap<>();
+    private final Map<TeamId, Resources> used = new HashMap<>();
 
     /**
-     * Constructor.
+     * Creates an instance in which no team uses any resources.
      *
      * @param quotas the quotas; a team without one has no limit
      */
@@ -43,23 +40,23 @@
     }
 
     /**
-     * Notes that a team holds more.
+     * Adds to the resources that a team uses.
      *
-     * @param team the team, null for work whose job is gone
-     * @param amount what it holds more
+     * @param team the team, null for a task whose job no longer exists
+     * @param amount the resources to add
      */
     public void add(TeamId team, Resources amount) {
         if (team != null) {
-            held.merge(team, amount, Resources::plus);
+            used.merge(team, amount, Resources::plus);
         }
     }
 
     /**
-     * Says whether a team may hold more.
+     * Checks whether a team's quota permits further resources.
      *
      * @param team the team
-     * @param amount what it wants
-     * @return null if it may, else the reason why not
+     * @param amount the further resources
+     * @return the reason why they are not permitted, null if they are
      */
     public WaitingReason findViolation(TeamId team, Resources amount) {
         Resources quota = quotas.get(team);
@@ -69,28 +66,29 @@
         if (!amount.fitsIn(quota)) {
             return WaitingReason.QUOTA_TOO_SMALL;
         }
-        Resources sum = held.getOrDefault(team, Resources.NONE).plus(amount);
-        return sum.fitsIn(quota) ? null : WaitingReason.OVER_QUOTA;
+        Resources total = used.getOrDefault(team, Resources.NONE).plus(amount);
+        return total.fitsIn(quota) ? null : WaitingReason.OVER_QUOTA;
     }
 
     /**
-     * Gets the largest share of its quota that a team holds, by which teams are ordered.
+     * Gets the share of its quota that a team uses of processors or memory, whichever is larger.
+     * Teams with a smaller share are served first.
      *
      * @param team the team
-     * @return the share, 0 without a quota
+     * @return the share, 0 if the team has no quota
      */
     public double getDominantShare(TeamId team) {
         Resources quota = quotas.get(team);
-        Resources now = held.getOrDefault(team, Resources.NONE);
+        Resources usage = used.getOrDefault(team, Resources.NONE);
         if (quota == null) {
             return 0;
         }
-        double cores = share(now.milliCores(), quota.milliCores());
-        double memory = share(now.memoryMegabytes(), quota.memoryMegabytes());
+        double cores = fraction(usage.milliCores(), quota.milliCores());
+        double memory = fraction(usage.memoryMegabytes(), quota.memoryMegabytes());
         return Math.max(cores, memory);
     }
 
-    private static double share(long part, long whole) {
+    private static double fraction(long part, long whole) {
         return whole == 0 ? 0 : (double) part / whole;
     }
 }
--- a/src/main/java/org/standlink/policy/ReliefAction.java
+++ b/src/main/java/org/standlink/policy/ReliefAction.java
@@ -18,11 +18,12 @@
 import org.standlink.TaskId;
 
 /**
- * What to do to a task so that a service keeps its target.
+ * An action on a task that keeps a service within its target.
  *
  * <p>{@code ReliefAction} is thread-safe and immutable.
  *
  * @param task the task
- * @param throttlePercent the share of its processors it may use from now, in percent; 0 to stop it
+ * @param throttlePercent the share of its processors that it may use from now on, in percent; 0 to
+ *     stop it
  */
 public record ReliefAction(TaskId task, int throttlePercent) {}
--- a/src/main/java/org/standlink/policy/ReliefPolicy.java
+++ b/src/main/java/org/standlink/policy/ReliefPolicy.java
@@ -17,15 +17,15 @@
 
 import java.util.List;
 
-/** Decides what to do to batch tasks when a service is at risk of missing its target. */
+/** Decides which batch tasks to throttle or stop when a service is likely to miss its target. */
 public interface ReliefPolicy {
 
     /**
-     * Decides after a measurement.
+     * Decides on the actions that follow from a measurement.
      *
-     * @param measure the measurement
-     * @param beside the tasks on the same VM
-     * @return what to do, in order; empty for nothing
+     * @param measurement the measurement
+     * @param colocated the tasks on the same VM
+     * @return the actions in order, empty if none is needed
      */
-    List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside);
+    List<ReliefAction> relieve(ServiceMeasurement measurement, List<RunningTask> colocated);
 }
--- a/src/main/java/org/standlink/policy/RetryBudget.java
+++ b/src/main/java/org/standlink/policy/RetryBudget.java
@@ -16,23 +16,23 @@
 package org.standlink.policy;
 
 /**
- * Bounds retries to a share of the requests, so that retries never multiply an overload.
+ * Limits retries to a share of the requests, so that retries never multiply an overload.
  *
  * <p>{@code RetryBudget} is thread-safe.
  */
 public final class RetryBudget {
 
-    /** The most that can be saved up, in retries. */
-    private static final double MOST_SAVED = 50;
+    /** The maximum number of retries that can accumulate. */
+    private static final double MAX_AVAILABLE = 50;
 
-    /** What each request adds, in retries. */
+    /** The number of retries that each request adds. */
     private final double share;
 
-    /** What is saved up, in retries. */
-    private double saved = MOST_SAVED / 5;
+    /** The number of retries available. */
+    private double available = MAX_AVAILABLE / 5;
 
     /**
-     * Constructor.
+     * Creates a budget that allows a few retries before the first request.
      *
      * @param share the share of requests that may be retried, 0 to 1
      */
@@ -40,21 +40,21 @@
         this.share = share;
     }
 
-    /** Notes a request. */
+    /** Records a request, which adds to the budget. */
     public synchronized void recordRequest() {
-        saved = Math.min(MOST_SAVED, saved + share);
+        available = Math.min(MAX_AVAILABLE, available + share);
     }
 
     /**
-     * Takes one retry out of the budget.
+     * Takes one retry from the budget.
      *
-     * @return true if there was one
+     * @return true if a retry was available
      */
     public synchronized boolean tryRetry() {
-        if (saved < 1) {
+        if (available < 1) {
             return false;
         }
-        saved--;
+        available--;
         return true;
     }
 }
--- a/src/main/java/org/standlink/policy/RoundRobinRouting.java
+++ b/src/main/java/org/standlink/policy/RoundRobinRouting.java
@@ -19,13 +19,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The baseline: each upstream in turn.
+ * Baseline policy that chooses each upstream in turn.
  *
  * <p>{@code RoundRobinRouting} is thread-safe.
  */
 public final class RoundRobinRouting implements RoutingPolicy {
 
-    /** The number of choices made. */
     private final AtomicInteger choices = new AtomicInteger();
 
     @Override
--- a/src/main/java/org/standlink/policy/RoutingPolicy.java
+++ b/src/main/java/org/standlink/policy/RoutingPolicy.java
@@ -23,8 +23,8 @@
     /**
      * Chooses an upstream.
      *
-     * @param candidates the upstreams that may be taken, not empty
-     * @return the index of the chosen one
+     * @param candidates the eligible upstreams, not empty
+     * @return the index of the chosen upstream
      */
     int choose(List<UpstreamView> candidates);
 }
--- a/src/main/java/org/standlink/policy/RunningMean.java
+++ b/src/main/java/org/standlink/policy/RunningMean.java
@@ -16,38 +16,28 @@
 package org.standlink.policy;
 
 /**
- * A mean and deviation that forget old values.
+ * The mean and standard deviation of a series, in which the weight of old values decays.
  *
- * <p>{@code RunningMean} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code RunningMean} is mutable and not thread-safe; callers must synchronize access.
  */
 final class RunningMean {
 
-    /** How much a new value counts once there are many. */
+    /** The weight of a new value once there are many. */
     private final double rate;
 
-    /** How many values came. */
     private long count;
-
-    /** The mean. */
     private double mean;
-
-    /** The variance. */
     private double variance;
 
     /**
-     * Constructor.
+     * Creates an empty series.
      *
-     * @param rate how much a new value counts once there are many, 0 to 1
+     * @param rate the weight of a new value once there are many, 0 to 1
      */
     RunningMean(double rate) {
         this.rate = rate;
     }
 
-    /**
-     * Adds a value.
-     *
-     * @param value the value
-     */
     void add(double value) {
         count++;
         double weight = Math.max(rate, 1.0 / count);
@@ -56,29 +46,17 @@
         variance = (1 - weight) * (variance + weight * difference * difference);
     }
 
-    /**
-     * Gets how many values came.
-     *
-     * @return the count
-     */
+    /** Gets the number of values added. */
     long getCount() {
         return count;
     }
 
-    /**
-     * Gets the mean.
-     *
-     * @return the mean, 0 before the first value
-     */
+    /** Gets the mean, 0 before the first value. */
     double getMean() {
         return mean;
     }
 
-    /**
-     * Gets the deviation.
-     *
-     * @return the standard deviation
-     */
+    /** Gets the standard deviation, 0 before the second value. */
     double getDeviation() {
         return Math.sqrt(variance);
     }
--- a/src/main/java/org/standlink/policy/RunningTask.java
+++ b/src/main/java/org/standlink/policy/RunningTask.java
@@ -21,19 +21,19 @@
 import org.standlink.VmId;
 
 /**
- * A task that holds room, as planning and relief see it.
+ * A task that occupies capacity of a worker, as planning and relief see it.
  *
  * <p>{@code RunningTask} is thread-safe and immutable.
  *
  * @param task the task
- * @param team whose quota it uses
- * @param batchClass the name under which it is learned
- * @param worker where it is
- * @param granted what it was granted
- * @param urgent whether it is urgent
- * @param checkpointable whether it loses nothing when it is moved
- * @param throttlePercent the share of its processors it may use now, in percent
- * @param queued whether it still waits there for room
+ * @param team the team whose quota it uses
+ * @param batchClass the class whose size and interference are learned together
+ * @param worker the VM that it is assigned to
+ * @param granted the resources granted to it
+ * @param urgent whether it has precedence over all ordinary tasks
+ * @param checkpointable whether it loses no work when it is stopped
+ * @param throttlePercent the share of its processors that it may use, in percent
+ * @param queued whether it is still waiting at the worker for free capacity
  * @param stopping whether it is being stopped
  */
 public record RunningTask(
--- a/src/main/java/org/standlink/policy/ServiceLoad.java
+++ b/src/main/java/org/standlink/policy/ServiceLoad.java
@@ -18,7 +18,7 @@
 import org.standlink.ServiceId;
 
 /**
- * How busy a service is on one VM.
+ * The load level of a service on one VM.
  *
  * <p>{@code ServiceLoad} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/policy/ServiceMeasurement.java
+++ b/src/main/java/org/standlink/policy/ServiceMeasurement.java
@@ -18,12 +18,12 @@
 import org.standlink.VmId;
 
 /**
- * A measurement of a service on one VM, which may be late.
+ * A tail latency measurement of a service on one VM, which may be delayed.
  *
  * <p>{@code ServiceMeasurement} is thread-safe and immutable.
  *
  * @param worker the VM
- * @param load the service and its load then
+ * @param load the service and its load at the time of the measurement
  * @param latencyPercent its tail latency, in percent of its target
  */
 public record ServiceMeasurement(VmId worker, ServiceLoad load, double latencyPercent) {}
--- a/src/main/java/org/standlink/policy/SizeEstimator.java
+++ b/src/main/java/org/standlink/policy/SizeEstimator.java
@@ -17,28 +17,28 @@
 
 import org.standlink.Resources;
 
-/** Estimates what a task takes. */
+/** Estimates the resources that a task uses. */
 public interface SizeEstimator {
 
     /**
      * Learns from a measurement.
      *
      * @param batchClass the class of the task
-     * @param usage what it was measured to use
+     * @param usage the measured use
      */
     void observe(String batchClass, Resources usage);
 
     /**
-     * Estimates what a task takes.
+     * Estimates the resources that a task uses.
      *
      * @param batchClass the class of the task
-     * @param declared what it is declared to take
-     * @return what it should be granted
+     * @param declared the declared size
+     * @return the resources to grant to the task
      */
     Resources estimate(String batchClass, Resources declared);
 
     /**
-     * Makes the baseline, which believes the declarations.
+     * Returns the baseline, which uses the declared sizes.
      *
      * @return the estimator
      */
@@ -46,7 +46,7 @@
         return new SizeEstimator() {
             @Override
             public void observe(String batchClass, Resources usage) {
-                // Declarations are believed.
+                // The baseline does not learn.
             }
 
             @Override
--- a/src/main/java/org/standlink/policy/TaskDemand.java
+++ b/src/main/java/org/standlink/policy/TaskDemand.java
@@ -24,20 +24,20 @@
 import org.standlink.VmId;
 
 /**
- * A task that wants to be placed.
+ * A task that is waiting to be placed.
  *
  * <p>{@code TaskDemand} is thread-safe and immutable.
  *
  * @param task the task
- * @param team whose quota it uses
- * @param batchClass the name under which it is learned
+ * @param team the team whose quota it uses
+ * @param batchClass the class whose size and interference are learned together
  * @param declared the declared size
- * @param urgent whether it goes before all ordinary work
- * @param priority greater goes first among equals
- * @param hoursLeft hours until it must be done, negative if there is no such time
- * @param halls the only halls allowed, empty for all
- * @param avoidServices services that must not be on the same VM
- * @param avoidWorkers workers where it has failed
+ * @param urgent whether it has precedence over all ordinary tasks
+ * @param priority the priority among tasks with the same deadline, the greatest first
+ * @param hoursLeft the hours until its deadline, negative if it has none
+ * @param halls the permitted halls, empty if all are
+ * @param avoidServices the services that must not be on the same VM
+ * @param avoidWorkers the workers on which it has failed
  */
 public record TaskDemand(
         TaskId task,
--- a/src/main/java/org/standlink/policy/TaskPlanner.java
+++ b/src/main/java/org/standlink/policy/TaskPlanner.java
@@ -28,45 +28,40 @@
 import org.standlink.VmId;
 
 /**
- * Plans one round: which waiting tasks go where, which wait and why, and which ordinary tasks make
- * room for urgent ones.
+ * Plans in rounds: assigns waiting tasks to workers, determines why the others wait, and chooses
+ * ordinary tasks to evict for urgent ones.
  *
- * <p>Urgent tasks go first, then those that must be done soonest, then by priority, then by the
- * team that holds the smallest share of its quota. A task that cannot be placed never holds back
- * the others. When there is no room, some ordinary tasks are assigned ahead as a backlog, so that
- * workers stay busy while the log is out of reach.
+ * <p>Urgent tasks are planned first, then those with the earliest deadline, then those with the
+ * highest priority, then those of the team that uses the smallest share of its quota. A task that
+ * cannot be placed never blocks the others. When there is no free capacity, some tasks are assigned
+ * to workers in advance as a backlog, so that workers stay busy while the log is unavailable.
  *
  * <p>{@code TaskPlanner} is as thread-safe as its placement policy.
  */
 public final class TaskPlanner {
 
-    /** The most tasks assigned in one round, which bounds the record in the log. */
+    /** The maximum number of tasks assigned in one round, which bounds the record in the log. */
     public static final int MAX_PLACEMENTS = 64;
 
-    /** The most waiting tasks looked at in one round, which bounds its time. */
+    /** The maximum number of waiting tasks considered in one round, which bounds its duration. */
     public static final int MAX_CONSIDERED = 2000;
 
-    /** What goes first: what is being stopped anyway, what loses nothing, what is large. */
-    private static final Comparator<RunningTask> ORDER_OF_EVICTION =
+    /** Tasks that are already being stopped, then checkpointable ones, then the largest. */
+    private static final Comparator<RunningTask> EVICTION_ORDER =
             Comparator.comparing((RunningTask task) -> !task.stopping())
                     .thenComparing(task -> !task.checkpointable())
                     .thenComparing(task -> -task.granted().milliCores());
 
-    /** Chooses workers. */
     private final PlacementPolicy placement;
-
-    /** Estimates what tasks take. */
     private final SizeEstimator sizes;
-
-    /** The most tasks assigned ahead to one worker. */
     private final int backlogPerWorker;
 
     /**
-     * Constructor.
+     * Creates a planner.
      *
      * @param placement chooses workers
-     * @param sizes estimates what tasks take
-     * @param backlogPerWorker the most tasks assigned ahead to one worker
+     * @param sizes estimates the resources of tasks
+     * @param backlogPerWorker the maximum number of tasks assigned in advance to one worker
      */
     public TaskPlanner(PlacementPolicy placement, SizeEstimator sizes, int backlogPerWorker) {
         this.placement = placement;
@@ -77,11 +72,11 @@
     /**
      * Plans one round.
      *
-     * @param waiting the tasks that want to be placed
-     * @param workers the workers, with what they hold; changed by the planning
-     * @param running the tasks that hold room
-     * @param quotas what the teams hold; changed by the planning
-     * @return the plan
+     * @param waiting the tasks that are waiting to be placed
+     * @param workers the workers with their tasks; updated with each assignment
+     * @param running the tasks that occupy capacity
+     * @param quotas the resources that the teams use; updated with each assignment
+     * @return the assignments, waiting reasons and evictions
      */
     public PlanningResult plan(
             List<TaskDemand> waiting,
@@ -89,11 +84,14 @@
             List<RunningTask> running,
             QuotaUsage quotas) {
         Round round = new Round(workers, running, quotas);
-        waiting.stream().sorted(order(quotas)).limit(MAX_CONSIDERED).forEach(round::consider);
+        waiting.stream()
+                .sorted(planningOrder(quotas))
+                .limit(MAX_CONSIDERED)
+                .forEach(round::planTask);
         return new PlanningResult(round.placements, round.waiting, round.evictions);
     }
 
-    private static Comparator<TaskDemand> order(QuotaUsage quotas) {
+    private static Comparator<TaskDemand> planningOrder(QuotaUsage quotas) {
         return Comparator.comparing((TaskDemand demand) -> !demand.urgent())
                 .thenComparingInt(demand -> demand.hoursLeft() < 0 ? 24 : demand.hoursLeft())
                 .thenComparingInt(demand -> -demand.priority())
@@ -102,29 +100,21 @@
     }
 
     // -----------------------------------------------------------------------
-    /** The state of one round. */
+    /** The state of one planning round. */
     private final class Round {
 
-        /** The workers. */
         private final List<WorkerView> workers;
-
-        /** The tasks that hold room. */
         private final List<RunningTask> running;
-
-        /** What the teams hold. */
         private final QuotaUsage quotas;
-
-        /** Where tasks go. */
         private final Map<TaskId, PlacementDecision> placements = new LinkedHashMap<>();
-
-        /** Why the others wait. */
         private final Map<TaskId, String> waiting = new LinkedHashMap<>();
-
-        /** Tasks to stop for urgent ones. */
         private final Set<TaskId> evictions = new HashSet<>();
 
-        /** Why a task of a class and size found no room in this round. */
-        private final Map<Object, String> refused = new HashMap<>();
+        /**
+         * The reasons why tasks could not be placed in this round, by job and avoided workers.
+         * Tasks that agree in both are not evaluated again.
+         */
+        private final Map<Object, String> rejections = new HashMap<>();
 
         private Round(List<WorkerView> workers, List<RunningTask> running, QuotaUsage quotas) {
             this.workers = workers;
@@ -132,54 +122,55 @@
             this.quotas = quotas;
         }
 
-        private void consider(TaskDemand demand) {
+        private void planTask(TaskDemand demand) {
             if (placements.size() >= MAX_PLACEMENTS) {
                 waiting.put(demand.task(), WaitingReason.NO_ROOM.toString());
                 return;
             }
             Resources size = sizes.estimate(demand.batchClass(), demand.declared());
-            WaitingReason overQuota = quotas.findViolation(demand.team(), size);
-            if (overQuota != null) {
-                waiting.put(demand.task(), overQuota.toString());
+            WaitingReason violation = quotas.findViolation(demand.team(), size);
+            if (violation != null) {
+                waiting.put(demand.task(), violation.toString());
                 return;
             }
-            Object likeness = List.of(demand.task().getJob(), demand.avoidWorkers());
-            String known = refused.get(likeness);
-            if (known != null) {
-                waiting.put(demand.task(), known);
+            Object placementKey = List.of(demand.task().getJob(), demand.avoidWorkers());
+            String knownReason = rejections.get(placementKey);
+            if (knownReason != null) {
+                waiting.put(demand.task(), knownReason);
                 return;
             }
             PlacementDecision decision = placement.place(demand, workers);
             if (decision.isPlaced()) {
-                accept(demand, decision);
+                assign(demand, decision);
             } else {
-                makeRoom(demand, decision.reason(), size);
-                refused.putIfAbsent(likeness, waiting.getOrDefault(demand.task(), ""));
-                refused.values().removeIf(String::isEmpty);
+                evictOrQueue(demand, decision.reason(), size);
+                rejections.putIfAbsent(placementKey, waiting.getOrDefault(demand.task(), ""));
+                rejections.values().removeIf(String::isEmpty);
             }
         }
 
-        private void accept(TaskDemand demand, PlacementDecision decision) {
+        private void assign(TaskDemand demand, PlacementDecision decision) {
             placements.put(demand.task(), decision);
             quotas.add(demand.team(), decision.resources());
-            workerOf(decision.worker()).addTask(demand.batchClass(), decision.resources());
+            findWorker(decision.worker()).addTask(demand.batchClass(), decision.resources());
         }
 
-        private void makeRoom(TaskDemand demand, String reason, Resources size) {
+        private void evictOrQueue(TaskDemand demand, String reason, Resources size) {
             if (demand.urgent() && evictFor(demand, size)) {
                 return;
             }
-            if (!reason.equals(WaitingReason.NO_ROOM.toString()) || !queue(demand, size)) {
+            if (!reason.equals(WaitingReason.NO_ROOM.toString()) || !addToBacklog(demand, size)) {
                 waiting.put(demand.task(), reason);
             }
         }
 
-        private boolean queue(TaskDemand demand, Resources size) {
+        private boolean addToBacklog(TaskDemand demand, Resources size) {
             WorkerView shortest = null;
             for (WorkerView worker : workers) {
-                boolean possible =
-                        isPossible(demand, worker, size) && worker.getBacklog() < backlogPerWorker;
-                if (possible && (shortest == null || worker.getBacklog() < shortest.getBacklog())) {
+                boolean candidate =
+                        isCandidate(demand, worker, size) && worker.getBacklog() < backlogPerWorker;
+                if (candidate
+                        && (shortest == null || worker.getBacklog() < shortest.getBacklog())) {
                     shortest = worker;
                 }
             }
@@ -192,42 +183,43 @@
             return true;
         }
 
-        /** Assigns an urgent task where the fewest ordinary ones must make room for it. */
+        /** Assigns an urgent task to the worker where the fewest tasks must be evicted for it. */
         private boolean evictFor(TaskDemand demand, Resources size) {
             WorkerView best = null;
-            List<RunningTask> fewest = null;
+            List<RunningTask> fewestVictims = null;
             for (WorkerView worker : workers) {
-                if (!isPossible(demand, worker, size)) {
+                if (!isCandidate(demand, worker, size)) {
                     continue;
                 }
-                List<RunningTask> victims = victims(worker, size);
-                if (victims != null && (fewest == null || victims.size() < fewest.size())) {
+                List<RunningTask> victims = chooseVictims(worker, size);
+                if (victims != null
+                        && (fewestVictims == null || victims.size() < fewestVictims.size())) {
                     best = worker;
-                    fewest = victims;
+                    fewestVictims = victims;
                 }
             }
             if (best == null) {
                 return false;
             }
-            fewest.forEach(victim -> evictions.add(victim.task()));
-            accept(demand, PlacementDecision.ofPlaced(best.getVm(), size));
+            fewestVictims.forEach(victim -> evictions.add(victim.task()));
+            assign(demand, PlacementDecision.ofPlaced(best.getVm(), size));
             return true;
         }
 
-        private boolean isPossible(TaskDemand demand, WorkerView worker, Resources size) {
+        private boolean isCandidate(TaskDemand demand, WorkerView worker, Resources size) {
             return worker.isUsable()
                     && AbstractPlacement.isPermitted(demand, worker)
                     && size.fitsIn(worker.getAllocatable());
         }
 
-        /** Chooses the tasks that must go so that a size fits; null if that is not enough. */
-        private List<RunningTask> victims(WorkerView worker, Resources size) {
+        /** Chooses the tasks to evict so that the size fits, null if it does not fit anyway. */
+        private List<RunningTask> chooseVictims(WorkerView worker, Resources size) {
             List<RunningTask> candidates =
                     running.stream()
                             .filter(task -> task.worker().equals(worker.getVm()))
                             .filter(task -> !task.urgent() && !task.queued())
                             .filter(task -> !evictions.contains(task.task()))
-                            .sorted(ORDER_OF_EVICTION)
+                            .sorted(EVICTION_ORDER)
                             .toList();
             List<RunningTask> chosen = new ArrayList<>();
             Resources free = worker.getFree();
@@ -241,7 +233,7 @@
             return size.fitsIn(free) ? chosen : null;
         }
 
-        private WorkerView workerOf(VmId vm) {
+        private WorkerView findWorker(VmId vm) {
             return workers.stream().filter(worker -> worker.getVm().equals(vm)).findFirst().get();
         }
     }
--- a/src/main/java/org/standlink/policy/ThresholdRelief.java
+++ b/src/main/java/org/standlink/policy/ThresholdRelief.java
@@ -19,21 +19,20 @@
 import java.util.List;
 
 /**
- * The baseline: stop the largest task as soon as a measurement is above the target.
+ * Baseline policy that stops the largest task as soon as a measurement exceeds the target.
  *
  * <p>{@code ThresholdRelief} is thread-safe and immutable.
  */
 public final class ThresholdRelief implements ReliefPolicy {
 
-    /** The target, in percent of itself. */
-    private static final double TARGET = 100;
+    private static final double TARGET_PERCENT = 100;
 
     @Override
-    public List<ReliefAction> relieve(ServiceMeasurement measure, List<RunningTask> beside) {
-        if (measure.latencyPercent() <= TARGET) {
+    public List<ReliefAction> relieve(ServiceMeasurement measurement, List<RunningTask> colocated) {
+        if (measurement.latencyPercent() <= TARGET_PERCENT) {
             return List.of();
         }
-        return beside.stream()
+        return colocated.stream()
                 .filter(task -> !task.stopping() && !task.queued())
                 .max(Comparator.comparingLong(task -> task.granted().milliCores()))
                 .map(task -> List.of(new ReliefAction(task.task(), 0)))
--- a/src/main/java/org/standlink/policy/TwoChoicesRouting.java
+++ b/src/main/java/org/standlink/policy/TwoChoicesRouting.java
@@ -19,26 +19,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws two upstreams at random and takes the one that is expected to answer first.
+ * Draws two upstreams at random and chooses the one with the shorter expected answer time.
  *
- * <p>The expected time is the distance there and back, plus the mean answer time, stretched by how
- * full the slots are. Two random choices avoid both the herd that a single best one draws and the
- * blindness of taking turns.
+ * <p>The expected answer time is the round-trip latency of the network plus the mean answer time of
+ * the upstream, which is scaled up with the utilization of its slots. Two random choices avoid the
+ * herding that follows if all entries choose the best upstream, and unlike round robin they take
+ * the load into account.
  *
- * <p>{@code TwoChoicesRouting} is as thread-safe as its random numbers.
+ * <p>{@code TwoChoicesRouting} is as thread-safe as its random number generator.
  */
 public final class TwoChoicesRouting implements RoutingPolicy {
 
-    /** The answer time of an upstream that has not been seen, in microseconds. */
-    private static final double UNSEEN_MICROS = 1000;
+    /** The assumed answer time of an upstream without measurements, in microseconds. */
+    private static final double DEFAULT_LATENCY_MICROS = 1000;
 
-    /** Random numbers. */
     private final RandomGenerator random;
 
     /**
-     * Constructor.
+     * Creates a routing policy.
      *
-     * @param random random numbers
+     * @param random the random number generator
      */
     public TwoChoicesRouting(RandomGenerator random) {
         this.random = random;
@@ -58,8 +58,9 @@
     }
 
     private static double cost(UpstreamView upstream) {
-        double service = upstream.latencyMicros() == 0 ? UNSEEN_MICROS : upstream.latencyMicros();
-        double fullness = (upstream.outstanding() + 1.0) / upstream.slots();
-        return 2.0 * upstream.distanceMicros() + service * (1 + fullness);
+        double latencyMicros =
+                upstream.latencyMicros() == 0 ? DEFAULT_LATENCY_MICROS : upstream.latencyMicros();
+        double utilization = (upstream.outstanding() + 1.0) / upstream.slots();
+        return 2.0 * upstream.distanceMicros() + latencyMicros * (1 + utilization);
     }
 }
--- a/src/main/java/org/standlink/policy/UpstreamView.java
+++ b/src/main/java/org/standlink/policy/UpstreamView.java
@@ -18,15 +18,17 @@
 import org.standlink.VmId;
 
 /**
- * What an entry knows of one upstream when it chooses.
+ * What an entry knows of one upstream when it routes a request.
  *
  * <p>{@code UpstreamView} is thread-safe and immutable.
  *
  * @param vm the VM
- * @param outstanding requests running or queued there, as last told, plus those just sent
- * @param slots requests that it runs at a time
- * @param distanceMicros the one-way latency to its hall, in microseconds
- * @param latencyMicros its mean answer time as seen here, in microseconds, 0 if not known
+ * @param outstanding the number of requests running or queued there as last reported, plus those
+ *     sent since
+ * @param slots the number of requests that it runs concurrently
+ * @param distanceMicros the one-way network latency to its hall, in microseconds
+ * @param latencyMicros its mean answer time as measured by the entry, in microseconds; 0 if not
+ *     known
  */
 public record UpstreamView(
         VmId vm, int outstanding, int slots, long distanceMicros, long latencyMicros) {}
--- a/src/main/java/org/standlink/policy/WaitingReason.java
+++ b/src/main/java/org/standlink/policy/WaitingReason.java
@@ -15,35 +15,29 @@
  */
 package org.standlink.policy;
 
-/** Why a task waits. */
+/** The reasons why a task waits. The texts are shown to operators. */
 public enum WaitingReason {
-    /** The rules leave no worker; the job can never run as it is. */
+    /** The placement rules exclude all workers; the job can never run as it is defined. */
     NO_PERMITTED_WORKER("can never run: its placement rules or failures leave no worker"),
-    /** No permitted worker is large enough; the job can never run as it is. */
+    /** No permitted worker is large enough; the job can never run as it is defined. */
     TOO_LARGE("can never run: it is larger than every permitted worker"),
-    /** All workers that could take it are leaving, silent or set aside. */
+    /** All workers that could run it are leaving, unresponsive or excluded after failures. */
     NO_USABLE_WORKER("the workers that could take it are leaving, silent or set aside"),
-    /** There is no room now. */
+    /** No worker has enough free capacity at present. */
     NO_ROOM("no worker has room now"),
-    /** There is room, but a service there would miss its target. */
+    /** There is enough free capacity, but a service there would miss its target. */
     WOULD_DISTURB("it would disturb a service wherever there is room"),
     /** The team's quota is used up. */
     OVER_QUOTA("its team's quota is used up"),
-    /** The quota is smaller than one task; the job can never run as it is. */
+    /** The quota is smaller than one task; the job can never run as it is defined. */
     QUOTA_TOO_SMALL("can never run: it is larger than its team's quota"),
-    /** It fails on every worker it is tried on. */
+    /** The job has failed on several workers and is suspended until its definition changes. */
     KEEPS_FAILING("it failed on several workers and is not tried again until its job changes"),
-    /** The job is only observed. */
+    /** The job is only observed, so its tasks are not assigned. */
     OBSERVED("its job is only observed, not managed");
 
-    /** The text for operators. */
     private final String text;
 
-    /**
-     * Constructor.
-     *
-     * @param text the text for operators
-     */
     WaitingReason(String text) {
         this.text = text;
     }
--- a/src/main/java/org/standlink/policy/WorkerHealthPolicy.java
+++ b/src/main/java/org/standlink/policy/WorkerHealthPolicy.java
@@ -24,56 +24,54 @@
 import org.standlink.VmId;
 
 /**
- * Tells workers that fail everything from jobs that fail everywhere.
+ * Distinguishes workers on which every task fails from jobs that fail on every worker.
  *
- * <p>A worker is set aside after failures of several different jobs in a row without a success. It
- * is probed after a while: it may take one task, and a success brings it back. A job is held back
- * when it has failed on several different workers that were not failing other jobs. A task avoids
- * the workers on which it failed.
+ * <p>A worker is excluded after consecutive failures of several different jobs. It is probed with a
+ * single task after a while, and a success ends the exclusion. A job is suspended when it has
+ * failed on several different workers that were not failing other jobs. A task avoids the workers
+ * on which it has failed.
  *
- * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; callers must synchronize access.
  */
 public final class WorkerHealthPolicy {
 
-    /** How many failures in a row set a worker aside. */
-    private static final int FAILURES_TO_SET_ASIDE = 3;
+    /** The number of consecutive failures after which a worker is excluded. */
+    private static final int FAILURES_TO_EXCLUDE = 3;
 
-    /** Of how many different jobs these must be. */
-    private static final int JOBS_TO_SET_ASIDE = 2;
+    /** The number of different jobs to which these failures must belong. */
+    private static final int JOBS_TO_EXCLUDE = 2;
 
-    /** On how many different workers a job must fail to be held back. */
-    private static final int WORKERS_TO_HOLD_BACK = 3;
+    /** The number of different workers on which a job must fail to be suspended. */
+    private static final int WORKERS_TO_SUSPEND = 3;
 
-    /** How long a worker is set aside before it is probed, in milliseconds. */
-    private static final long PROBE_MILLIS = 60_000;
+    /** How long a worker is excluded before it is probed, in milliseconds. */
+    private static final long PROBE_DELAY_MILLIS = 60_000;
 
-    /** What is known of a worker. */
-    private static final class Record {
+    /** The state of a worker since its last success. */
+    private static final class WorkerState {
 
-        /** Failures since the last success. */
         private int failures;
 
-        /** The jobs that these were of. */
+        /** The jobs whose tasks have failed. */
         private final Set<JobId> jobs = new HashSet<>();
 
-        /** When it was last set aside or probed, in milliseconds. */
-        private long since;
+        /** When a task last failed, in milliseconds. */
+        private long lastFailureMillis;
 
-        /** Whether a probe is under way. */
+        /** Whether a probe is in progress. */
         private boolean probing;
     }
 
-    /** The workers. */
-    private final Map<VmId, Record> workers = new HashMap<>();
+    private final Map<VmId, WorkerState> workers = new HashMap<>();
 
-    /** The workers on which each job failed without a success of the job in between. */
+    /** The workers on which each job has failed since its last success. */
     private final Map<JobId, Set<VmId>> failedJobs = new HashMap<>();
 
-    /** The workers on which each task failed. */
+    /** The workers on which each task has failed. */
     private final Map<TaskId, Set<VmId>> failedTasks = new HashMap<>();
 
     /**
-     * Notes a success.
+     * Records a success.
      *
      * @param worker the worker
      * @param task the task
@@ -85,88 +83,88 @@
     }
 
     /**
-     * Notes a failure.
+     * Records a failure.
      *
      * @param worker the worker
      * @param task the task
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     public void recordFailure(VmId worker, TaskId task, long nowMillis) {
-        Record record = workers.computeIfAbsent(worker, key -> new Record());
-        record.failures++;
-        record.jobs.add(task.getJob());
-        record.since = nowMillis;
-        record.probing = false;
+        WorkerState state = workers.computeIfAbsent(worker, key -> new WorkerState());
+        state.failures++;
+        state.jobs.add(task.getJob());
+        state.lastFailureMillis = nowMillis;
+        state.probing = false;
         failedTasks.computeIfAbsent(task, key -> new HashSet<>()).add(worker);
-        if (!isFailing(record)) {
+        if (!isExcluded(state)) {
             failedJobs.computeIfAbsent(task.getJob(), key -> new HashSet<>()).add(worker);
             return;
         }
-        // The worker is to blame, so its failures no longer count against the jobs.
-        for (JobId job : record.jobs) {
+        // The failures are attributed to the worker and no longer count against the jobs.
+        for (JobId job : state.jobs) {
             failedJobs.getOrDefault(job, new HashSet<>()).remove(worker);
         }
     }
 
     /**
-     * Notes that a task was sent to a worker, which counts as its probe if it is set aside.
+     * Records that a task was assigned to a worker, which is its probe if the worker is excluded.
      *
      * @param worker the worker
      */
     public void recordAssignment(VmId worker) {
-        Record record = workers.get(worker);
-        if (record != null && isFailing(record)) {
-            record.probing = true;
+        WorkerState state = workers.get(worker);
+        if (state != null && isExcluded(state)) {
+            state.probing = true;
         }
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Checks whether a worker may take new work.
+     * Checks whether tasks may be assigned to a worker.
      *
      * @param worker the worker
-     * @param nowMillis the time, in milliseconds
-     * @return false while it is set aside; true when it is due for a probe
+     * @param nowMillis the current time, in milliseconds
+     * @return false while the worker is excluded; true when a probe is due
      */
     public boolean isUsable(VmId worker, long nowMillis) {
-        Record record = workers.get(worker);
-        if (record == null || !isFailing(record)) {
+        WorkerState state = workers.get(worker);
+        if (state == null || !isExcluded(state)) {
             return true;
         }
-        return !record.probing && nowMillis - record.since >= PROBE_MILLIS;
+        return !state.probing && nowMillis - state.lastFailureMillis >= PROBE_DELAY_MILLIS;
     }
 
     /**
-     * Checks whether a job is held back.
+     * Checks whether a job is suspended.
      *
      * @param job the job
-     * @return true if it failed on several healthy workers
+     * @return true if it has failed on several healthy workers
      */
     public boolean isSuspended(JobId job) {
-        return failedJobs.getOrDefault(job, Set.of()).size() >= WORKERS_TO_HOLD_BACK;
+        return failedJobs.getOrDefault(job, Set.of()).size() >= WORKERS_TO_SUSPEND;
     }
 
     /**
      * Gets the workers that a task avoids.
      *
      * @param task the task
-     * @return the workers on which it failed
+     * @return the workers on which it has failed
      */
     public Set<VmId> getAvoidedWorkers(TaskId task) {
         return failedTasks.getOrDefault(task, Set.of());
     }
 
     /**
-     * Forgets what is known of a job, because it was changed or removed.
+     * Removes the failures of jobs that were changed or removed.
      *
-     * @param isPresent tells whether a job is still there unchanged
+     * @param isPresent checks whether a job still exists unchanged
      */
     public void retainJobs(java.util.function.Predicate<JobId> isPresent) {
         failedJobs.keySet().removeIf(job -> !isPresent.test(job));
         failedTasks.keySet().removeIf(task -> !isPresent.test(task.getJob()));
     }
 
-    private static boolean isFailing(Record record) {
-        return record.failures >= FAILURES_TO_SET_ASIDE && record.jobs.size() >= JOBS_TO_SET_ASIDE;
+    private static boolean isExcluded(WorkerState state) {
+        return state.failures >= FAILURES_TO_EXCLUDE && state.jobs.size() >= JOBS_TO_EXCLUDE;
     }
 }
--- a/src/main/java/org/standlink/policy/WorkerView.java
+++ b/src/main/java/org/standlink/policy/WorkerView.java
@@ -23,55 +23,44 @@
 import org.standlink.VmId;
 
 /**
- * What a planner knows of one worker while it plans.
+ * The state of one worker during a planning round.
  *
- * <p>{@code WorkerView} is mutable and not thread-safe; each round of planning makes its own.
+ * <p>{@code WorkerView} is mutable and not thread-safe; each planning round creates its own.
  */
 public final class WorkerView {
 
-    /** The VM. */
     private final VmId vm;
-
-    /** Its hall. */
     private final HallId hall;
-
-    /** Its rack. */
     private final RackId rack;
-
-    /** What the VM has. */
     private final Resources capacity;
-
-    /** The services on the VM with their load. */
     private final List<ServiceLoad> services;
-
-    /** Whether new work may go there. */
     private final boolean usable;
 
-    /** The classes of the tasks there. */
-    private final List<String> classes = new ArrayList<>();
+    /** The batch classes of the tasks on the worker, one entry per task. */
+    private final List<String> batchClasses = new ArrayList<>();
 
-    /** What services leave for tasks. */
-    private final Resources room;
+    /** The capacity without the resources reserved for services. */
+    private final Resources allocatable;
 
-    /** What is not granted yet. */
+    /** The allocatable resources that are not granted to tasks. */
     private Resources free;
 
-    /** Tasks that wait there for room. */
+    /** The number of tasks waiting on the worker for free capacity. */
     private int backlog;
 
-    /** The latencies expected of the services, null if not known. */
-    private double[] expected;
+    /** The expected tail latency of each service, null if it must be computed again. */
+    private double[] expectedLatencies;
 
     /**
-     * Constructor.
+     * Creates a worker without tasks.
      *
      * @param vm the VM
      * @param hall its hall
      * @param rack its rack
-     * @param capacity what the VM has
-     * @param reserved what services take of it
+     * @param capacity the resources of the VM
+     * @param reserved the resources reserved for services
      * @param services the services on the VM with their load
-     * @param usable whether new work may go there
+     * @param usable whether tasks may be assigned to the worker
      */
     public WorkerView(
             VmId vm,
@@ -85,43 +74,44 @@
         this.hall = hall;
         this.rack = rack;
         this.capacity = capacity;
-        this.room = capacity.minus(reserved);
-        this.free = room;
+        this.allocatable = capacity.minus(reserved);
+        this.free = allocatable;
         this.services = List.copyOf(services);
         this.usable = usable;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Notes a task there.
+     * Adds a task.
      *
-     * @param batchClass its class
-     * @param granted what it is granted
+     * @param batchClass the class of the task
+     * @param granted the resources granted to it
      */
     public void addTask(String batchClass, Resources granted) {
         free = free.minus(granted);
-        classes.add(batchClass);
-        expected = null;
+        batchClasses.add(batchClass);
+        expectedLatencies = null;
     }
 
     /**
-     * Gets the latency expected of a service with the tasks there, computed once until they change.
+     * Gets the expected tail latency of a service with the present tasks. The estimate is cached
+     * until the tasks change.
      *
      * @param index the index of the service
-     * @param model estimates it; the same model must be used during a round of planning
+     * @param model the model, which must be the same during a planning round
      * @return the tail latency, in percent of the target
      */
     double getExpectedLatency(int index, InterferenceModel model) {
-        if (expected == null) {
-            expected = new double[services.size()];
-            for (int i = 0; i < expected.length; i++) {
-                expected[i] = model.estimate(services.get(i), classes);
+        if (expectedLatencies == null) {
+            expectedLatencies = new double[services.size()];
+            for (int i = 0; i < expectedLatencies.length; i++) {
+                expectedLatencies[i] = model.estimate(services.get(i), batchClasses);
             }
         }
-        return expected[index];
+        return expectedLatencies[index];
     }
 
-    /** Notes a task that waits there for room. */
+    /** Adds a task that waits on the worker for free capacity. */
     public void addQueued() {
         backlog++;
     }
@@ -155,7 +145,7 @@
     }
 
     /**
-     * Gets what the VM has.
+     * Gets the resources of the VM.
      *
      * @return the capacity
      */
@@ -164,18 +154,18 @@
     }
 
     /**
-     * Gets what services leave for tasks.
+     * Gets the capacity without the resources reserved for services.
      *
-     * @return the room when no task is there
+     * @return the resources that can be granted to tasks
      */
     public Resources getAllocatable() {
-        return room;
+        return allocatable;
     }
 
     /**
-     * Gets what is not granted yet.
+     * Gets the allocatable resources that are not granted to tasks.
      *
-     * @return the room, which may be negative in parts after a change of services
+     * @return the free capacity, which may have negative components after a change of services
      */
     public Resources getFree() {
         return free;
@@ -184,34 +174,34 @@
     /**
      * Gets the services on the VM.
      *
-     * @return the services with their load
+     * @return the services with their load levels
      */
     public List<ServiceLoad> getServices() {
         return services;
     }
 
     /**
-     * Gets the classes of the tasks there.
+     * Gets the batch classes of the tasks on the worker.
      *
-     * @return one entry for each task
+     * @return the batch classes, one entry per task
      */
     public List<String> getBatchClasses() {
-        return classes;
+        return batchClasses;
     }
 
     /**
-     * Checks whether new work may go there.
+     * Checks whether tasks may be assigned to the worker.
      *
-     * @return true if it may
+     * @return true if tasks may be assigned
      */
     public boolean isUsable() {
         return usable;
     }
 
     /**
-     * Gets the number of tasks that wait there for room.
+     * Gets the number of tasks that wait on the worker for free capacity.
      *
-     * @return the number
+     * @return the number of tasks
      */
     public int getBacklog() {
         return backlog;
--- a/src/main/java/org/standlink/policy/package-info.java
+++ b/src/main/java/org/standlink/policy/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The decisions: routing, admission, placement, relief and health.
+ * Policies for routing, admission, placement, relief and worker health.
  *
- * <p>Everything here is deterministic, has no clock and does no I/O: time and random numbers are
- * handed in. Each interface has a plain baseline beside the implementation in use, and the
- * benchmark measures one against the other.
+ * <p>All classes are deterministic, read no clock and do no I/O: times and random numbers are
+ * passed in. Each interface has a simple baseline in addition to the implementation in use, and the
+ * benchmark compares the two.
  */
 package org.standlink.policy;
--- a/src/test/java/org/standlink/policy/TestInterferenceTable.java
+++ b/src/test/java/org/standlink/policy/TestInterferenceTable.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Tests that the image that harms is told from those that only worked beside it. */
+/** Tests that an interfering image is distinguished from images that only ran beside it. */
 public class TestInterferenceTable {
 
     private final InterferenceTable table = new InterferenceTable();
--- a/src/test/java/org/standlink/policy/TestPolicies.java
+++ b/src/test/java/org/standlink/policy/TestPolicies.java
@@ -36,11 +36,10 @@
 import org.standlink.TeamId;
 import org.standlink.VmId;
 
-/** Tests the decisions one by one. */
+/** Tests the policies one by one. */
 public class TestPolicies {
 
     private static final ServiceLoad BUSY = new ServiceLoad(ServiceId.parse("registry"), 2);
-
     private static final VmId VM = VmId.parse("vm-1");
 
     private static WorkerView worker(int number, double cores, List<ServiceLoad> services) {
@@ -90,10 +89,10 @@
         for (int i = 0; i < sizes.size(); i++) {
             demands.add(demand("scan#" + i, sizes.get(i), i % 5 == 0));
         }
-        SizeEstimator sizesOf = SizeEstimator.ofDeclared();
+        SizeEstimator estimator = SizeEstimator.ofDeclared();
         PlacementPolicy placement =
-                new InterferenceAwarePlacement(sizesOf, new LearnedInterference(), 1, 1);
-        new TaskPlanner(placement, sizesOf, 0)
+                new InterferenceAwarePlacement(estimator, new LearnedInterference(), 1, 1);
+        new TaskPlanner(placement, estimator, 0)
                 .plan(demands, workers, List.of(), new QuotaUsage(Map.of()));
         for (WorkerView worker : workers) {
             assertTrue(Resources.NONE.fitsIn(worker.getFree()), worker.getFree().toString());
@@ -143,7 +142,7 @@
         }
         assertFalse(all.isEmpty());
         assertTrue(all.stream().allMatch(action -> action.throttlePercent() == 50), all.toString());
-        assertTrue(all.size() <= 2, "it waits for late measurements: " + all);
+        assertTrue(all.size() <= 2, "did not wait for delayed measurements: " + all);
         GradualRelief single = new GradualRelief(new LearnedInterference());
         assertTrue(
                 single.relieve(new ServiceMeasurement(VM, BUSY, 300), List.of(running("a#0", 100)))
@@ -158,7 +157,7 @@
         health.recordFailure(VM, TaskId.parse("a#1"), 0);
         assertFalse(health.isUsable(VM, 1));
         assertFalse(health.isSuspended(TaskId.parse("a#0").getJob()));
-        assertTrue(health.isUsable(VM, 60_000), "due for a probe");
+        assertTrue(health.isUsable(VM, 60_000), "probe is due");
         health.recordAssignment(VM);
         assertFalse(health.isUsable(VM, 60_001), "one probe at a time");
         health.recordSuccess(VM, TaskId.parse("b#0"));
@@ -189,7 +188,7 @@
                         .filter(i -> outliers.isAllowed(VmId.parse("vm-" + i), 1))
                         .count();
         assertEquals(2, allowed);
-        assertTrue(outliers.isAllowed(VmId.parse("vm-4"), 2000), "due for a probe");
+        assertTrue(outliers.isAllowed(VmId.parse("vm-4"), 2000), "probe is due");
         outliers.recordSend(VmId.parse("vm-4"), 2000);
         assertFalse(outliers.isAllowed(VmId.parse("vm-4"), 2001), "one probe at a time");
     }
