--- a/src/main/java/org/standlink/election/Candidate.java
+++ b/src/main/java/org/standlink/election/Candidate.java
@@ -29,19 +29,20 @@
 import org.standlink.store.Topic;
 
 /**
- * Claims the leadership of a cell when there is no leader or it has been silent.
+ * Claims the leadership of a cell when there is no leader or the leader is unresponsive.
  *
- * <p>A leader that does not answer this process may well answer others. So a silent leader is
- * replaced only if the store has had no record of it for a while, either; it writes one at least
- * every {@code CommitQueue.HEARTBEAT_MILLIS}.
+ * <p>A leader that does not answer this process may still answer others. An unresponsive leader is
+ * therefore replaced only if the store has had no new record of it for a while either; a leader
+ * writes one at least every {@code CommitQueue.HEARTBEAT_MILLIS}.
  *
  * <p>{@code Candidate} is thread-safe.
  */
 public final class Candidate implements LeaderObserver {
 
     /**
-     * After how long without an answer, or without a record that the leader could keep, the store
-     * is watched, in milliseconds: an agent hears from its leader every 500 ms.
+     * How long the leader must have been without an answer to this process, or without the store,
+     * before the store is checked for its records, in milliseconds. An agent receives an answer of
+     * its leader every 500 ms.
      */
     static final long WATCH_DELAY_MILLIS = 600;
 
@@ -49,71 +50,70 @@
     static final long SUSPECT_TIMEOUT_MILLIS = 1100;
 
     /**
-     * How long the store must be without a record of a suspected leader, in milliseconds: four of
-     * its records; in a store that is slowed seventyfold one takes half of it.
+     * How long the store must have had no new record of a suspected leader, in milliseconds: four
+     * intervals between its records. In a store slowed down seventyfold one record takes half of
+     * this time.
      */
     static final long STORE_SILENCE_MILLIS = 1200;
 
     /**
-     * How long the store must be without a record of a leader that is gone from its address, in
-     * milliseconds: longer than between two of its records, in case it is cut off from this process
-     * only.
+     * How long the store must have had no new record of a leader that is absent from its address,
+     * in milliseconds: longer than the interval between two of its records, in case the leader is
+     * unreachable for this process only.
      */
     static final long ABSENT_LEADER_SILENCE_MILLIS = 350;
 
     /**
-     * For how long a leader must have had no store to be replaced, in milliseconds; after an outage
-     * for all, its next try comes within one call and a pause.
+     * How long a leader must have been without the store to be replaced, in milliseconds. After an
+     * outage that affects all processes, the leader tries again within one call and one pause.
      */
     static final long LEADER_STORE_OUTAGE_MILLIS = 1500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(Candidate.class);
-
-    /** The store. */
     private final KeyedStore store;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** Where this process listens, host and port. */
+    /** The address at which this process listens, host and port. */
     private final String address;
 
-    /** The run of this process. */
     private final Incarnation self;
 
-    /** Tells the offset up to which claims have been read; negative if not at all. */
+    /** Gets the offset up to which claims have been read, negative before the first read. */
     private final LongSupplier claimsRead;
 
     /** The newest claim; guarded by this. */
-    private Claim newest = Claim.NONE;
+    private Claim newestClaim = Claim.NONE;
 
-    /** When the leader last answered this process with the store at hand; guarded by this. */
-    private long leaderSeen;
+    /** When the leader last answered this process, or its claim was read; guarded by this. */
+    private long lastAnswerMillis;
 
-    /** Since when the store has had no new record of the leader; guarded by this. */
-    private long quietSince = -1;
+    /**
+     * Since when the store has had no new record of the leader, negative if that is not known;
+     * guarded by this.
+     */
+    private long silentSinceMillis = -1;
 
-    /** The end of the cell's topic since then; guarded by this. */
-    private long quietEnd;
+    /** The end offset of the cell's topic since then; guarded by this. */
+    private long silentEndOffset;
 
-    /** For how long the leader said that it has had no store, in milliseconds; guarded by this. */
-    private long storeSilent;
+    /** How long the leader reported to be without the store, in milliseconds; guarded by this. */
+    private long leaderStoreSilentMillis;
 
-    /** Whether nobody leads at the leader's address; guarded by this. */
-    private boolean gone;
+    /** Whether no process leads at the leader's address; guarded by this. */
+    private boolean absent;
 
-    /** Whether a call to the store is under way; guarded by this. */
-    private boolean asking;
+    /** Whether a call to the store is in progress; guarded by this. */
+    private boolean callInProgress;
 
     /**
-     * Constructor.
+     * Creates a candidate that knows no claim.
      *
      * @param store the store
      * @param clock the clock
-     * @param address where this process listens, host and port
-     * @param self the run of this process
-     * @param claimsRead tells the offset up to which claims have been read; negative if not at all
+     * @param address the address at which this process listens, host and port
+     * @param self the incarnation of this process
+     * @param claimsRead gets the offset up to which claims have been read, negative before the
+     *     first read
      */
     public Candidate(
             KeyedStore store,
@@ -126,140 +126,144 @@
         this.address = address;
         this.self = self;
         this.claimsRead = claimsRead;
-        this.leaderSeen = clock.nowMillis() - SUSPECT_TIMEOUT_MILLIS;
+        this.lastAnswerMillis = clock.nowMillis() - SUSPECT_TIMEOUT_MILLIS;
     }
 
     /**
-     * Takes note of a claim that was read.
+     * Applies a claim that was read from the store; one of an older epoch is ignored.
      *
      * @param claim the claim
      */
     public synchronized void observeClaim(Claim claim) {
-        if (claim.epoch().compareTo(newest.epoch()) >= 0) {
-            if (!newest.equals(Claim.NONE)) {
-                // Whoever has just claimed reads the state before it answers and writes; who led
-                // before this process started gets no such time.
-                leaderSeen = clock.nowMillis();
+        if (claim.epoch().compareTo(newestClaim.epoch()) >= 0) {
+            if (!newestClaim.equals(Claim.NONE)) {
+                // A new leader reads the state before it answers and writes. A leader from before
+                // the start of this process is not given that time.
+                lastAnswerMillis = clock.nowMillis();
             }
-            newest = claim;
-            quietSince = -1;
-            gone = false;
-            storeSilent = 0;
+            newestClaim = claim;
+            silentSinceMillis = -1;
+            absent = false;
+            leaderStoreSilentMillis = 0;
         }
     }
 
     @Override
     public synchronized void leaderAnswered(long storeSilentMillis) {
-        leaderSeen = clock.nowMillis();
-        storeSilent = storeSilentMillis;
-        gone = false;
-        if (storeSilent < WATCH_DELAY_MILLIS) {
-            quietSince = -1;
+        lastAnswerMillis = clock.nowMillis();
+        leaderStoreSilentMillis = storeSilentMillis;
+        absent = false;
+        if (leaderStoreSilentMillis < WATCH_DELAY_MILLIS) {
+            silentSinceMillis = -1;
         }
     }
 
     @Override
     public synchronized void leaderAbsent() {
-        gone = true;
+        absent = true;
     }
 
-    /** Decides whether to claim; called several times a second. */
+    /** Decides whether to claim the leadership; to be called several times a second. */
     public void tick() {
         synchronized (this) {
-            boolean leads = newest.isHeld() && newest.holder().equals(self);
-            if (asking || leads || claimsRead.getAsLong() < 0 || !isToBeWatched()) {
+            boolean leads = newestClaim.isHeld() && newestClaim.holder().equals(self);
+            if (callInProgress || leads || claimsRead.getAsLong() < 0 || !mustCheckStore()) {
                 return;
             }
-            if (!newest.isHeld()) {
-                claimVacant();
+            if (!newestClaim.isHeld()) {
+                claimVacantLeadership();
                 return;
             }
-            if (newest.address().equals(address)) {
-                // Whoever held it at this address is gone, since this process has the address now.
-                claim("the leader was at this address");
+            if (newestClaim.address().equals(address)) {
+                // The claim is of an earlier process, since this process has the address now.
+                sendClaim("the leader was at this address");
                 return;
             }
-            asking = true;
+            callInProgress = true;
         }
-        ask(store::readEnd, Topic.CELL, this::judge);
+        callStore(store::readEnd, Topic.CELL, this::endReceived);
     }
 
     // -----------------------------------------------------------------------
-    /** A process that gave the place up, perhaps as it had failed, lets the others go first. */
-    private void claimVacant() {
-        boolean gaveUp = newest.holder().equals(self);
-        if (!gaveUp || clock.nowMillis() - leaderSeen >= SUSPECT_TIMEOUT_MILLIS) {
-            claim("no leader");
+    /**
+     * Claims the leadership while there is no leader. A process that has resigned, possibly after a
+     * failure, waits so that others can claim first.
+     */
+    private void claimVacantLeadership() {
+        boolean hasResigned = newestClaim.holder().equals(self);
+        if (!hasResigned || clock.nowMillis() - lastAnswerMillis >= SUSPECT_TIMEOUT_MILLIS) {
+            sendClaim("no leader");
         }
     }
 
-    private boolean isToBeWatched() {
-        return !newest.isHeld()
-                || newest.address().equals(address)
-                || gone
-                || storeSilent >= WATCH_DELAY_MILLIS
-                || clock.nowMillis() - leaderSeen >= WATCH_DELAY_MILLIS;
+    private boolean mustCheckStore() {
+        return !newestClaim.isHeld()
+                || newestClaim.address().equals(address)
+                || absent
+                || leaderStoreSilentMillis >= WATCH_DELAY_MILLIS
+                || clock.nowMillis() - lastAnswerMillis >= WATCH_DELAY_MILLIS;
     }
 
-    /** Decides by how long the store has been without a record of the leader. */
-    private boolean isToBeReplaced(long quietMillis) {
-        boolean suspected = clock.nowMillis() - leaderSeen >= SUSPECT_TIMEOUT_MILLIS;
-        return gone && quietMillis >= ABSENT_LEADER_SILENCE_MILLIS
-                || suspected && quietMillis >= STORE_SILENCE_MILLIS
-                || storeSilent >= LEADER_STORE_OUTAGE_MILLIS && quietMillis >= STORE_SILENCE_MILLIS;
+    /** Decides by how long the store has had no new record of the leader. */
+    private boolean mustReplace(long silentMillis) {
+        boolean suspected = clock.nowMillis() - lastAnswerMillis >= SUSPECT_TIMEOUT_MILLIS;
+        return absent && silentMillis >= ABSENT_LEADER_SILENCE_MILLIS
+                || suspected && silentMillis >= STORE_SILENCE_MILLIS
+                || leaderStoreSilentMillis >= LEADER_STORE_OUTAGE_MILLIS
+                        && silentMillis >= STORE_SILENCE_MILLIS;
     }
 
-    private synchronized void judge(Long end, Throwable failure) {
-        asking = false;
+    private synchronized void endReceived(Long end, Throwable failure) {
+        callInProgress = false;
         if (failure != null) {
-            // Without the store nobody can claim; the silence is counted anew once it is back.
-            quietSince = -1;
+            // Without the store no process can claim; the silence is measured anew afterwards.
+            silentSinceMillis = -1;
             return;
         }
         long now = clock.nowMillis();
-        if (quietSince < 0 || end != quietEnd) {
-            quietSince = now;
-            quietEnd = end;
-        } else if (isToBeReplaced(now - quietSince)) {
-            claim("silent for " + (now - quietSince) + " ms");
+        if (silentSinceMillis < 0 || end != silentEndOffset) {
+            silentSinceMillis = now;
+            silentEndOffset = end;
+        } else if (mustReplace(now - silentSinceMillis)) {
+            sendClaim("silent for " + (now - silentSinceMillis) + " ms");
         }
     }
 
-    private void claim(String reason) {
-        Claim claim = new Claim(newest.epoch().next(), address, self);
+    private void sendClaim(String reason) {
+        Claim claim = new Claim(newestClaim.epoch().next(), address, self);
         LOG.info("claim").with("epoch", claim.epoch()).with("reason", reason).write();
-        asking = true;
+        callInProgress = true;
         List<KeyedRecord> records = List.of(claim.toRecord());
-        ask(
+        callStore(
                 topic -> store.appendAt(topic, records, claimsRead.getAsLong()),
                 Topic.CLAIMS,
-                (end, failure) -> claimSent(claim, failure));
+                (end, failure) -> claimCompleted(claim, failure));
     }
 
-    /** Asks the store; a call that cannot even be sent must not keep this process from the next. */
-    private void ask(
+    /** Calls the store; if that throws, the next call must still be possible. */
+    private void callStore(
             Function<Topic, CompletableFuture<Long>> call,
             Topic topic,
-            BiConsumer<Long, Throwable> then) {
+            BiConsumer<Long, Throwable> callback) {
         boolean sent = false;
         try {
-            Guarded.then("candidate", call.apply(topic), then);
+            Guarded.then("candidate", call.apply(topic), callback);
             sent = true;
         } finally {
             if (!sent) {
-                stopAsking();
+                callFailed();
             }
         }
     }
 
-    private synchronized void stopAsking() {
-        asking = false;
+    private synchronized void callFailed() {
+        callInProgress = false;
     }
 
-    private synchronized void claimSent(Claim claim, Throwable failure) {
-        // Whoever won is read from the topic, also when this answer was lost.
-        asking = false;
-        quietSince = -1;
+    private synchronized void claimCompleted(Claim claim, Throwable failure) {
+        // The winner is read from the topic, also if the answer to this claim was lost.
+        callInProgress = false;
+        silentSinceMillis = -1;
         if (failure != null) {
             LOG.info("claim-not-taken")
                     .with("epoch", claim.epoch())
--- a/src/main/java/org/standlink/election/Claim.java
+++ b/src/main/java/org/standlink/election/Claim.java
@@ -22,15 +22,15 @@
 import org.standlink.store.Packing;
 
 /**
- * A claim of a cell's leadership; the newest one in the store counts.
+ * A claim of the leadership of a cell; the newest one in the store is in force.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>A claim is written as an array, so new components may only be added at its end.
  *
  * <p>{@code Claim} is thread-safe and immutable.
  *
  * @param epoch the epoch that the claim begins
- * @param address where the leader listens, host and port; empty if it has resigned
- * @param holder the run of the process that claims
+ * @param address the address at which the leader listens, host and port; empty if it has resigned
+ * @param holder the incarnation of the process that claims
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Claim(Epoch epoch, String address, Incarnation holder) {
@@ -38,7 +38,7 @@
     /** The state before the first claim. */
     public static final Claim NONE = new Claim(Epoch.NONE, "", Incarnation.of(0));
 
-    /** The key of claims. */
+    /** The key of claims in the store. */
     private static final String KEY = "leader";
 
     /**
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Makes the record of this claim.
+     * Creates the record of this claim.
      *
      * @return the record
      */
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Checks whether somebody leads by this claim.
+     * Checks whether there is a leader according to this claim.
      *
-     * @return false if there is no leader
+     * @return false if the leader has resigned or there was none
      */
     public boolean isHeld() {
         return !address.isEmpty();
--- a/src/main/java/org/standlink/election/LeaderClient.java
+++ b/src/main/java/org/standlink/election/LeaderClient.java
@@ -21,38 +21,38 @@
 import org.standlink.wire.Message;
 
 /**
- * Calls of the leader with the newest epoch known.
+ * Client for calls to the leader with the newest known epoch.
  *
  * <p>Implementations are thread-safe.
  */
 public interface LeaderClient {
 
     /**
-     * Takes note of a leader; one of an older epoch is passed over.
+     * Offers the address of a leader; one of an older epoch is ignored.
      *
      * @param notice the epoch and the address
-     * @param source where it was learnt, for the log
+     * @param source the source of the notice, for the log
      */
     void offer(LeaderNotice notice, String source);
 
     /**
-     * Gets the newest leader known.
+     * Gets the leader with the newest known epoch.
      *
-     * @return its epoch and address
+     * @return the epoch and the address
      */
     LeaderNotice getLeader();
 
     /**
-     * Sends a message to the leader and waits for the answer.
+     * Sends a message to the leader.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
     CompletableFuture<Message> call(Message message, long timeoutMillis);
 
     /**
-     * Checks whether a call failed since no process listens at the leader's address.
+     * Checks whether a call failed because no process listens at the leader's address.
      *
      * @param failure why the call failed, null if it did not
      * @return true if the connection was refused
--- a/src/main/java/org/standlink/election/LeaderLink.java
+++ b/src/main/java/org/standlink/election/LeaderLink.java
@@ -31,50 +31,45 @@
 import org.standlink.wire.Peer;
 
 /**
- * The connection to the leader with the newest epoch known.
+ * The connection to the leader with the newest known epoch.
  *
  * <p>{@code LeaderLink} is thread-safe.
  */
 public final class LeaderLink implements LeaderClient, AutoCloseable {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(LeaderLink.class);
 
     /**
-     * How long the leader may leave all calls unanswered before it counts as silent, in
-     * milliseconds; an append to a store that is slowed sixtyfold takes half of it.
+     * How long the leader may leave all calls unanswered before it counts as unresponsive, in
+     * milliseconds. An append to a store slowed down sixtyfold takes half of this time.
      */
-    private static final long SILENT_MILLIS = 500;
+    private static final long UNRESPONSIVE_MILLIS = 500;
 
-    /** The time between two calls that try whether a silent leader answers, in milliseconds. */
-    private static final long PROBE_MILLIS = 250;
+    /** The interval between two calls that probe an unresponsive leader, in milliseconds. */
+    private static final long PROBE_INTERVAL_MILLIS = 250;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** Since when calls are without an answer, negative if none is; guarded by this. */
-    private long waitingSince = -1;
+    /** Since when all calls have been unanswered, negative if none is; guarded by this. */
+    private long unansweredSinceMillis = -1;
 
-    /** When a silent leader was tried last; guarded by this. */
-    private long triedAt;
+    /** When an unresponsive leader was last probed; guarded by this. */
+    private long lastProbeMillis;
 
-    /** Where reading threads come from. */
     private final Executor executor;
-
-    /** What answers messages of the leader. */
     private final MessageHandler handler;
 
-    /** The newest epoch known and where its leader listens; guarded by this. */
+    /** The newest known epoch and the address of its leader; guarded by this. */
     private LeaderNotice leader = new LeaderNotice(Epoch.NONE, "");
 
-    /** The connection to that leader, null if its address is not known; guarded by this. */
+    /** The connection to this leader, null if its address is not known; guarded by this. */
     private Peer peer;
 
     /**
-     * Constructor.
+     * Creates a link that knows no leader.
      *
-     * @param executor where reading threads come from
-     * @param handler what answers messages of the leader
+     * @param executor runs the tasks that read from connections
+     * @param handler answers messages of the leader
      * @param clock the clock
      */
     public LeaderLink(Executor executor, MessageHandler handler, MonotonicClock clock) {
@@ -96,13 +91,13 @@
                 .with("source", source)
                 .write();
         leader = notice;
-        waitingSince = -1;
+        unansweredSinceMillis = -1;
         close();
         peer = notice.address().isEmpty() ? null : connectTo(notice.address());
     }
 
     /**
-     * Takes note that the leader of an epoch has resigned.
+     * Closes the connection if it is to the leader of the given epoch, which has resigned.
      *
      * @param epoch the epoch
      */
@@ -119,74 +114,75 @@
     }
 
     /**
-     * Sends a message to the leader and waits for the answer. A call that takes too long fails
-     * alone; a connection that has gone silent is closed, and fails all that wait on it.
+     * Sends a message to the leader. A time-out fails only its own call; an unresponsive connection
+     * is closed, which fails all calls that wait on it.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
     @Override
     public CompletableFuture<Message> call(Message message, long timeoutMillis) {
-        Peer present;
+        Peer current;
         synchronized (this) {
-            present = peer;
+            current = peer;
         }
-        if (present == null) {
+        if (current == null) {
             return CompletableFuture.failedFuture(
                     new StandlinkException(
                             ErrorCode.PEER_UNREACHABLE, "no leader is known", "try again later"));
         }
-        began();
+        callStarted();
         return Guarded.then(
                 "leader-call",
-                present.callOpen(message, timeoutMillis),
+                current.callOpen(message, timeoutMillis),
                 (answer, failure) -> {
                     if (failure == null || isConnectionLost(failure)) {
-                        endSilence();
+                        resetUnanswered();
                     }
                 });
     }
 
     /**
-     * Checks whether the leader is not worth calling at the moment. Now and then one caller is let
-     * through to try it.
+     * Checks whether the leader is unresponsive and should not be called. At intervals the method
+     * returns false to one caller, whose call probes the leader.
      *
-     * @return true if it has left all calls unanswered for a while
+     * @return true if the leader has left all calls unanswered for a while
      */
     public synchronized boolean isUnresponsive() {
         long now = clock.nowMillis();
-        boolean silent = waitingSince >= 0 && now - waitingSince > SILENT_MILLIS;
-        if (silent && now - triedAt >= PROBE_MILLIS) {
-            triedAt = now;
+        boolean unresponsive =
+                unansweredSinceMillis >= 0 && now - unansweredSinceMillis > UNRESPONSIVE_MILLIS;
+        if (unresponsive && now - lastProbeMillis >= PROBE_INTERVAL_MILLIS) {
+            lastProbeMillis = now;
             return false;
         }
-        return silent;
+        return unresponsive;
     }
 
     /**
      * Checks whether there is an open connection to the leader.
      *
-     * @return true if so
+     * @return true if a connection is open
      */
     public synchronized boolean isConnected() {
         return peer != null && peer.getOpen() != null;
     }
 
-    private synchronized void began() {
-        if (waitingSince < 0) {
-            waitingSince = clock.nowMillis();
+    private synchronized void callStarted() {
+        if (unansweredSinceMillis < 0) {
+            unansweredSinceMillis = clock.nowMillis();
         }
     }
 
-    /** The leader has answered, or the silence was that of a connection that is gone now. */
-    private synchronized void endSilence() {
-        waitingSince = -1;
+    /** Called if the leader has answered, or if the unresponsive connection has been closed. */
+    private synchronized void resetUnanswered() {
+        unansweredSinceMillis = -1;
     }
 
     private static boolean isConnectionLost(Throwable failure) {
-        return failure instanceof StandlinkException known
-                && known.getCode() == ErrorCode.CONNECTION_LOST;
+        return failure instanceof StandlinkException exception
+                && exception.getCode() == ErrorCode.CONNECTION_LOST;
     }
 
     @Override
--- a/src/main/java/org/standlink/election/LeaderObserver.java
+++ b/src/main/java/org/standlink/election/LeaderObserver.java
@@ -16,19 +16,23 @@
 package org.standlink.election;
 
 /**
- * Is told what a process sees of the leader.
+ * Receives what a process observes of the leader.
  *
  * <p>Implementations must be thread-safe.
  */
 public interface LeaderObserver {
 
     /**
-     * The leader has answered.
+     * Called when the leader has answered.
      *
-     * @param storeSilentMillis how long ago the store took a call of the leader, in milliseconds
+     * @param storeSilentMillis how long ago the store last accepted a call of the leader, in
+     *     milliseconds
      */
     void leaderAnswered(long storeSilentMillis);
 
-    /** Nobody leads at the leader's address: it refuses connections, or says that it does not. */
+    /**
+     * Called when no process leads at the leader's address: it refuses connections, or the process
+     * there reports that it does not lead.
+     */
     void leaderAbsent();
 }
--- a/src/main/java/org/standlink/election/package-info.java
+++ b/src/main/java/org/standlink/election/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who leads a cell: claims in the store, which every process follows, and the candidates that make
- * them.
+ * Leader election of a cell: claims in the store, which every process reads, and the candidates
+ * that write them.
  */
 package org.standlink.election;
--- a/src/test/java/org/standlink/election/TestCandidate.java
+++ b/src/test/java/org/standlink/election/TestCandidate.java
@@ -27,12 +27,12 @@
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.Topic;
 
-/** Tests when a candidate claims, and when it must not. */
+/** Tests when a candidate claims the leadership, and when it must not. */
 public class TestCandidate {
 
-    private static final KeyedRecord BEAT = new KeyedRecord("heartbeat", new byte[] {1});
-    private static final Claim OTHER = new Claim(Epoch.of(1), "10.0.0.9:1", Incarnation.of(9));
-
+    private static final KeyedRecord HEARTBEAT = new KeyedRecord("heartbeat", new byte[] {1});
+    private static final Claim OTHER_CLAIM =
+            new Claim(Epoch.of(1), "10.0.0.9:1", Incarnation.of(9));
     private final FakeClock clock = new FakeClock();
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final Candidate candidate =
@@ -43,17 +43,17 @@
                     Incarnation.of(1),
                     () -> store.records(Topic.CLAIMS).size());
 
-    private int claims() {
+    private int countClaims() {
         return store.records(Topic.CLAIMS).size();
     }
 
-    private void tickFor(long millis, boolean beats, boolean answers) {
+    private void tickFor(long millis, boolean leaderWrites, boolean leaderAnswers) {
         for (long passed = 0; passed < millis; passed += 100) {
             clock.advance(100);
-            if (beats) {
-                store.records(Topic.CELL).add(BEAT);
+            if (leaderWrites) {
+                store.records(Topic.CELL).add(HEARTBEAT);
             }
-            if (answers) {
+            if (leaderAnswers) {
                 candidate.leaderAnswered(0);
             }
             candidate.tick();
@@ -62,46 +62,46 @@
 
     @BeforeEach
     public void setUpLeader() {
-        store.records(Topic.CLAIMS).add(OTHER.toRecord());
-        candidate.observeClaim(OTHER);
+        store.records(Topic.CLAIMS).add(OTHER_CLAIM.toRecord());
+        candidate.observeClaim(OTHER_CLAIM);
     }
 
     @Test
     public void claimsAtOnceWhenTheLeaderHasResigned() {
         candidate.observeClaim(new Claim(Epoch.of(1), "", Incarnation.of(9)));
         candidate.tick();
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
         assertEquals(Epoch.of(2), Claim.of(store.records(Topic.CLAIMS).get(1)).epoch());
     }
 
-    /** Whoever has failed as a leader is likely to fail again. */
+    /** A process that resigned after a failure is likely to fail again as leader. */
     @Test
     public void delaysItsClaimAfterItHasResigned() {
         candidate.observeClaim(new Claim(Epoch.of(1), "", Incarnation.of(1)));
         tickFor(Candidate.SUSPECT_TIMEOUT_MILLIS - 200, false, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
         tickFor(200, false, false);
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
     public void neverClaimsWhileTheLeaderAnswers() {
         tickFor(10_000, false, true);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
     }
 
     @Test
     public void neverClaimsWhileTheLeaderWritesThoughItDoesNotAnswer() {
         tickFor(10_000, true, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
     }
 
     @Test
     public void claimsWhenTheLeaderNeitherAnswersNorWrites() {
         tickFor(Candidate.STORE_SILENCE_MILLIS - 200, false, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
         tickFor(500, false, false);
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
@@ -109,16 +109,16 @@
         candidate.leaderAnswered(0);
         candidate.leaderAbsent();
         tickFor(Candidate.ABSENT_LEADER_SILENCE_MILLIS, false, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
         tickFor(200, false, false);
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
     public void neverClaimsWhileTheLeaderWritesThoughItsAddressRefuses() {
         candidate.leaderAbsent();
         tickFor(10_000, true, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
     }
 
     @Test
@@ -128,7 +128,7 @@
             candidate.leaderAnswered(Candidate.LEADER_STORE_OUTAGE_MILLIS);
             candidate.tick();
         }
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
@@ -138,51 +138,51 @@
         tickFor(3000, false, false);
         store.setMode(FakeKeyedStore.Mode.UP);
         tickFor(1000, false, false);
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
     }
 
     @Test
     public void losesAgainstAnEarlierClaim() {
         Candidate late = new Candidate(store, clock, "10.0.0.2:1", Incarnation.of(2), () -> 0);
         late.tick();
-        assertEquals(List.of(OTHER.toRecord()), store.records(Topic.CLAIMS));
+        assertEquals(List.of(OTHER_CLAIM.toRecord()), store.records(Topic.CLAIMS));
     }
 
     @Test
     public void claimsAtOnceWhenAnEarlierProcessLedAtItsAddress() {
-        Claim mine = new Claim(Epoch.of(2), "10.0.0.1:1", Incarnation.of(7));
-        store.records(Topic.CLAIMS).add(mine.toRecord());
-        candidate.observeClaim(mine);
+        Claim ownClaim = new Claim(Epoch.of(2), "10.0.0.1:1", Incarnation.of(7));
+        store.records(Topic.CLAIMS).add(ownClaim.toRecord());
+        candidate.observeClaim(ownClaim);
         candidate.tick();
-        assertEquals(3, claims());
+        assertEquals(3, countClaims());
     }
 
     @Test
     public void replacesAnUnresponsiveLeaderWithinTwoSeconds() {
         candidate.leaderAnswered(0);
         tickFor(2000, false, false);
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
     public void replacesALeaderWithoutTheStoreWithinTwoSeconds() {
-        for (long silent = 0; silent <= 2000; silent += 100) {
+        for (long storeSilentMillis = 0; storeSilentMillis <= 2000; storeSilentMillis += 100) {
             clock.advance(100);
-            candidate.leaderAnswered(silent);
+            candidate.leaderAnswered(storeSilentMillis);
             candidate.tick();
         }
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
     }
 
     @Test
     public void neverClaimsWhileTheLeaderWritesThoughItReportsAStoreOutage() {
         for (int i = 0; i < 50; i++) {
             clock.advance(100);
-            store.records(Topic.CELL).add(BEAT);
+            store.records(Topic.CELL).add(HEARTBEAT);
             candidate.leaderAnswered(2000);
             candidate.tick();
         }
-        assertEquals(1, claims());
+        assertEquals(1, countClaims());
     }
 
     @Test
@@ -192,8 +192,8 @@
         store.records(Topic.CLAIMS).add(next.toRecord());
         candidate.observeClaim(next);
         tickFor(1600, false, false);
-        assertEquals(2, claims());
+        assertEquals(2, countClaims());
         tickFor(600, false, false);
-        assertEquals(3, claims());
+        assertEquals(3, countClaims());
     }
 }
--- a/src/test/java/org/standlink/election/TestLeaderConnection.java
+++ b/src/test/java/org/standlink/election/TestLeaderConnection.java
@@ -46,14 +46,16 @@
 import org.standlink.wire.QueueQuery;
 import org.standlink.wire.WireServer;
 
-/** Tests what becomes of the calls that share a connection. */
+/** Tests how calls that share a connection end when the leader does not answer. */
 public class TestLeaderConnection {
 
-    /** Longer than any test waits, in milliseconds: only the watch can end such a call. */
-    private static final long NEVER_MILLIS = 600_000;
+    /**
+     * Longer than any test waits, in milliseconds: only closing the connection ends such a call.
+     */
+    private static final long LONG_TIMEOUT_MILLIS = 600_000;
 
-    /** Bounds a test that fails, in seconds. */
-    private static final long BOUND_SECONDS = 60;
+    /** Limits the duration of a failing test, in seconds. */
+    private static final long TEST_TIMEOUT_SECONDS = 60;
 
     private final FakeClock clock = new FakeClock();
     private final ExecutorService threads = ProcessThreads.newCached("test");
@@ -64,12 +66,12 @@
     }
 
     private LeaderLink linkTo(int port) {
-        LeaderLink link = new LeaderLink(threads, (c, n, m) -> {}, clock);
+        LeaderLink link = new LeaderLink(threads, (connection, call, message) -> {}, clock);
         link.offer(new LeaderNotice(Epoch.of(1), "127.0.0.1:" + port), "test");
         return link;
     }
 
-    /** Calls as soon as there is a connection. */
+    /** Sends a call as soon as there is a connection. */
     private static CompletableFuture<Message> call(LeaderLink link, String queue, long millis) {
         while (true) {
             CompletableFuture<Message> answer = link.call(new QueueQuery(queue), millis);
@@ -82,48 +84,48 @@
 
     @Test
     public void aTimeoutFailsOnlyItsOwnCall() throws Exception {
-        CompletableFuture<Void> tooLate = new CompletableFuture<>();
+        CompletableFuture<Void> firstCallFailed = new CompletableFuture<>();
         MessageHandler slow =
                 (connection, call, message) -> {
                     if (message instanceof QueueQuery query && query.queue().equals("slow")) {
                         return;
                     }
-                    tooLate.thenRun(() -> connection.answer(call, message));
+                    firstCallFailed.thenRun(() -> connection.answer(call, message));
                 };
         Hello hello = new Hello(VmId.parse("vm"), Incarnation.of(1));
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-        try (WireServer server = new WireServer(any, threads, hello, slow);
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", 0);
+        try (WireServer server = new WireServer(address, threads, hello, slow);
                 LeaderLink link = linkTo(server.getPort())) {
             CompletableFuture<Message> first = call(link, "slow", 1500);
-            CompletableFuture<Message> other = call(link, "q", NEVER_MILLIS);
-            ExecutionException late = assertThrows(ExecutionException.class, first::get);
-            assertEquals(TimeoutException.class, late.getCause().getClass());
+            CompletableFuture<Message> other = call(link, "q", LONG_TIMEOUT_MILLIS);
+            ExecutionException failure = assertThrows(ExecutionException.class, first::get);
+            assertEquals(TimeoutException.class, failure.getCause().getClass());
             assertFalse(other.isDone());
-            tooLate.complete(null);
-            assertEquals(new QueueQuery("q"), other.get(BOUND_SECONDS, TimeUnit.SECONDS));
+            firstCallFailed.complete(null);
+            assertEquals(new QueueQuery("q"), other.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
     public void closesAnUnresponsiveConnectionBeforeItsCallsTimeOut() throws Exception {
-        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            threads.execute(() -> readAndSayNothing(silent));
-            try (LeaderLink link = linkTo(silent.getLocalPort())) {
-                CompletableFuture<Message> call = call(link, "q", NEVER_MILLIS);
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            threads.execute(() -> readWithoutAnswering(unresponsive));
+            try (LeaderLink link = linkTo(unresponsive.getLocalPort())) {
+                CompletableFuture<Message> call = call(link, "q", LONG_TIMEOUT_MILLIS);
                 ExecutionException lost =
                         assertThrows(
                                 ExecutionException.class,
-                                () -> call.get(BOUND_SECONDS, TimeUnit.SECONDS));
-                StandlinkException known = (StandlinkException) lost.getCause();
-                assertEquals(ErrorCode.CONNECTION_LOST, known.getCode());
+                                () -> call.get(TEST_TIMEOUT_SECONDS, TimeUnit.SECONDS));
+                StandlinkException exception = (StandlinkException) lost.getCause();
+                assertEquals(ErrorCode.CONNECTION_LOST, exception.getCode());
                 clock.advance(1000);
-                assertFalse(link.isUnresponsive(), "the silence was that of the connection");
+                assertFalse(link.isUnresponsive(), "only the connection was unresponsive");
                 assertFalse(link.isUnresponsive());
             }
         }
     }
 
-    private static void readAndSayNothing(ServerSocket listener) {
+    private static void readWithoutAnswering(ServerSocket listener) {
         try (Socket socket = listener.accept();
                 InputStream input = socket.getInputStream()) {
             while (input.read() >= 0) {
--- a/src/test/java/org/standlink/election/TestLeaderLink.java
+++ b/src/test/java/org/standlink/election/TestLeaderLink.java
@@ -28,12 +28,13 @@
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.QueueQuery;
 
-/** Tests which leader a process calls, and that a silent one holds nobody up. */
+/** Tests which leader a process calls, and that an unresponsive leader delays no caller. */
 public class TestLeaderLink {
 
     private final FakeClock clock = new FakeClock();
     private final List<Runnable> background = new ArrayList<>();
-    private final LeaderLink link = new LeaderLink(background::add, (c, n, m) -> {}, clock);
+    private final LeaderLink link =
+            new LeaderLink(background::add, (connection, call, message) -> {}, clock);
 
     @BeforeEach
     public void setUpLeader() {
