--- a/src/main/java/org/standlink/gateway/JobCall.java
+++ b/src/main/java/org/standlink/gateway/JobCall.java
@@ -19,33 +19,33 @@
 import org.standlink.job.JobDefinition;
 
 /**
- * What a caller asks of a queue.
+ * A request of a caller to a queue.
  *
  * <p>{@code JobCall} is thread-safe and immutable.
  *
- * @param kind what is asked, null if the method does not fit the path
- * @param job the job, null if the queue is meant
- * @param definition the job to be accepted, null if none
- * @param waitMillis how long the caller waits, in milliseconds
+ * @param kind the kind of request, null if the HTTP method does not fit the path
+ * @param job the job, null for a request about the whole queue
+ * @param definition the job to submit, null for other kinds
+ * @param waitMillis how long the caller waits for the answer, in milliseconds
  */
 public record JobCall(Kind kind, JobId job, JobDefinition definition, long waitMillis) {
 
-    /** What can be asked. */
+    /** The kinds of requests. */
     public enum Kind {
-        /** Accept a job. */
+        /** Submit a job. */
         SUBMIT,
-        /** Tell a job's state. */
+        /** Get the state of a job. */
         STATE,
         /** Cancel a job. */
         CANCEL,
-        /** Tell how many jobs of the queue have not begun. */
+        /** Get the number of jobs of the queue that have not started. */
         COUNT
     }
 
     /**
-     * Checks whether the call only looks, so that it has no effect and may be repeated.
+     * Checks whether the request has no effect, so that it may be repeated.
      *
-     * @return true if so
+     * @return true if the request only reads
      */
     public boolean isReadOnly() {
         return kind == Kind.STATE || kind == Kind.COUNT;
--- a/src/main/java/org/standlink/gateway/JobGateway.java
+++ b/src/main/java/org/standlink/gateway/JobGateway.java
@@ -32,74 +32,69 @@
 import org.standlink.process.Guarded;
 
 /**
- * Answers callers: finds the queue of a request, asks the leader and says truly what became of it.
+ * Answers callers: finds the queue of a request, forwards it to the leader and reports the outcome.
+ * A request that may have been executed is never reported as not executed.
  *
  * <p>{@code JobGateway} is thread-safe.
  */
 public final class JobGateway {
 
     /**
-     * How many requests may wait for a leader at once: half of the threads that answer callers, so
-     * that the rest are told at once and nobody waits for a thread.
+     * The maximum number of requests that wait for a leader at once: half of the threads that
+     * answer callers, so that other requests are answered at once and none waits for a thread.
      */
-    private static final int MOST_WAITING = 32;
+    private static final int MAX_WAITING = 32;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(JobGateway.class);
 
     /** The configuration in force. */
     private final AtomicReference<Configuration> configuration =
             new AtomicReference<>(Configuration.NONE);
 
-    /** The leader. */
     private final LeaderLink leader;
-
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** Where histograms go. */
     private final MeterRegistry registry;
 
-    /** Lets requests wait for a leader. */
-    private final Semaphore mayWait;
+    /** Permits for requests to wait for a leader. */
+    private final Semaphore waitPermits;
 
     /**
-     * Constructor.
+     * Creates a gateway without a configuration.
      *
-     * @param leader the leader
+     * @param leader the connection to the leader
      * @param clock the clock
-     * @param registry where histograms go
+     * @param registry the registry of the histograms
      */
     public JobGateway(LeaderLink leader, MonotonicClock clock, MeterRegistry registry) {
-        this(leader, clock, registry, MOST_WAITING);
+        this(leader, clock, registry, MAX_WAITING);
     }
 
     /**
-     * Constructor.
+     * Creates a gateway without a configuration.
      *
-     * @param leader the leader
+     * @param leader the connection to the leader
      * @param clock the clock
-     * @param registry where histograms go
-     * @param mostWaiting how many requests may wait for a leader at once
+     * @param registry the registry of the histograms
+     * @param maxWaiting the maximum number of requests that wait for a leader at once
      */
-    JobGateway(LeaderLink leader, MonotonicClock clock, MeterRegistry registry, int mostWaiting) {
+    JobGateway(LeaderLink leader, MonotonicClock clock, MeterRegistry registry, int maxWaiting) {
         this.leader = leader;
         this.clock = clock;
         this.registry = registry;
-        this.mayWait = new Semaphore(mostWaiting);
+        this.waitPermits = new Semaphore(maxWaiting);
     }
 
     /**
-     * Takes note of a configuration; an older one than the one in force is passed over.
+     * Offers a configuration; one that is not newer than the one in force is ignored.
      *
      * @param offered the configuration
      */
     public void offer(Configuration offered) {
-        Configuration before = configuration.getAndUpdate(present -> newer(present, offered));
-        if (offered.version() > before.version()) {
+        Configuration previous = configuration.getAndUpdate(current -> newer(current, offered));
+        if (offered.version() > previous.version()) {
             LOG.info("configuration-in-force")
                     .with("version", offered.version())
-                    .with("before", before.version())
+                    .with("before", previous.version())
                     .write();
         }
     }
@@ -114,17 +109,17 @@
     }
 
     /**
-     * Gets the longest body that the configuration in force allows.
+     * Gets the maximum length of a body that the configuration in force permits.
      *
      * @return the limit in bytes, empty if there is none
      */
     public OptionalInt getMaxBodyBytes() {
-        int most = configuration.get().mostBodyBytes();
-        return most > 0 ? OptionalInt.of(most) : OptionalInt.empty();
+        int limit = configuration.get().mostBodyBytes();
+        return limit > 0 ? OptionalInt.of(limit) : OptionalInt.empty();
     }
 
     /**
-     * Answers a caller.
+     * Answers a request.
      *
      * @param host the host that the caller named
      * @param path the path
@@ -133,13 +128,13 @@
      */
     public JobReply answer(String host, String path, Function<QueueDefinition, JobCall> reader) {
         long start = System.nanoTime();
-        Configuration present = configuration.get();
-        if (present.version() == 0) {
+        Configuration current = configuration.get();
+        if (current.version() == 0) {
             return JobReply.ofNotRun("there is no configuration yet");
         }
-        Optional<QueueDefinition> queue = present.findQueue(host, path);
+        Optional<QueueDefinition> queue = current.findQueue(host, path);
         if (queue.isEmpty()) {
-            LOG.info("no-queue").with("path", path).with("version", present.version()).write();
+            LOG.info("no-queue").with("path", path).with("version", current.version()).write();
             return JobReply.of(404, "no queue takes this path");
         }
         JobCall call;
@@ -152,24 +147,25 @@
         if (call.kind() == null) {
             return JobReply.of(405, "use POST, GET or DELETE for a job, GET for a queue");
         }
-        JobReply reply = new LeaderRequest(leader, clock, mayWait, call, queue.get().name()).run();
-        // The reply holds whatever becomes of its record.
+        JobReply reply =
+                new LeaderRequest(leader, clock, waitPermits, call, queue.get().name()).run();
+        // The reply is returned even if recording it fails.
         Guarded.work(
                         "record",
-                        () -> record(call, queue.get(), present, reply, System.nanoTime() - start))
+                        () -> record(call, queue.get(), current, reply, System.nanoTime() - start))
                 .run();
         return reply;
     }
 
     // -----------------------------------------------------------------------
-    private static Configuration newer(Configuration present, Configuration offered) {
-        return offered.version() > present.version() ? offered : present;
+    private static Configuration newer(Configuration current, Configuration offered) {
+        return offered.version() > current.version() ? offered : current;
     }
 
     private void record(
             JobCall call,
             QueueDefinition queue,
-            Configuration present,
+            Configuration current,
             JobReply reply,
             long nanos) {
         Timer.builder("standlink.gateway.calls")
@@ -183,7 +179,7 @@
                 .with("job", call.job())
                 .with("kind", call.kind())
                 .with("queue", queue.name())
-                .with("version", present.version())
+                .with("version", current.version())
                 .with("epoch", leader.getLeader().epoch())
                 .with("status", reply.status())
                 .with("state", reply.state())
--- a/src/main/java/org/standlink/gateway/JobReply.java
+++ b/src/main/java/org/standlink/gateway/JobReply.java
@@ -19,27 +19,27 @@
 import org.standlink.wire.JobAnswer;
 
 /**
- * The answer to a caller.
+ * The answer to a request of a caller.
  *
  * <p>{@code JobReply} is thread-safe and immutable.
  *
  * @param status the HTTP status
- * @param state the state of the job, null if none is told
- * @param waiting how many jobs of the queue have not begun, negative if not told
- * @param reason why, empty if all is well
- * @param retryAfterSeconds when to come back, in seconds; 0 if not told
+ * @param state the state of the job, null if not included
+ * @param waiting the number of jobs of the queue that have not started, negative if not included
+ * @param reason why the request failed, empty if it did not
+ * @param retryAfterSeconds after how long to retry, in seconds; 0 if not included
  */
 public record JobReply(
         int status, JobState state, long waiting, String reason, long retryAfterSeconds) {
 
-    /** When to come back after a refusal, in seconds; the header knows no less. */
-    private static final long RETRY_SECONDS = 1;
+    /** After how long to retry a refused request, in seconds: the least that the header permits. */
+    private static final long RETRY_AFTER_SECONDS = 1;
 
     /**
-     * Makes an answer with a reason.
+     * Creates an answer with a reason.
      *
      * @param status the HTTP status
-     * @param reason why
+     * @param reason why the request failed
      * @return the answer
      */
     public static JobReply of(int status, String reason) {
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Makes the answer that follows from the leader's.
+     * Creates the answer that follows from the leader's.
      *
      * @param call the request
      * @param answer the leader's answer
@@ -66,12 +66,12 @@
     }
 
     /**
-     * Makes an answer that the request surely was not carried out.
+     * Creates an answer to a request that was certainly not executed.
      *
-     * @param reason why
+     * @param reason why the request was not executed
      * @return the answer
      */
     public static JobReply ofNotRun(String reason) {
-        return new JobReply(503, null, -1, reason, RETRY_SECONDS);
+        return new JobReply(503, null, -1, reason, RETRY_AFTER_SECONDS);
     }
 }
--- a/src/main/java/org/standlink/gateway/LeaderRequest.java
+++ b/src/main/java/org/standlink/gateway/LeaderRequest.java
@@ -31,88 +31,76 @@
 import org.standlink.wire.SubmitJob;
 
 /**
- * Asks the leader one caller's question, again if need be, until there is an answer or the caller's
- * time is over, and says truly what became of it.
+ * Sends one caller's request to the leader, again if necessary, until there is an answer or the
+ * caller's deadline has passed, and reports the outcome. A request that may have been executed is
+ * never reported as not executed.
  *
  * <p>{@code LeaderRequest} is mutable and not thread-safe; each request has its own.
  */
 final class LeaderRequest {
 
     /**
-     * How long a request waits for a leader to be reachable, in milliseconds, at its start and
-     * after it was left unsure. A new leader takes 500 to 2,000 after the loss of one; a caller
-     * that is told to come back loses the second that it is told to wait, and callers wait for
-     * 3,000.
+     * How long a request waits for a reachable leader, in milliseconds, at its start and after each
+     * attempt with an unknown outcome. A new leader takes 500 to 2,000 ms after the loss of one. A
+     * caller that is told to retry loses the second that it is told to wait, and callers wait for
+     * 3,000 ms.
      */
     private static final long LEADER_WAIT_MILLIS = 1200;
 
     /**
-     * How long the leader's answer to a look or a cancel is waited for, in milliseconds: both can
-     * be repeated, and an append takes 10.
+     * How long to wait for the leader's answer to a query or a cancellation, in milliseconds: both
+     * can be repeated, and an append takes 10 ms.
      */
-    private static final long ANSWER_MILLIS = 1000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 1000;
 
     /**
-     * How much of a caller's time is left for the way back of the answer, in milliseconds: links
-     * take 20 at most.
+     * How much of a caller's time is reserved for the transmission of the answer, in milliseconds:
+     * links take 20 ms at most.
      */
-    private static final long WAY_BACK_MILLIS = 50;
+    private static final long ANSWER_TRANSMISSION_MILLIS = 50;
 
-    /** The pause between two tries to reach the leader, in milliseconds. */
-    private static final long PAUSE_MILLIS = 50;
+    /** The pause between two attempts to reach the leader, in milliseconds. */
+    private static final long RETRY_PAUSE_MILLIS = 50;
 
-    /** The leader. */
     private final LeaderLink leader;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** Lets requests wait for a leader. */
-    private final Semaphore mayWait;
+    /** Permits for requests to wait for a leader. */
+    private final Semaphore waitPermits;
 
-    /** The caller's request. */
     private final JobCall call;
 
-    /** What the leader is asked. */
-    private final Message question;
+    /** The message to the leader. */
+    private final Message message;
 
-    /** When the caller's time is over, on the clock. */
-    private final long deadline;
+    /** When the caller stops waiting, in milliseconds on the clock. */
+    private final long deadlineMillis;
 
-    /** When no further try is made, on the clock. */
-    private long end;
+    /** When the last attempt may begin, in milliseconds on the clock. */
+    private long lastAttemptMillis;
 
-    /** Whether the leader may have done what was asked. */
-    private boolean maybeDone;
+    /** Whether the leader may have executed the request. */
+    private boolean possiblyExecuted;
 
     /** Why there is no answer yet. */
     private String reason = "no leader is reachable";
 
-    /**
-     * Constructor.
-     *
-     * @param leader the leader
-     * @param clock the clock
-     * @param mayWait lets requests wait for a leader
-     * @param call the caller's request
-     * @param queue the name of its queue
-     */
     LeaderRequest(
             LeaderLink leader,
             MonotonicClock clock,
-            Semaphore mayWait,
+            Semaphore waitPermits,
             JobCall call,
             String queue) {
         this.leader = leader;
         this.clock = clock;
-        this.mayWait = mayWait;
+        this.waitPermits = waitPermits;
         this.call = call;
-        this.question = questionOf(call, queue);
-        this.deadline = clock.nowMillis() + call.waitMillis();
-        prolong();
+        this.message = createMessage(call, queue);
+        this.deadlineMillis = clock.nowMillis() + call.waitMillis();
+        extendAttempts();
     }
 
-    private static Message questionOf(JobCall call, String queue) {
+    private static Message createMessage(JobCall call, String queue) {
         return switch (call.kind()) {
             case SUBMIT -> new SubmitJob(call.definition());
             case STATE -> new JobQuery(call.job(), queue);
@@ -122,19 +110,19 @@
     }
 
     /**
-     * Asks until there is an answer or no time is left.
+     * Sends the request until there is an answer or no time is left.
      *
-     * @return what the caller is to be told
+     * @return the answer to the caller
      */
     JobReply run() {
-        while (clock.nowMillis() <= end && isInTime()) {
+        while (clock.nowMillis() <= lastAttemptMillis && isAnswerInTime()) {
             if (leader.isUnresponsive()) {
-                note("the leader does not answer");
+                setReason("the leader does not answer");
                 if (leader.isConnected()) {
                     break;
                 }
             } else {
-                JobReply reply = askOnce();
+                JobReply reply = sendOnce();
                 if (reply != null) {
                     return reply;
                 }
@@ -143,114 +131,121 @@
                 break;
             }
         }
-        return maybeDone ? notKnown() : JobReply.ofNotRun(reason);
+        return possiblyExecuted ? createLostAnswerReply() : JobReply.ofNotRun(reason);
     }
 
     // -----------------------------------------------------------------------
-    /** A caller that is about to leave could not learn that its job is accepted. */
-    private boolean isInTime() {
-        boolean inTime = call.kind() != JobCall.Kind.SUBMIT || left() > WAY_BACK_MILLIS;
-        if (!inTime && !maybeDone) {
+    /** Checks whether the caller waits long enough to learn that its job was accepted. */
+    private boolean isAnswerInTime() {
+        boolean inTime =
+                call.kind() != JobCall.Kind.SUBMIT
+                        || getRemainingMillis() > ANSWER_TRANSMISSION_MILLIS;
+        if (!inTime && !possiblyExecuted) {
             reason = "too little time is left to answer";
         }
         return inTime;
     }
 
-    private long left() {
-        return deadline - clock.nowMillis();
+    private long getRemainingMillis() {
+        return deadlineMillis - clock.nowMillis();
     }
 
-    /** Asks once; there is no reply if it is worth asking again. */
-    private JobReply askOnce() {
+    /** Sends the request once; returns null if it is to be sent again. */
+    private JobReply sendOnce() {
         try {
-            Message answer = leader.call(question, patience()).join();
-            return answer instanceof JobAnswer known ? answered(known) : sentOn(answer);
-        } catch (CompletionException failed) {
-            return failed(failed.getCause());
+            Message answer = leader.call(message, getAnswerTimeoutMillis()).join();
+            return answer instanceof JobAnswer jobAnswer
+                    ? handleAnswer(jobAnswer)
+                    : handleRedirect(answer);
+        } catch (CompletionException exception) {
+            return handleFailure(exception.getCause());
         }
     }
 
     /**
-     * Tells how long an answer is worth waiting for. A submission is waited for as long as its
-     * caller waits: nobody else can tell whether the store has kept it, and asking again would only
-     * wait for the same append.
+     * Gets how long to wait for an answer. The answer to a submission is waited for as long as the
+     * caller waits: only that leader knows whether the store has persisted the job, and a repeated
+     * submission would only wait for the same append.
      */
-    private long patience() {
-        boolean submits = call.kind() == JobCall.Kind.SUBMIT;
-        long most = submits ? left() - WAY_BACK_MILLIS : Math.min(left(), ANSWER_MILLIS);
-        return Math.max(1, most);
+    private long getAnswerTimeoutMillis() {
+        boolean isSubmission = call.kind() == JobCall.Kind.SUBMIT;
+        long maxMillis =
+                isSubmission
+                        ? getRemainingMillis() - ANSWER_TRANSMISSION_MILLIS
+                        : Math.min(getRemainingMillis(), ANSWER_TIMEOUT_MILLIS);
+        return Math.max(1, maxMillis);
     }
 
-    private JobReply answered(JobAnswer answer) {
+    private JobReply handleAnswer(JobAnswer answer) {
         if (answer.result() == JobAnswer.Result.UNKNOWN) {
-            unsure(answer.reason());
+            markOutcomeUnknown(answer.reason());
             return null;
         }
         if (answer.result() == JobAnswer.Result.FAILED) {
-            unsure(answer.reason());
-            return notKnown();
+            markOutcomeUnknown(answer.reason());
+            return createLostAnswerReply();
         }
         boolean refused = answer.result() == JobAnswer.Result.NOT_DONE;
-        // A refusal speaks for this try alone; an earlier one may have been done.
-        return refused && maybeDone ? notKnown() : JobReply.of(call, answer);
+        // The refusal applies to this attempt only; an earlier one may have been executed.
+        return refused && possiblyExecuted ? createLostAnswerReply() : JobReply.of(call, answer);
     }
 
-    private JobReply sentOn(Message answer) {
+    private JobReply handleRedirect(Message answer) {
         if (answer instanceof LeaderNotice notice) {
             leader.offer(notice, "another process");
-            note("the leader has changed");
+            setReason("the leader has changed");
         }
         return null;
     }
 
-    private JobReply failed(Throwable cause) {
+    private JobReply handleFailure(Throwable cause) {
         if (hasCode(cause, ErrorCode.PEER_UNREACHABLE)) {
-            note(cause.getMessage());
+            setReason(cause.getMessage());
             return null;
         }
-        unsure(cause.getMessage() == null ? cause.toString() : cause.getMessage());
-        return hasCode(cause, ErrorCode.CONNECTION_LOST) ? null : notKnown();
+        markOutcomeUnknown(cause.getMessage() == null ? cause.toString() : cause.getMessage());
+        return hasCode(cause, ErrorCode.CONNECTION_LOST) ? null : createLostAnswerReply();
     }
 
     private static boolean hasCode(Throwable cause, ErrorCode code) {
-        return cause instanceof StandlinkException known && known.getCode() == code;
+        return cause instanceof StandlinkException exception && exception.getCode() == code;
     }
 
-    /** A job is known by its identifier, so it may be asked for again, at the next leader too. */
-    private void unsure(String why) {
-        maybeDone = true;
-        reason = why;
-        prolong();
+    /** Permits further attempts, also at the next leader, since a job has a unique identifier. */
+    private void markOutcomeUnknown(String newReason) {
+        possiblyExecuted = true;
+        reason = newReason;
+        extendAttempts();
     }
 
-    /** Keeps why there is no answer, unless it is why nobody knows what was done. */
-    private void note(String why) {
-        reason = maybeDone ? reason : why;
+    /** Sets why there is no answer, unless the reason is why the outcome is unknown. */
+    private void setReason(String newReason) {
+        reason = possiblyExecuted ? reason : newReason;
     }
 
-    private void prolong() {
-        end = Math.min(clock.nowMillis() + LEADER_WAIT_MILLIS, deadline);
+    private void extendAttempts() {
+        lastAttemptMillis = Math.min(clock.nowMillis() + LEADER_WAIT_MILLIS, deadlineMillis);
     }
 
-    /** A question without an answer: a mere look had no effect, anything else may have had. */
-    private JobReply notKnown() {
-        String told = "the leader's answer was lost: " + reason;
-        return call.isReadOnly() ? JobReply.ofNotRun(told) : JobReply.of(504, told);
+    /** Creates the answer if the leader's is lost: only a read-only request had no effect. */
+    private JobReply createLostAnswerReply() {
+        String text = "the leader's answer was lost: " + reason;
+        return call.isReadOnly() ? JobReply.ofNotRun(text) : JobReply.of(504, text);
     }
 
-    /** Waits a little, unless too many requests wait already. */
+    /** Pauses before the next attempt; returns false if too many requests are waiting already. */
     private boolean pause() {
-        if (!mayWait.tryAcquire()) {
+        if (!waitPermits.tryAcquire()) {
             return false;
         }
         try {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MILLIS);
             return true;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             return false;
         } finally {
-            mayWait.release();
+            waitPermits.release();
         }
     }
 }
--- a/src/main/java/org/standlink/gateway/package-info.java
+++ b/src/main/java/org/standlink/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The side of callers: an entry that finds the queue of a request and asks the leader. */
+/** The gateway for callers: finds the queue of a request and forwards it to the leader. */
 package org.standlink.gateway;
--- a/src/test/java/org/standlink/gateway/TestJobGateway.java
+++ b/src/test/java/org/standlink/gateway/TestJobGateway.java
@@ -49,7 +49,7 @@
 import org.standlink.wire.MessageHandler;
 import org.standlink.wire.WireServer;
 
-/** Tests what callers are told, over real connections to scripted leaders. */
+/** Tests the answers to callers, over real connections to scripted leaders. */
 public class TestJobGateway {
 
     private static final JobId ID = JobId.parse("5c0e7a21d94b36f8");
@@ -63,7 +63,7 @@
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private final LeaderLink leader =
-            new LeaderLink(threads, (c, n, m) -> {}, MonotonicClock.ofSystem());
+            new LeaderLink(threads, (connection, call, message) -> {}, MonotonicClock.ofSystem());
     private final JobGateway gateway =
             new JobGateway(leader, MonotonicClock.ofSystem(), new SimpleMeterRegistry());
     private WireServer server;
@@ -82,18 +82,18 @@
         threads.shutdownNow();
     }
 
-    private void lead(long epoch, MessageHandler script) {
+    private void startLeader(long epoch, MessageHandler script) {
         Hello hello = new Hello(VmId.parse("vm"), Incarnation.of(1));
         server = new WireServer(new InetSocketAddress("127.0.0.1", 0), threads, hello, script);
         String address = "127.0.0.1:" + server.getPort();
         leader.offer(new LeaderNotice(Epoch.of(epoch), address), "test");
     }
 
-    private void leadWith(JobAnswer answer) {
-        lead(1, (connection, call, message) -> connection.answer(call, answer));
+    private void startLeaderWith(JobAnswer answer) {
+        startLeader(1, (connection, call, message) -> connection.answer(call, answer));
     }
 
-    private JobReply ask(JobCall.Kind kind) {
+    private JobReply send(JobCall.Kind kind) {
         JobDefinition job = kind == JobCall.Kind.SUBMIT ? JOB : null;
         return gateway.answer("h", "/q/x", queue -> new JobCall(kind, ID, job, 3000));
     }
@@ -111,8 +111,8 @@
         long epoch = 1;
         for (Object[] row : table) {
             JobAnswer answer = (JobAnswer) row[1];
-            lead(epoch++, (connection, call, message) -> connection.answer(call, answer));
-            JobReply reply = ask((JobCall.Kind) row[0]);
+            startLeader(epoch++, (connection, call, message) -> connection.answer(call, answer));
+            JobReply reply = send((JobCall.Kind) row[0]);
             assertEquals(row[2], reply.status(), () -> row[0] + " " + row[1]);
             assertEquals(answer.state(), reply.state());
             server.close();
@@ -121,173 +121,173 @@
 
     @Test
     public void aRefusalHasARetryTime() {
-        leadWith(JobAnswer.of(JobAnswer.Result.NOT_DONE, "why"));
-        assertTrue(ask(JobCall.Kind.SUBMIT).retryAfterSeconds() > 0);
+        startLeaderWith(JobAnswer.of(JobAnswer.Result.NOT_DONE, "why"));
+        assertTrue(send(JobCall.Kind.SUBMIT).retryAfterSeconds() > 0);
     }
 
     @Test
     public void reportsNotRunWithoutALeader() {
-        JobReply reply = ask(JobCall.Kind.SUBMIT);
+        JobReply reply = send(JobCall.Kind.SUBMIT);
         assertEquals(503, reply.status());
     }
 
     @Test
     public void aLostAnswerIsNeverReportedAsNotRun() {
-        lead(1, (connection, call, message) -> connection.close());
-        assertEquals(504, ask(JobCall.Kind.SUBMIT).status());
+        startLeader(1, (connection, call, message) -> connection.close());
+        assertEquals(504, send(JobCall.Kind.SUBMIT).status());
     }
 
     @Test
     public void retriesASubmissionAfterALostConnection() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    if (asked.getAndIncrement() == 0) {
+                    if (attempts.getAndIncrement() == 0) {
                         connection.close();
                     } else {
                         connection.answer(call, JobAnswer.ofDone(JobState.QUEUED));
                     }
                 });
-        assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
-        assertEquals(2, asked.get());
+        assertEquals(200, send(JobCall.Kind.SUBMIT).status());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void aRefusalAfterALostAnswerIsNotReportedAsNotRun() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    if (asked.getAndIncrement() == 0) {
-                        // It may have been kept by then.
+                    if (attempts.getAndIncrement() == 0) {
+                        // The job may have been persisted before.
                         connection.close();
                     } else {
                         connection.answer(
                                 call, JobAnswer.of(JobAnswer.Result.NOT_DONE, "no longer leading"));
                     }
                 });
-        assertEquals(504, ask(JobCall.Kind.SUBMIT).status());
-        assertEquals(2, asked.get());
+        assertEquals(504, send(JobCall.Kind.SUBMIT).status());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void retriesASubmissionWithUnknownOutcome() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    boolean first = asked.getAndIncrement() == 0;
+                    boolean first = attempts.getAndIncrement() == 0;
                     connection.answer(
                             call,
                             first
                                     ? JobAnswer.of(JobAnswer.Result.UNKNOWN, "replaced")
                                     : JobAnswer.ofDone(JobState.QUEUED));
                 });
-        assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
-        assertEquals(2, asked.get());
+        assertEquals(200, send(JobCall.Kind.SUBMIT).status());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void aRefusalAfterAnUnknownOutcomeIsNotReportedAsNotRun() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    boolean first = asked.getAndIncrement() == 0;
+                    boolean first = attempts.getAndIncrement() == 0;
                     JobAnswer.Result result =
                             first ? JobAnswer.Result.UNKNOWN : JobAnswer.Result.NOT_DONE;
                     connection.answer(call, JobAnswer.of(result, "why"));
                 });
-        assertEquals(504, ask(JobCall.Kind.SUBMIT).status());
-        assertEquals(2, asked.get());
+        assertEquals(504, send(JobCall.Kind.SUBMIT).status());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void waitsForASlowAppendUntilTheCallersDeadline() {
         Executor later = CompletableFuture.delayedExecutor(1200, TimeUnit.MILLISECONDS);
         JobAnswer answer = JobAnswer.ofDone(JobState.QUEUED);
-        lead(
+        startLeader(
                 1,
                 (connection, call, message) ->
                         later.execute(() -> connection.answer(call, answer)));
-        JobCall patient = new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 60_000);
-        assertEquals(200, gateway.answer("h", "/q/x", queue -> patient).status());
+        JobCall longCall = new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 60_000);
+        assertEquals(200, gateway.answer("h", "/q/x", queue -> longCall).status());
     }
 
     @Test
     public void doesNotSendASubmissionCloseToItsDeadline() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(1, (connection, call, message) -> asked.incrementAndGet());
-        JobCall leaving = new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 20);
-        assertEquals(503, gateway.answer("h", "/q/x", queue -> leaving).status());
-        assertEquals(0, asked.get());
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(1, (connection, call, message) -> attempts.incrementAndGet());
+        JobCall lateCall = new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 20);
+        assertEquals(503, gateway.answer("h", "/q/x", queue -> lateCall).status());
+        assertEquals(0, attempts.get());
     }
 
     @Test
     public void waitsForALeaderThatReadsItsState() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    boolean reading = asked.incrementAndGet() < 12;
+                    boolean loading = attempts.incrementAndGet() < 12;
                     connection.answer(
                             call,
-                            reading
+                            loading
                                     ? new LeaderNotice(Epoch.of(1), "")
                                     : JobAnswer.ofDone(JobState.QUEUED));
                 });
-        assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
+        assertEquals(200, send(JobCall.Kind.SUBMIT).status());
     }
 
     @Test
     public void aRequestIsRefusedAtOnceWhenTooManyWaitForALeader() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (connection, call, message) -> {
-                    asked.incrementAndGet();
+                    attempts.incrementAndGet();
                     connection.answer(call, new LeaderNotice(Epoch.of(1), ""));
                 });
-        ask(JobCall.Kind.STATE);
-        asked.set(0);
-        JobGateway crowded =
+        send(JobCall.Kind.STATE);
+        attempts.set(0);
+        JobGateway fullGateway =
                 new JobGateway(leader, MonotonicClock.ofSystem(), new SimpleMeterRegistry(), 0);
-        crowded.offer(CONFIGURATION);
+        fullGateway.offer(CONFIGURATION);
         JobReply reply =
-                crowded.answer(
+                fullGateway.answer(
                         "h", "/q/x", queue -> new JobCall(JobCall.Kind.SUBMIT, ID, JOB, 3000));
         assertEquals(503, reply.status());
-        assertEquals(1, asked.get());
+        assertEquals(1, attempts.get());
     }
 
     @Test
     public void aReadOnlyCallIsReportedAsNotRun() {
-        lead(1, (connection, call, message) -> connection.close());
-        assertEquals(503, ask(JobCall.Kind.STATE).status());
+        startLeader(1, (connection, call, message) -> connection.close());
+        assertEquals(503, send(JobCall.Kind.STATE).status());
     }
 
     @Test
     public void retriesAtTheNewLeaderAfterARedirect() {
-        AtomicInteger asked = new AtomicInteger();
-        lead(
+        AtomicInteger attempts = new AtomicInteger();
+        startLeader(
                 1,
                 (Connection connection, long call, org.standlink.wire.Message message) -> {
-                    if (asked.incrementAndGet() == 1) {
+                    if (attempts.incrementAndGet() == 1) {
                         connection.answer(call, new LeaderNotice(Epoch.of(1), ""));
                     } else {
                         connection.answer(call, JobAnswer.ofDone(JobState.QUEUED));
                     }
                 });
-        assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
-        assertEquals(2, asked.get());
+        assertEquals(200, send(JobCall.Kind.SUBMIT).status());
+        assertEquals(2, attempts.get());
     }
 
     @Test
     public void rejectsInvalidRequestsAtOnce() {
         assertEquals(404, gateway.answer("h", "/x/", queue -> null).status());
         assertEquals(404, gateway.answer("other", "/q/x", queue -> null).status());
-        assertEquals(405, ask(null).status());
+        assertEquals(405, send(null).status());
         JobReply reply =
                 gateway.answer(
                         "h",
@@ -303,7 +303,7 @@
     @Test
     public void ignoresAnOlderConfiguration() {
         gateway.offer(new Configuration(2, List.of(), List.of(), 0));
-        leadWith(JobAnswer.ofDone(JobState.QUEUED));
-        assertEquals(200, ask(JobCall.Kind.SUBMIT).status());
+        startLeaderWith(JobAnswer.ofDone(JobState.QUEUED));
+        assertEquals(200, send(JobCall.Kind.SUBMIT).status());
     }
 }
