--- /dev/null
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -0,0 +1,377 @@
+/*
+ *  Copyright 2026 the standlink authors
+ *
+ *  Licensed under the Apache License, Version 2.0 (the "License");
+ *  you may not use this file except in compliance with the License.
+ *  You may obtain a copy of the License at
+ *
+ *      http://www.apache.org/licenses/LICENSE-2.0
+ *
+ *  Unless required by applicable law or agreed to in writing, software
+ *  distributed under the License is distributed on an "AS IS" BASIS,
+ *  WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ *  See the License for the specific language governing permissions and
+ *  limitations under the License.
+ */
+package org.standlink.cell;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.function.ToIntFunction;
+import org.standlink.Resources;
+import org.standlink.job.RunEnd;
+import org.standlink.job.RunEndKind;
+import org.standlink.job.RunId;
+import org.standlink.job.RunProgress;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.lease.MonotonicClock;
+import org.standlink.process.EventLog;
+import org.standlink.wire.AgentReport;
+import org.standlink.wire.MessageChannel;
+import org.standlink.wire.StartRefusal;
+import org.standlink.wire.WorkerReport;
+
+/**
+ * Handles the reports of agents about their workers.
+ *
+ * <p>{@code AgentReportHandler} is not thread-safe; it is confined to the leader's event loop.
+ */
+final class AgentReportHandler {
+
+    /** How long a worker that reports itself as unhealthy gets no new runs, in milliseconds. */
+    private static final long UNHEALTHY_BACKOFF_MILLIS = 1500;
+
+    /**
+     * How long a run may make no progress, in milliseconds. A run of 6 s, on a worker that is
+     * slowed sixfold and overcommitted twofold, progresses by a further percent within half of it.
+     */
+    private static final long STALL_TIMEOUT_MILLIS = 1500;
+
+    private static final EventLog LOG = EventLog.of(AgentReportHandler.class);
+
+    private final JobRegistry jobs;
+
+    private final WorkerRegistry workers;
+
+    private final AgentRegistry agents;
+
+    private final OrderDispatcher orders;
+
+    private final MonotonicClock clock;
+
+    private final MoveCostEstimator moveCost;
+
+    private final InterferenceLearner interferenceLearner;
+
+    private final CrashDetector crashDetector;
+
+    private final RunReleaser releaser;
+
+    private final WorkerRestartHandler restartHandler;
+
+    private final RunReconciler reconciler;
+
+    /**
+     * Constructor.
+     *
+     * @param jobs the jobs
+     * @param workers the workers
+     * @param agents the agents
+     * @param orders sends orders to the agents
+     * @param maxAttempts gets how many runs of a task of a job may fail
+     * @param clock the leader's clock
+     * @param interferenceLearner learns interference from the measurements
+     * @param moveCost learns the cost of moves
+     */
+    AgentReportHandler(
+            JobRegistry jobs,
+            WorkerRegistry workers,
+            AgentRegistry agents,
+            OrderDispatcher orders,
+            ToIntFunction<JobEntry> maxAttempts,
+            MonotonicClock clock,
+            InterferenceLearner interferenceLearner,
+            MoveCostEstimator moveCost) {
+        this.jobs = jobs;
+        this.workers = workers;
+        this.agents = agents;
+        this.orders = orders;
+        this.clock = clock;
+        this.interferenceLearner = interferenceLearner;
+        this.moveCost = moveCost;
+        this.crashDetector = new CrashDetector(clock);
+        this.releaser = new RunReleaser(jobs, workers, maxAttempts);
+        this.restartHandler =
+                new WorkerRestartHandler(workers, agents, crashDetector, releaser, clock);
+        this.reconciler = new RunReconciler(jobs, agents, orders);
+    }
+
+    /**
+     * Handles a report.
+     *
+     * @param connection the connection on which the report arrived
+     * @param report the report
+     * @param leaseExpiryMillis until when the agent is granted a lease, on the leader's clock; 0
+     *     for none
+     * @return false if the report was ignored, because it is out of date or because it revealed the
+     *     restart of a worker
+     */
+    boolean handle(MessageChannel connection, AgentReport report, long leaseExpiryMillis) {
+        if (!agents.isCurrent(report) || restartHandler.detectRestarts(report)) {
+            return false;
+        }
+        for (WorkerReport workerReport : report.workers()) {
+            WorkerEntry worker =
+                    workers.getOrAdd(workerReport.worker().incarnation(), leaseExpiryMillis);
+            if (worker.isEnded()) {
+                continue;
+            }
+            worker.extendLease(leaseExpiryMillis);
+            if (agents.isReachedByAnotherAgent(
+                    report.incarnation(), workerReport, clock.nowMillis())) {
+                continue;
+            }
+            boolean firstReport = worker.getDescription() == null;
+            worker.receiveReport(
+                    workerReport.worker(), connection, workerReport.reachable(), clock.nowMillis());
+            worker.setAgent(report.incarnation());
+            if (firstReport) {
+                workers.persistAddress(worker);
+                workers.findReplacedBy(worker).forEach(this::handleReplacement);
+            }
+            if (workerReport.reachable()) {
+                crashDetector.recordContact(worker).forEach(releaser::markTaskChanged);
+            }
+            if (!restartHandler.isResolutionPending(worker, workerReport)) {
+                handleWorker(worker, workerReport, report);
+            }
+        }
+        for (WorkerIncarnation ended : report.dead()) {
+            WorkerEntry worker = workers.find(ended);
+            if (worker != null && worker.isEnded()) {
+                // Its runs stay assigned until the next incarnation has listed its own.
+                continue;
+            }
+            if (worker != null) {
+                handleReplacement(worker);
+            } else {
+                crashDetector.recordEnd(ended).forEach(releaser::markTaskChanged);
+            }
+        }
+        return true;
+    }
+
+    private void handleReplacement(WorkerEntry worker) {
+        crashDetector.recordCrash(worker).forEach(releaser::markTaskChanged);
+        releaser.releaseAll(worker, "worker-replaced");
+        workers.remove(worker);
+    }
+
+    /**
+     * Returns the jobs that have changed since the last call, and clears the list.
+     *
+     * @return the jobs
+     */
+    Set<JobEntry> takeChangedJobs() {
+        return releaser.takeChangedJobs();
+    }
+
+    /**
+     * Abandons all runs of a worker because its lease has expired. Earlier orders for them are
+     * superseded.
+     *
+     * @param worker the worker
+     * @param reason the reason to be logged
+     */
+    void abandonRuns(WorkerEntry worker, String reason) {
+        if (!worker.listTasks().isEmpty()) {
+            if (!worker.isEnded()) {
+                crashDetector.recordLeaseExpiry(worker);
+            }
+            agents.raiseGeneration(worker.getAgent(), reason);
+            releaser.releaseAll(worker, reason);
+        }
+    }
+
+    /** Stops runs that make no progress, so that they continue on other workers. */
+    void stopStalledRuns() {
+        long now = clock.nowMillis();
+        crashDetector.removeExpired();
+        for (WorkerEntry worker : workers.getWorkers()) {
+            if (!worker.isReachable()) {
+                // Its progress reports are out of date; its runs are handled when its lease
+                // expires.
+                continue;
+            }
+            List<TaskEntry> stalled =
+                    worker.listTasks().stream()
+                            .filter(task -> !isThrottled(task, worker, now))
+                            .filter(
+                                    task ->
+                                            task.detectStall(
+                                                    worker.getLastReportMillis(),
+                                                    STALL_TIMEOUT_MILLIS))
+                            .toList();
+            for (TaskEntry task : stalled) {
+                LOG.info("stalled")
+                        .with("run", task.getRun())
+                        .with("worker", worker.getIncarnation())
+                        .write();
+                workers.recordOutcome(worker, false, now);
+            }
+            orders.stopAfterCommit(stalled);
+        }
+    }
+
+    /** Checks whether a run is throttled; such a run may make no progress intentionally. */
+    private static boolean isThrottled(TaskEntry task, WorkerEntry worker, long now) {
+        return worker.getMetrics().isThrottled(task.getStep().image(), now, 0);
+    }
+
+    // -----------------------------------------------------------------------
+    private void handleWorker(WorkerEntry worker, WorkerReport workerReport, AgentReport report) {
+        if (workerReport.lapsed()) {
+            abandonRuns(worker, "lease-lapsed");
+        }
+        workerReport
+                .running()
+                .forEach(progress -> saveProgress(progress, workerReport.reachable()));
+        worker.getMetrics().updateThrottled(workerReport.throttled(), clock.nowMillis());
+        interferenceLearner.learn(worker, workerReport.running());
+        handleEnds(worker, workerReport.ended());
+        for (StartRefusal refusal : workerReport.refused()) {
+            handleRefusal(worker, refusal);
+        }
+        for (RunId run : workerReport.gone()) {
+            releaseRun(worker, run, "stopped-before-start");
+        }
+        if (workerReport.known()) {
+            reconciler.reconcile(worker, workerReport, report.incarnation());
+        }
+        if (workerReport.worker().draining()) {
+            evacuate(worker);
+        }
+        withdrawExcessOrders(worker);
+    }
+
+    private void saveProgress(RunProgress progress, boolean reachable) {
+        TaskEntry task = jobs.findTask(progress.run().task());
+        if (task != null && task.getRun().equals(progress.run())) {
+            task.saveCheckpoint(progress.checkpoint());
+            task.getProgress().update(progress.percent(), clock.nowMillis());
+            long moveMillis = task.takeMoveDurationMillis(clock.nowMillis());
+            if (moveMillis >= 0) {
+                moveCost.addSample(moveMillis, clock.nowMillis());
+            }
+            if (reachable) {
+                task.getTrial().recordRunning(clock.nowMillis());
+            }
+        }
+    }
+
+    private void handleEnds(WorkerEntry worker, List<RunEnd> ends) {
+        long lastHandled = worker.getEnds().getLastHandled();
+        for (RunEnd end : ends) {
+            if (end.number() > worker.getEnds().getLastHandled()) {
+                worker.getEnds().markHandled(end.number());
+                handleEnd(worker, end);
+            }
+        }
+        if (!ends.isEmpty() || worker.getEnds().getLastHandled() > lastHandled) {
+            orders.acknowledgeEndsAfterCommit(worker);
+        }
+    }
+
+    private void handleEnd(WorkerEntry worker, RunEnd end) {
+        TaskEntry task = jobs.findTask(end.run().task());
+        LOG.info("ended")
+                .with("run", end.run())
+                .with("worker", worker.getIncarnation())
+                .with("how", end.kind())
+                .with("number", end.number())
+                .with("known", task != null)
+                .write();
+        if (task == null) {
+            return;
+        }
+        if (end.kind() == RunEndKind.DONE || end.kind() == RunEndKind.FAILED) {
+            workers.recordOutcome(worker, end.kind() == RunEndKind.DONE, clock.nowMillis());
+        }
+        WorkerIncarnation formerWorker = task.getWorker();
+        if (!task.recordEnd(worker.getIncarnation(), end)) {
+            return;
+        }
+        if (formerWorker != null && task.getWorker() == null) {
+            workers.removeTask(task, formerWorker);
+        } else if (task.isDone() && formerWorker != null) {
+            // Another run of the task has completed it, so this one is not needed.
+            orders.stopAfterCommit(List.of(task));
+        }
+        releaser.markTaskChanged(task);
+    }
+
+    private void handleRefusal(WorkerEntry worker, StartRefusal refusal) {
+        if (refusal.unwell()) {
+            worker.getHealth().avoidUntil(clock.nowMillis() + UNHEALTHY_BACKOFF_MILLIS);
+        }
+        releaseRun(worker, refusal.run(), refusal.reason());
+    }
+
+    private void releaseRun(WorkerEntry worker, RunId run, String reason) {
+        TaskEntry task = jobs.findTask(run.task());
+        boolean current =
+                task != null
+                        && task.getRun().equals(run)
+                        && worker.getIncarnation().equals(task.getWorker());
+        if (current) {
+            releaser.release(task, worker.getIncarnation(), reason);
+        }
+    }
+
+    /**
+     * Stops runs that can continue elsewhere without loss while a draining worker can still save
+     * their state; other runs may finish there in time.
+     */
+    private void evacuate(WorkerEntry worker) {
+        List<TaskEntry> movable =
+                worker.listTasks().stream()
+                        .filter(
+                                task ->
+                                        task.getStep().longRunning()
+                                                || task.getStep().checkpointing())
+                        .filter(TaskEntry::beginMove)
+                        .toList();
+        if (!movable.isEmpty()) {
+            LOG.info("moving")
+                    .with("worker", worker.getIncarnation())
+                    .with("runs", movable.size())
+                    .write();
+            orders.stopAfterCommit(movable);
+        }
+    }
+
+    /**
+     * Withdraws orders that a worker may not have received yet and that exceed its present
+     * capacity. Runs that the worker has listed may continue.
+     */
+    private void withdrawExcessOrders(WorkerEntry worker) {
+        Resources capacity = worker.getDescription().capacity();
+        Resources reserved = worker.getLoad().getReserved();
+        List<TaskEntry> withdrawn = new ArrayList<>();
+        for (TaskEntry task : worker.listTasks()) {
+            boolean exceeded = !reserved.fitsIn(capacity);
+            if (exceeded && !task.isListed() && task.beginMove()) {
+                reserved = reserved.minus(task.getStep().requiredCapacity());
+                withdrawn.add(task);
+            }
+        }
+        if (!withdrawn.isEmpty()) {
+            LOG.info("orders-withdrawn")
+                    .with("worker", worker.getIncarnation())
+                    .with("runs", withdrawn.size())
+                    .write();
+            orders.stopAfterCommit(withdrawn);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/standlink/cell/CrashDetector.java
@@ -0,0 +1,295 @@
+/*
+ *  Copyright 2026 the standlink authors
+ *
+ *  Licensed under the Apache License, Version 2.0 (the "License");
+ *  you may not use this file except in compliance with the License.
+ *  You may obtain a copy of the License at
+ *
+ *      http://www.apache.org/licenses/LICENSE-2.0
+ *
+ *  Unless required by applicable law or agreed to in writing, software
+ *  distributed under the License is distributed on an "AS IS" BASIS,
+ *  WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ *  See the License for the specific language governing permissions and
+ *  limitations under the License.
+ */
+package org.standlink.cell;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.lease.MonotonicClock;
+import org.standlink.process.EventLog;
+
+/**
+ * Identifies the tasks that crash the workers that start them.
+ *
+ * <p>A worker that crashes reports no ends of runs, so its runs are counted here. If its lease
+ * expired, it is not known yet whether the worker crashed; its runs are remembered until it reports
+ * again or another incarnation answers at its address.
+ *
+ * <p>{@code CrashDetector} is not thread-safe; it is confined to the leader's event loop.
+ */
+final class CrashDetector {
+
+    /**
+     * The likelihood that a worker crashes of itself while a run is new there. It is multiplied by
+     * one plus the number of recent crashes that no task is likely to have caused: where many
+     * workers crash, it proves little that some of them crashed under one task.
+     */
+    private static final double SPONTANEOUS_CRASH_LIKELIHOOD = 0.02;
+
+    /**
+     * How many times more likely that is for a run that was reported as running: it has survived
+     * its start, as most runs that crash their worker do not.
+     */
+    private static final double REPORTED_RUNNING_FACTOR = 5;
+
+    /** How long such a crash counts, in milliseconds: several incarnations of a crashing worker. */
+    private static final long RECENT_MILLIS = 30_000;
+
+    /**
+     * How long the runs of an unresponsive worker are remembered, in milliseconds: a crashed worker
+     * is back within seconds, or not at all.
+     */
+    private static final long RETENTION_MILLIS = 60_000;
+
+    /**
+     * The maximum number of remembered crashes that no task explains. A task fails permanently
+     * after five crashes, so that even ten such tasks at once are distinguished from the tasks
+     * beside them.
+     */
+    private static final int MAX_UNEXPLAINED = 50;
+
+    private static final EventLog LOG = EventLog.of(CrashDetector.class);
+
+    /** The runs that were abandoned when their worker's lease expired, by worker incarnation. */
+    private final Map<WorkerIncarnation, WorkerRuns> expiredLeases = new LinkedHashMap<>();
+
+    /** The crashes that no task explains yet, the oldest first. */
+    private final Deque<Crash> unexplained = new ArrayDeque<>();
+
+    private final MonotonicClock clock;
+
+    /** A crash, and the tasks that ran on the worker. */
+    private record Crash(long at, List<TaskEntry> tasks) {
+
+        boolean hasNoLikelyCause() {
+            return tasks.stream().noneMatch(task -> task.getTrial().getCrashes().isLikelyCause());
+        }
+    }
+
+    /**
+     * The runs of a worker that crashed or whose lease expired: those that had just started, and
+     * those whose start was proven.
+     */
+    private record WorkerRuns(
+            String address, long since, List<TaskEntry> begun, List<TaskEntry> proven) {
+
+        boolean isAt(String otherAddress) {
+            return !address.isEmpty() && address.equals(otherAddress);
+        }
+    }
+
+    CrashDetector(MonotonicClock clock) {
+        this.clock = clock;
+    }
+
+    /**
+     * Records that a worker has crashed; called before its runs are released.
+     *
+     * @param worker the worker; one that announced that it leaves has not crashed
+     * @return the tasks whose crash history has changed
+     */
+    List<TaskEntry> recordCrash(WorkerEntry worker) {
+        WorkerRuns earlier = remove(worker.getIncarnation());
+        boolean draining = worker.getDescription() != null && worker.getDescription().draining();
+        if (draining) {
+            return List.of();
+        }
+        WorkerRuns lost = collectRuns(worker, clock.nowMillis());
+        if (earlier != null) {
+            lost.begun().addAll(earlier.begun());
+            lost.proven().addAll(earlier.proven());
+        }
+        return countCrash(worker.getIncarnation(), lost);
+    }
+
+    /**
+     * Records that the lease of a worker has expired; called before its runs are released.
+     *
+     * @param worker the worker
+     */
+    void recordLeaseExpiry(WorkerEntry worker) {
+        WorkerRuns expired = collectRuns(worker, clock.nowMillis());
+        if (expiredLeases.putIfAbsent(worker.getIncarnation(), expired) == null) {
+            expired.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(1));
+        }
+    }
+
+    /** Removes unresponsive workers that have not come back in time. */
+    void removeExpired() {
+        long now = clock.nowMillis();
+        List.copyOf(expiredLeases.keySet()).stream()
+                .filter(id -> now - expiredLeases.get(id).since() > RETENTION_MILLIS)
+                .forEach(this::remove);
+    }
+
+    /**
+     * Records that a worker answers: this incarnation has not crashed, and the earlier ones at the
+     * same address have.
+     *
+     * @param worker the worker
+     * @return the tasks whose crash history has changed
+     */
+    List<TaskEntry> recordContact(WorkerEntry worker) {
+        if (expiredLeases.isEmpty()) {
+            return List.of();
+        }
+        remove(worker.getIncarnation());
+        List<WorkerIncarnation> ended =
+                expiredLeases.entrySet().stream()
+                        .filter(entry -> entry.getValue().isAt(worker.getAddress()))
+                        .map(Map.Entry::getKey)
+                        .toList();
+        return ended.stream().flatMap(id -> recordEnd(id).stream()).toList();
+    }
+
+    /**
+     * Records that an incarnation whose lease expired before has ended.
+     *
+     * @param id the incarnation of the worker
+     * @return the tasks whose crash history has changed
+     */
+    List<TaskEntry> recordEnd(WorkerIncarnation id) {
+        WorkerRuns lease = remove(id);
+        return lease == null ? List.of() : countCrash(id, lease);
+    }
+
+    // -----------------------------------------------------------------------
+    /** Returns the likelihood that a worker crashed for a reason that is unrelated to the task. */
+    private double spontaneousCrashLikelihood(TaskEntry task) {
+        long now = clock.nowMillis();
+        long others =
+                unexplained.stream()
+                        .filter(crash -> now - crash.at() < RECENT_MILLIS)
+                        .filter(crash -> !crash.tasks().contains(task))
+                        .filter(Crash::hasNoLikelyCause)
+                        .count();
+        return SPONTANEOUS_CRASH_LIKELIHOOD
+                * (1 + others)
+                * (task.getTrial().wasReportedRunning() ? REPORTED_RUNNING_FACTOR : 1);
+    }
+
+    private WorkerRuns remove(WorkerIncarnation id) {
+        WorkerRuns lease = expiredLeases.remove(id);
+        if (lease != null) {
+            lease.begun().forEach(task -> task.getTrial().adjustUnresolvedRuns(-1));
+        }
+        return lease;
+    }
+
+    private static WorkerRuns collectRuns(WorkerEntry worker, long now) {
+        List<TaskEntry> started = new ArrayList<>();
+        List<TaskEntry> proven = new ArrayList<>();
+        for (TaskEntry task : worker.listTasks()) {
+            (task.getTrial().isProven() ? proven : started).add(task);
+        }
+        return new WorkerRuns(worker.getAddress(), now, started, proven);
+    }
+
+    /** Counts a crash, and divides the suspicion among all tasks that had just started. */
+    private List<TaskEntry> countCrash(WorkerIncarnation worker, WorkerRuns lost) {
+        // If the crash is reported late, some tasks have proven their start elsewhere by then.
+        List<TaskEntry> started =
+                lost.begun().stream().filter(task -> !task.getTrial().isProven()).toList();
+        List<TaskEntry> counted = new ArrayList<>(lost.proven());
+        counted.forEach(
+                task -> task.getTrial().setCrashes(task.getTrial().getCrashes().withLateCrash()));
+        double totalWeight = 0;
+        for (TaskEntry task : started) {
+            totalWeight += task.getTrial().getCrashes().getWeight();
+        }
+        for (TaskEntry task : started) {
+            CrashHistory history = task.getTrial().getCrashes();
+            double likelihood =
+                    history.getWeight() / (totalWeight + spontaneousCrashLikelihood(task));
+            task.getTrial().setCrashes(history.withStartupCrash(likelihood));
+            counted.add(task);
+        }
+        if (!counted.isEmpty()) {
+            logCrash(worker, started.size(), counted);
+            addUnexplained(counted);
+        }
+        Set<TaskEntry> changed = new LinkedHashSet<>(counted);
+        counted.stream()
+                .filter(task -> task.getTrial().getCrashes().isFailedPermanently())
+                .forEach(task -> changed.addAll(clearSuspicion(task)));
+        return List.copyOf(changed);
+    }
+
+    private void addUnexplained(List<TaskEntry> counted) {
+        unexplained.addLast(new Crash(clock.nowMillis(), List.copyOf(counted)));
+        if (unexplained.size() > MAX_UNEXPLAINED) {
+            unexplained.removeFirst();
+        }
+    }
+
+    /**
+     * Clears the suspicion of the tasks that shared a crash with a task that has failed
+     * permanently.
+     */
+    private Set<TaskEntry> clearSuspicion(TaskEntry cause) {
+        Set<TaskEntry> cleared = new LinkedHashSet<>();
+        for (Crash crash : List.copyOf(unexplained)) {
+            if (crash.tasks().contains(cause)) {
+                unexplained.remove(crash);
+                crash.tasks().stream()
+                        .filter(
+                                task ->
+                                        task != cause
+                                                && !task.getTrial()
+                                                        .getCrashes()
+                                                        .isFailedPermanently())
+                        .forEach(
+                                task -> {
+                                    task.getTrial()
+                                            .setCrashes(
+                                                    task.getTrial()
+                                                            .getCrashes()
+                                                            .withoutSuspicion());
+                                    cleared.add(task);
+                                });
+            }
+        }
+        return cleared;
+    }
+
+    private static void logCrash(WorkerIncarnation worker, int started, List<TaskEntry> counted) {
+        LOG.info("worker-crashed")
+                .with("worker", worker)
+                .with("begun", started)
+                .with("runs", counted.size())
+                .write();
+        for (TaskEntry task : counted) {
+            CrashHistory crashes = task.getTrial().getCrashes();
+            if (crashes.isFailedPermanently() || crashes.requiresIsolation()) {
+                LOG.info(
+                                crashes.isFailedPermanently()
+                                        ? "task-failed-permanently"
+                                        : "task-suspected")
+                        .with("task", task.getName())
+                        .with("crashes", crashes.getStartupCrashes())
+                        .with("late", crashes.getLateCrashes())
+                        .with("per-mille", crashes.getSuspicionPerMille())
+                        .write();
+            }
+        }
+    }
+}
--- a/src/main/java/org/standlink/cell/PendingAppend.java
+++ b/src/main/java/org/standlink/cell/PendingAppend.java
@@ -19,98 +19,92 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * One append, from its first call to the answer.
+ * An append to the store, from its first call until it has been answered.
  *
- * <p>{@code PendingAppend} is mutable and not thread-safe; the commit queue owns it.
+ * <p>{@code PendingAppend} is mutable and not thread-safe; it is confined to the commit queue.
  */
 final class PendingAppend {
 
-    /** What is to be kept. */
     private final List<KeyedRecord> records;
 
-    /** What happens once it is kept. */
-    private final List<Runnable> effects;
+    private final List<Runnable> callbacks;
 
-    /** How many calls for it are under way. */
-    private int calls;
+    private int callsInFlight;
 
-    /** The number of the last call for it. */
-    private int lastCall;
+    private int lastCallNumber;
 
-    /** Whether it was taken. */
-    private boolean done;
+    private boolean accepted;
 
-    /** Whether it is being read back. */
-    private boolean confirming;
+    private boolean readingBack;
 
     /**
      * Constructor.
      *
-     * @param records what is to be kept
-     * @param effects what happens once it is kept
+     * @param records the records to be persisted
+     * @param callbacks the actions to run once the records are durable
      */
-    PendingAppend(List<KeyedRecord> records, List<Runnable> effects) {
+    PendingAppend(List<KeyedRecord> records, List<Runnable> callbacks) {
         this.records = records;
-        this.effects = effects;
+        this.callbacks = callbacks;
     }
 
-    /** Takes note that a call is sent. */
-    void called() {
-        calls++;
-        lastCall++;
+    /** Records that a call is sent. */
+    void callStarted() {
+        callsInFlight++;
+        lastCallNumber++;
     }
 
-    /** Takes note that a call is over, with or without an answer. */
-    void callOver() {
-        calls--;
+    /** Records that a call has ended, with or without an answer. */
+    void callFinished() {
+        callsInFlight--;
     }
 
-    /** Takes note that the store has taken it. */
-    void taken() {
-        done = true;
+    /** Records that the store has accepted the append. */
+    void markAccepted() {
+        accepted = true;
     }
 
     /**
-     * Sets whether it is being read back.
+     * Sets whether the records are being read back, after a call whose outcome is unknown.
      *
-     * @param reading whether it is
+     * @param active true while they are being read back
      */
-    void setConfirming(boolean reading) {
-        confirming = reading;
+    void setReadingBack(boolean active) {
+        readingBack = active;
     }
 
     List<KeyedRecord> getRecords() {
         return records;
     }
 
-    List<Runnable> getEffects() {
-        return effects;
+    List<Runnable> getCallbacks() {
+        return callbacks;
     }
 
-    int getCalls() {
-        return calls;
+    int getCallsInFlight() {
+        return callsInFlight;
     }
 
-    int getLastCall() {
-        return lastCall;
+    int getLastCallNumber() {
+        return lastCallNumber;
     }
 
-    boolean isDone() {
-        return done;
+    boolean isAccepted() {
+        return accepted;
     }
 
-    boolean isConfirming() {
-        return confirming;
+    boolean isReadingBack() {
+        return readingBack;
     }
 
     /**
-     * Checks whether it was read back.
+     * Checks whether records read from the store are those of this append.
      *
-     * @param read the records from where it should begin; a read may end before, but appends are
-     *     whole
-     * @return true if these are its records
+     * @param read the records from the expected position on; a read may end before the last record,
+     *     but appends are atomic
+     * @return true if the records read match those of this append
      */
-    boolean isIn(List<KeyedRecord> read) {
+    boolean matches(List<KeyedRecord> read) {
         int common = Math.min(read.size(), records.size());
         return read.subList(0, common).equals(records.subList(0, common));
     }
--- a/src/test/java/org/standlink/cell/CellFixtures.java
+++ b/src/test/java/org/standlink/cell/CellFixtures.java
@@ -29,13 +29,13 @@
 import org.standlink.job.QueueDefinition;
 import org.standlink.job.StepDefinition;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
+import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.KeyedStore;
 
-/** Jobs, workers and a configuration for tests. */
+/** Provides jobs, workers, leaders and a configuration for tests. */
 final class CellFixtures {
 
-    /** A configuration with one queue, whose tasks may fail twice. */
+    /** A configuration with one queue, whose tasks fail permanently at the second failed run. */
     static final Configuration CONFIGURATION =
             new Configuration(
                     1,
@@ -45,7 +45,9 @@
 
     private CellFixtures() {}
 
-    /** A job with steps of so many tasks, each step after the one before. */
+    /**
+     * Creates a job with one step for each count of tasks, each step depending on the one before.
+     */
     static JobDefinition job(String id, int... counts) {
         StepDefinition[] steps = new StepDefinition[counts.length];
         for (int i = 0; i < counts.length; i++) {
@@ -59,7 +61,8 @@
         return new JobDefinition(JobId.parse(id), "q", "text", List.of(steps), 0, 0, 0);
     }
 
-    static StepDefinition step(int count, List<Integer> after, int most, boolean longRunning) {
+    static StepDefinition step(
+            int count, List<Integer> after, int maxPerWorker, boolean longRunning) {
         return new StepDefinition(
                 count,
                 new Resources(1000, 100, 0),
@@ -70,7 +73,7 @@
                 false,
                 "",
                 "",
-                most,
+                maxPerWorker,
                 false,
                 longRunning,
                 "",
@@ -88,7 +91,7 @@
     }
 
     private static StepDefinition of(
-            String image, int cores, double target, boolean fills, boolean lasts) {
+            String image, int cores, double targetMillis, boolean bestEffort, boolean longRunning) {
         return new StepDefinition(
                 1,
                 new Resources(cores * 1000L, 100, 0),
@@ -101,27 +104,27 @@
                 "",
                 0,
                 false,
-                lasts,
+                longRunning,
                 image,
-                target,
-                fills,
+                targetMillis,
+                bestEffort,
                 0);
     }
 
-    /** A leader that has read its state. */
-    static CellLeader lead(long epoch, KeyedStore store, FakeClock clock, FakeLoop loop) {
-        return lead(epoch, store, clock, loop, () -> CONFIGURATION);
+    /** Starts a leader and lets it load its state. */
+    static JobCellLeader startLeader(long epoch, KeyedStore store, FakeClock clock, FakeLoop loop) {
+        return startLeader(epoch, store, clock, loop, () -> CONFIGURATION);
     }
 
-    /** A leader that has read its state, and this of the operator's configuration. */
-    static CellLeader lead(
+    /** Starts a leader with a source of configurations and lets it load its state. */
+    static JobCellLeader startLeader(
             long epoch,
             KeyedStore store,
             FakeClock clock,
             FakeLoop loop,
             Supplier<Configuration> configuration) {
-        CellLeader leader =
-                new CellLeader(
+        JobCellLeader leader =
+                new JobCellLeader(
                         Epoch.of(epoch),
                         store,
                         new CellTimes(6000, 120_000),
@@ -138,7 +141,7 @@
 
     static WorkerDescription worker(String id, int cores) {
         return new WorkerDescription(
-                WorkerLife.parse(id + "@1000"),
+                WorkerIncarnation.parse(id + "@1000"),
                 "s",
                 "10.0.0.1:" + id.hashCode(),
                 new Resources(cores * 1000L, 10_000, 0),
--- a/src/test/java/org/standlink/cell/TestAgentBoard.java
+++ b/src/test/java/org/standlink/cell/TestAgentRegistry.java
@@ -28,14 +28,14 @@
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.wire.AgentReport;
 
-/** Tests when the generation of an agent's lease rises, and which reports count. */
-public class TestAgentBoard {
+/** Tests when the generation of an agent's lease rises, and which reports are accepted. */
+public class TestAgentRegistry {
 
     private static final Incarnation AGENT = Incarnation.of(1);
     private static final Incarnation OTHER = Incarnation.of(2);
 
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
-    private final AgentBoard agents = new AgentBoard(Epoch.of(1), workers);
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
+    private final AgentRegistry agents = new AgentRegistry(Epoch.of(1), workers);
 
     private static AgentReport report(
             Incarnation agent, long sequence, LeaseGeneration generation, boolean refused) {
@@ -56,16 +56,16 @@
     }
 
     @Test
-    public void aReportThatALaterOneHasOvertakenIsPassedOver() {
+    public void outOfOrderReportIsIgnored() {
         assertTrue(accept(AGENT, 2));
         assertFalse(accept(AGENT, 1));
         assertFalse(accept(AGENT, 2));
         assertTrue(accept(AGENT, 3));
-        assertTrue(accept(OTHER, 1), "each run of an agent counts for itself");
+        assertTrue(accept(OTHER, 1), "the reports of each agent process are numbered separately");
     }
 
     @Test
-    public void aReportCountsOnceItNamesWhatItsSenderWasTold() {
+    public void reportCountsOnceItNamesTheCurrentGeneration() {
         AgentReport first = report(AGENT, 1, LeaseGeneration.NONE, false);
         agents.accept(first, 0);
         assertFalse(agents.isCurrent(first));
@@ -77,30 +77,32 @@
     }
 
     @Test
-    public void aProcessThatALaterOneHasReplacedIsPassedOver() {
+    public void reportOfAReplacedProcessIsIgnored() {
         accept(AGENT, 1);
-        LeaseGeneration told = agents.getGeneration(AGENT);
+        LeaseGeneration generation = agents.getGeneration(AGENT);
         accept(OTHER, 1);
-        LeaseGeneration later = agents.getGeneration(OTHER);
-        assertTrue(agents.accept(report(AGENT, 2, told, false), 0), "it may be the present one");
-        AgentReport current = report(OTHER, 2, later, false);
+        LeaseGeneration laterGeneration = agents.getGeneration(OTHER);
+        assertTrue(
+                agents.accept(report(AGENT, 2, generation, false), 0),
+                "it may be the current process");
+        AgentReport current = report(OTHER, 2, laterGeneration, false);
         agents.accept(current, 0);
         assertTrue(agents.isCurrent(current));
-        assertFalse(agents.accept(report(AGENT, 3, told, false), 0));
+        assertFalse(agents.accept(report(AGENT, 3, generation, false), 0));
     }
 
     @Test
-    public void aLateReportOfAnEarlierProcessDoesNotReplaceTheOneThatWasJustHeard() {
+    public void delayedReportOfAnEarlierProcessDoesNotReplaceTheCurrentOne() {
         accept(AGENT, 1);
-        LeaseGeneration told = agents.getGeneration(AGENT);
+        LeaseGeneration generation = agents.getGeneration(AGENT);
         accept(OTHER, 1);
-        AgentReport late = report(AGENT, 2, told, false);
-        agents.accept(late, 0);
-        agents.isCurrent(late);
-        AgentReport present = report(OTHER, 2, agents.getGeneration(OTHER), false);
-        assertTrue(agents.accept(present, 0), "its process is the later one");
-        assertTrue(agents.isCurrent(present));
-        assertFalse(agents.accept(report(AGENT, 3, told, false), 0));
+        AgentReport delayed = report(AGENT, 2, generation, false);
+        agents.accept(delayed, 0);
+        agents.isCurrent(delayed);
+        AgentReport current = report(OTHER, 2, agents.getGeneration(OTHER), false);
+        assertTrue(agents.accept(current, 0), "its process was started later");
+        assertTrue(agents.isCurrent(current));
+        assertFalse(agents.accept(report(AGENT, 3, generation, false), 0));
     }
 
     @Test
@@ -116,33 +118,33 @@
     }
 
     @Test
-    public void anAgentWhoseWorkerHasSeenMoreGetsAHigherGenerationOnce() {
+    public void refusedGenerationIsRaisedOnce() {
         accept(AGENT, 1);
         LeaseGeneration first = agents.getGeneration(AGENT);
         agents.accept(report(AGENT, 2, first, true), 0);
         LeaseGeneration second = agents.getGeneration(AGENT);
         assertTrue(second.isAfter(first));
         agents.accept(report(AGENT, 3, first, true), 0);
-        assertEquals(second, agents.getGeneration(AGENT), "the answer was lost or is on its way");
+        assertEquals(second, agents.getGeneration(AGENT), "the answer is lost or still in transit");
     }
 
     @Test
-    public void aNewGenerationHasTheAgentToldAllAnew() {
+    public void newGenerationCausesAllOrdersToBeResent() {
         accept(AGENT, 1);
-        WorkerEntry worker = workers.get(CellFixtures.worker("i-1", 8).life(), 6000);
+        WorkerEntry worker = workers.getOrAdd(CellFixtures.worker("i-1", 8).incarnation(), 6000);
         worker.setAgent(AGENT);
-        worker.setToldGeneration(agents.getGeneration(AGENT));
+        worker.setSyncedGeneration(agents.getGeneration(AGENT));
         agents.raiseGeneration(OTHER, "test");
-        assertEquals(agents.getGeneration(AGENT), worker.getToldGeneration());
+        assertEquals(agents.getGeneration(AGENT), worker.getSyncedGeneration());
         agents.raiseGeneration(AGENT, "test");
-        assertEquals(LeaseGeneration.NONE, worker.getToldGeneration());
+        assertEquals(LeaseGeneration.NONE, worker.getSyncedGeneration());
     }
 
     @Test
-    public void anAgentThatIsSilentForLongIsForgotten() {
+    public void unresponsiveAgentIsForgotten() {
         accept(AGENT, 5);
         LeaseGeneration first = agents.getGeneration(AGENT);
-        agents.forgetSilent(60_001);
+        agents.removeUnresponsive(60_001);
         assertEquals(LeaseGeneration.NONE, agents.getGeneration(AGENT));
         accept(AGENT, 6);
         assertTrue(agents.getGeneration(AGENT).isAfter(first));
--- a/src/test/java/org/standlink/cell/TestReportDesk.java
+++ b/src/test/java/org/standlink/cell/TestAgentReportHandler.java
@@ -37,62 +37,62 @@
 import org.standlink.job.RunProgress;
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerDescription;
-import org.standlink.job.WorkerLife;
-import org.standlink.policy.HarmTable;
+import org.standlink.job.WorkerIncarnation;
+import org.standlink.policy.InterferenceTable;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.Topic;
 import org.standlink.wire.AgentReport;
 import org.standlink.wire.ImageShare;
 import org.standlink.wire.WorkerReport;
 
-/** Tests what reports of agents do to the state, and what agents are told and when. */
-public class TestReportDesk {
+/** Tests how reports of agents change the state, and which ends are acknowledged and when. */
+public class TestAgentReportHandler {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
+    private final JobRegistry jobs = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
             new CommitQueue(
                     store,
                     Epoch.of(1),
-                    List.of(board, workers),
-                    new StoreContact(clock, clock::nowMillis),
+                    List.of(jobs, workers),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final OrderDesk orders = new OrderDesk(Epoch.of(1), board, workers, commits);
-    private final AgentBoard agents = new AgentBoard(Epoch.of(1), workers);
-    private final ReportDesk reports =
-            new ReportDesk(
-                    board,
+    private final OrderDispatcher orders = new OrderDispatcher(Epoch.of(1), jobs, workers, commits);
+    private final AgentRegistry agents = new AgentRegistry(Epoch.of(1), workers);
+    private final AgentReportHandler handler =
+            new AgentReportHandler(
+                    jobs,
                     workers,
                     agents,
                     orders,
                     job -> 2,
                     clock,
-                    new FigureDesk(board, clock, new HarmTable()),
-                    new MoveCost());
+                    new InterferenceLearner(jobs, clock, new InterferenceTable()),
+                    new MoveCostEstimator());
     private List<TaskEntry> tasks;
     private final FakeChannel channel = new FakeChannel();
     private long sequence;
 
     @BeforeEach
     public void assign() {
-        tasks = board.add(CellFixtures.job("a", 2)).readyTasks(0);
+        tasks = jobs.add(CellFixtures.job("a", 2)).listReadyTasks(0);
         for (TaskEntry task : tasks) {
-            task.assign(WORKER.life());
-            workers.place(task, clock.nowMillis() + 6000);
+            task.assign(WORKER.incarnation());
+            workers.addTask(task, clock.nowMillis() + 6000);
         }
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
     }
 
     private void report(boolean lapsed, List<RunProgress> running, RunEnd... ended) {
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         WORKER,
                         !lapsed,
@@ -104,37 +104,44 @@
                         List.of(),
                         List.of(),
                         true);
-        handle(reports, agents, 1, List.of(part), List.of());
+        deliver(handler, agents, 1, List.of(workerReport), List.of());
     }
 
-    /** Hands over a report under the generation that its sender was told. */
-    private void handle(
-            ReportDesk desk,
-            AgentBoard known,
-            long agentRun,
+    /** Delivers a report under the current generation of its sender. */
+    private void deliver(
+            AgentReportHandler recipient,
+            AgentRegistry registry,
+            long agentIncarnation,
             List<WorkerReport> parts,
-            List<WorkerLife> dead) {
-        if (known.getGeneration(Incarnation.of(agentRun)).equals(LeaseGeneration.NONE)) {
-            known.accept(agentReport(known, agentRun, List.of(), List.of()), clock.nowMillis());
+            List<WorkerIncarnation> ended) {
+        if (registry.getGeneration(Incarnation.of(agentIncarnation)).equals(LeaseGeneration.NONE)) {
+            registry.accept(
+                    agentReport(registry, agentIncarnation, List.of(), List.of()),
+                    clock.nowMillis());
         }
-        AgentReport report = agentReport(known, agentRun, parts, dead);
-        assertTrue(known.accept(report, clock.nowMillis()));
-        assertTrue(desk.handle(channel, report, clock.nowMillis() + 6000), "the report counts");
+        AgentReport report = agentReport(registry, agentIncarnation, parts, ended);
+        assertTrue(registry.accept(report, clock.nowMillis()));
+        assertTrue(
+                recipient.handle(channel, report, clock.nowMillis() + 6000),
+                "the report is accepted");
     }
 
     private AgentReport agentReport(
-            AgentBoard known, long agentRun, List<WorkerReport> parts, List<WorkerLife> dead) {
-        Incarnation agent = Incarnation.of(agentRun);
+            AgentRegistry registry,
+            long agentIncarnation,
+            List<WorkerReport> parts,
+            List<WorkerIncarnation> ended) {
+        Incarnation agent = Incarnation.of(agentIncarnation);
         return new AgentReport(
                 "node",
                 "a:1",
                 agent,
                 ++sequence,
                 Epoch.of(1),
-                known.getGeneration(agent),
+                registry.getGeneration(agent),
                 false,
                 parts,
-                dead);
+                ended);
     }
 
     private RunEnd done(int number) {
@@ -142,18 +149,18 @@
     }
 
     @Test
-    public void anEndIsOnlyTakenAsRecordedOnceItsOwnRecordWasKept() {
+    public void endIsAcknowledgedOnlyOnceItsRecordIsPersisted() {
         report(false, List.of(), done(1));
-        commits.pump();
+        commits.startAppend();
         report(false, List.of(), done(1), done(2));
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(0);
-        WorkerEntry worker = workers.find(WORKER.life());
-        assertEquals(2, worker.getEnds().getHandled());
-        assertEquals(1, worker.getEnds().getRecorded());
+        WorkerEntry worker = workers.find(WORKER.incarnation());
+        assertEquals(2, worker.getEnds().getLastHandled());
+        assertEquals(1, worker.getEnds().getLastRecorded());
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(500);
-        assertEquals(2, worker.getEnds().getRecorded());
+        assertEquals(2, worker.getEnds().getLastRecorded());
     }
 
     @Test
@@ -161,70 +168,73 @@
         report(true, List.of());
         assertNull(tasks.get(0).getWorker());
         assertNull(tasks.get(1).getWorker());
-        assertTrue(workers.find(WORKER.life()).listTasks().isEmpty());
+        assertTrue(workers.find(WORKER.incarnation()).listTasks().isEmpty());
     }
 
-    /** Seen: a worker that does not guard its room was given its whole room beside such a run. */
+    /**
+     * Guards against overloading a worker that does not enforce its capacity: its whole capacity
+     * was assigned beside a run that was not expected there.
+     */
     @Test
-    public void aRunThatIsNotPlacedHereTakesRoomUntilItIsGone() {
-        TaskEntry elsewhere = board.add(CellFixtures.job("b", 1)).readyTasks(0).get(0);
-        elsewhere.assign(WorkerLife.parse("i-9@1000"));
+    public void unexpectedRunOccupiesCapacityUntilItEnds() {
+        TaskEntry unexpected = jobs.add(CellFixtures.job("b", 1)).listReadyTasks(0).get(0);
+        unexpected.assign(WorkerIncarnation.parse("i-9@1000"));
         report(false, progress());
-        WorkerEntry worker = workers.find(WORKER.life());
-        Resources free = worker.free();
+        WorkerEntry worker = workers.find(WORKER.incarnation());
+        Resources free = worker.getFreeCapacity();
         List<RunProgress> running = new ArrayList<>(progress());
-        running.add(new RunProgress(elsewhere.getRun(), "", 10, 0));
+        running.add(new RunProgress(unexpected.getRun(), "", 10, 0));
         report(false, running);
-        assertEquals(free.minus(elsewhere.getStep().room()), worker.free());
+        assertEquals(free.minus(unexpected.getStep().requiredCapacity()), worker.getFreeCapacity());
         report(false, progress());
-        assertEquals(free, worker.free());
+        assertEquals(free, worker.getFreeCapacity());
     }
 
     @Test
-    public void aRunOfAJobThatIsNotKnownMayTakeAllRoom() {
+    public void runOfAnUnknownJobOccupiesAllCapacity() {
         report(false, progress());
-        WorkerEntry worker = workers.find(WORKER.life());
+        WorkerEntry worker = workers.find(WORKER.incarnation());
         List<RunProgress> running = new ArrayList<>(progress());
         running.add(new RunProgress(new RunId(TaskName.parse("z.0.0.0"), 1), "", 10, 0));
         report(false, running);
-        assertTrue(worker.free().milliCores() <= 0);
+        assertTrue(worker.getFreeCapacity().milliCores() <= 0);
     }
 
     @Test
-    public void aRunThatStandsStillIsStoppedOnce() {
-        RunProgress still = new RunProgress(tasks.get(0).getRun(), "", 30, 0);
+    public void stallIsDetectedOnce() {
+        RunProgress stalled = new RunProgress(tasks.get(0).getRun(), "", 30, 0);
         for (int i = 0; i < 40; i++) {
-            RunProgress moving = new RunProgress(tasks.get(1).getRun(), "", i, 0);
-            report(false, List.of(still, moving));
+            RunProgress progressing = new RunProgress(tasks.get(1).getRun(), "", i, 0);
+            report(false, List.of(stalled, progressing));
             clock.advance(100);
         }
-        assertTrue(tasks.get(0).isStalled(clock.nowMillis(), 3000));
-        assertEquals(false, tasks.get(0).isStalled(clock.nowMillis(), 3000));
-        assertEquals(false, tasks.get(1).isStalled(clock.nowMillis(), 3000));
+        assertTrue(tasks.get(0).detectStall(clock.nowMillis(), 3000));
+        assertEquals(false, tasks.get(0).detectStall(clock.nowMillis(), 3000));
+        assertEquals(false, tasks.get(1).detectStall(clock.nowMillis(), 3000));
     }
 
     @Test
-    public void aNewLifeAtTheAddressOfAnotherOneEndsItAlsoForANewLeader() {
+    public void newIncarnationAtTheSameAddressEndsTheFormerOneForANewLeader() {
         report(false, List.of());
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
-        WorkerBoard restored = new WorkerBoard(() -> EvacuatedHalls.NONE);
+        WorkerRegistry restored = new WorkerRegistry(() -> EvacuatedHalls.NONE);
         restored.restore(store.records(Topic.CELL), clock.nowMillis() + 9000);
-        tasks.forEach(task -> restored.place(task, 0));
-        AgentBoard nextAgents = new AgentBoard(Epoch.of(1), restored);
-        ReportDesk next =
-                new ReportDesk(
-                        board,
+        tasks.forEach(task -> restored.addTask(task, 0));
+        AgentRegistry nextAgents = new AgentRegistry(Epoch.of(1), restored);
+        AgentReportHandler nextHandler =
+                new AgentReportHandler(
+                        jobs,
                         restored,
                         nextAgents,
                         orders,
                         job -> 2,
                         clock,
-                        new FigureDesk(board, clock, new HarmTable()),
-                        new MoveCost());
+                        new InterferenceLearner(jobs, clock, new InterferenceTable()),
+                        new MoveCostEstimator());
         WorkerDescription other =
                 new WorkerDescription(
-                        WorkerLife.parse("i-2@1000"),
+                        WorkerIncarnation.parse("i-2@1000"),
                         "s",
                         WORKER.address(),
                         WORKER.capacity(),
@@ -232,35 +242,35 @@
                         List.of(),
                         false,
                         0);
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         other, true, false, true, List.of(), List.of(), List.of(), List.of(),
                         List.of(), true);
-        handle(next, nextAgents, 2, List.of(part), List.of());
+        deliver(nextHandler, nextAgents, 2, List.of(workerReport), List.of());
         assertNull(tasks.get(0).getWorker());
-        assertNull(restored.find(WORKER.life()));
+        assertNull(restored.find(WORKER.incarnation()));
     }
 
     @Test
-    public void aWorkerWhoseLifeIsOverKeepsNothing() {
-        WorkerLife id = WORKER.life();
-        handle(reports, agents, 1, List.of(), List.of(id));
+    public void runsOfAnEndedIncarnationAreReleased() {
+        WorkerIncarnation incarnation = WORKER.incarnation();
+        deliver(handler, agents, 1, List.of(), List.of(incarnation));
         assertNull(tasks.get(0).getWorker());
-        assertNull(workers.find(id));
+        assertNull(workers.find(incarnation));
     }
 
     private List<RunProgress> progress() {
         return tasks.stream().map(task -> new RunProgress(task.getRun(), "", 10, 0)).toList();
     }
 
-    private boolean isAtWork() {
-        return tasks.get(0).isAtWork();
+    private boolean isFirstRunning() {
+        return tasks.get(0).isRunning();
     }
 
-    private void reportRoom(int cores, List<RunProgress> running) {
+    private void reportCapacity(int cores, List<RunProgress> running) {
         WorkerDescription smaller =
                 new WorkerDescription(
-                        WORKER.life(),
+                        WORKER.incarnation(),
                         WORKER.service(),
                         WORKER.address(),
                         new Resources(cores * 1000L, 10_000, 0),
@@ -268,58 +278,58 @@
                         WORKER.labels(),
                         false,
                         0);
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         smaller, true, false, true, running, List.of(), List.of(), List.of(),
                         List.of(), true);
-        handle(reports, agents, 1, List.of(part), List.of());
+        deliver(handler, agents, 1, List.of(workerReport), List.of());
     }
 
     @Test
-    public void whatARoomThatShrinksHoldsNoMoreIsTakenBackUnlessItIsAtWork() {
+    public void reducedCapacityStopsRunsThatHaveNotStarted() {
         RunProgress first = new RunProgress(tasks.get(0).getRun(), "", 10, 0);
-        reportRoom(1, List.of(first));
+        reportCapacity(1, List.of(first));
         assertEquals(false, tasks.get(0).isStopping());
         assertEquals(true, tasks.get(1).isStopping());
     }
 
     @Test
-    public void ofOrdersThatARoomStillHoldsNoneIsTakenBack() {
-        reportRoom(2, List.of());
+    public void ordersWithinTheCapacityAreNotWithdrawn() {
+        reportCapacity(2, List.of());
         assertEquals(false, tasks.get(0).isStopping());
         assertEquals(false, tasks.get(1).isStopping());
-        reportRoom(1, List.of());
+        reportCapacity(1, List.of());
         assertEquals(true, tasks.get(0).isStopping());
         assertEquals(false, tasks.get(1).isStopping());
     }
 
     @Test
-    public void aRunThatStandsStillIsStopped() {
+    public void stalledRunIsStopped() {
         report(false, progress());
         clock.advance(2000);
         report(false, progress());
-        reports.stopStalled();
-        assertEquals(false, isAtWork());
+        handler.stopStalledRuns();
+        assertEquals(false, isFirstRunning());
     }
 
     @Test
-    public void aRunIsNotTakenToStandStillBecauseItsAgentIsSilent() {
+    public void runOfAnUnresponsiveAgentIsNotStalled() {
         report(false, progress());
         clock.advance(5000);
-        reports.stopStalled();
-        assertEquals(true, isAtWork());
+        handler.stopStalledRuns();
+        assertEquals(true, isFirstRunning());
     }
 
     @Test
-    public void aThrottledRunIsNotTakenToStandStill() {
+    public void throttledRunIsNotStalled() {
         report(false, progress());
         clock.advance(5000);
         report(false, progress());
         String image = tasks.get(0).getStep().image();
-        workers.find(WORKER.life())
-                .getFigures()
-                .throttled(List.of(new ImageShare(image, 0)), clock.nowMillis());
-        reports.stopStalled();
-        assertEquals(true, isAtWork());
+        workers.find(WORKER.incarnation())
+                .getMetrics()
+                .updateThrottled(List.of(new ImageShare(image, 0)), clock.nowMillis());
+        handler.stopStalledRuns();
+        assertEquals(true, isFirstRunning());
     }
 }
--- a/src/test/java/org/standlink/cell/TestCellLeader.java
+++ b/src/test/java/org/standlink/cell/TestJobCellLeader.java
@@ -49,15 +49,14 @@
 import org.standlink.wire.WorkerReport;
 
 /**
- * Tests that nothing of a cancelled job starts or goes on, whoever has been lost between.
+ * Tests that no run of a cancelled job starts or continues, whichever message or process is lost.
  *
- * <p>Seen: runs of cancelled jobs that began or went on. How it came about: an order to stop is
- * sent once, over a channel that may be silent, by a leader that may be gone. Cause: the leader
- * took a listed run for one that should be there as long as its task was placed there, and denied
- * jobs that it did not know without asking the store whether it still leads. Proof: each test lets
- * one of the two happen, or tells why it does not.
+ * <p>Guards against two failures. An order to stop was sent only once, though its channel may drop
+ * it or its leader may be replaced, and the leader accepted a listed run as long as its task was
+ * assigned to that worker. A leader denied jobs that it did not know without checking with the
+ * store that it still leads.
  */
-public class TestCellLeader {
+public class TestJobCellLeader {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
     private static final JobId JOB = JobId.parse("a");
@@ -69,24 +68,24 @@
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
-    private CellLeader leader;
+    private JobCellLeader leader;
     private long call;
     private final Map<Long, Fence> fences = new HashMap<>();
     private long sequence;
 
     @BeforeEach
     public void lead() {
-        leader = lead(1);
+        leader = startLeader(1);
     }
 
-    private CellLeader lead(long epoch) {
-        return CellFixtures.lead(epoch, store, clock, loop);
+    private JobCellLeader startLeader(long epoch) {
+        return CellFixtures.startLeader(epoch, store, clock, loop);
     }
 
-    /** Asks the leader and lets 50 ms pass; null if it has not answered by then. */
-    private JobAnswer ask(CellLeader asked, Message question) {
+    /** Sends a request and returns the answer after 50 ms, null if there is none by then. */
+    private JobAnswer ask(JobCellLeader recipient, Message request) {
         call++;
-        asked.handle(entry, call, question);
+        recipient.handle(entry, call, request);
         loop.advance(50);
         return (JobAnswer) entry.findAnswer(call);
     }
@@ -95,11 +94,12 @@
         return ask(leader, new CancelJob(JOB, "q")).result();
     }
 
-    /** Reports what runs, a percent further, and has ended, and lets 50 ms pass. */
-    private void report(FakeChannel from, long agentRun, List<RunId> running, RunEnd... ended) {
+    /** Reports runs, their progress rising with each report, and ends; then lets 50 ms pass. */
+    private void report(
+            FakeChannel channel, long agentIncarnation, List<RunId> running, RunEnd... ended) {
         List<RunProgress> progress =
                 running.stream().map(run -> new RunProgress(run, "", (int) sequence, 0)).toList();
-        WorkerReport part =
+        WorkerReport workerReport =
                 new WorkerReport(
                         WORKER,
                         true,
@@ -111,38 +111,38 @@
                         List.of(),
                         List.of(),
                         true);
-        Fence named = fences.getOrDefault(agentRun, Fence.NONE);
-        reportOnce(from, agentRun, part);
-        if (!fences.getOrDefault(agentRun, Fence.NONE).equals(named)) {
-            // An agent reports again at once under a fence that it was told.
-            reportOnce(from, agentRun, part);
+        Fence reportedFence = fences.getOrDefault(agentIncarnation, Fence.NONE);
+        reportOnce(channel, agentIncarnation, workerReport);
+        if (!fences.getOrDefault(agentIncarnation, Fence.NONE).equals(reportedFence)) {
+            // An agent reports again at once when it receives a new fence.
+            reportOnce(channel, agentIncarnation, workerReport);
         }
     }
 
-    private void reportOnce(FakeChannel from, long agentRun, WorkerReport part) {
-        Fence known = fences.getOrDefault(agentRun, Fence.NONE);
+    private void reportOnce(FakeChannel channel, long agentIncarnation, WorkerReport workerReport) {
+        Fence fence = fences.getOrDefault(agentIncarnation, Fence.NONE);
         call++;
         leader.handle(
-                from,
+                channel,
                 call,
                 new AgentReport(
                         "node",
                         "a:1",
-                        Incarnation.of(agentRun),
+                        Incarnation.of(agentIncarnation),
                         ++sequence,
-                        known.getEpoch(),
-                        known.getGeneration(),
+                        fence.getEpoch(),
+                        fence.getGeneration(),
                         false,
-                        List.of(part),
+                        List.of(workerReport),
                         List.of()));
         loop.advance(50);
-        if (from.findAnswer(call) instanceof AgentGrant grant) {
-            fences.put(agentRun, Fence.of(grant.epoch(), grant.generation()));
+        if (channel.findAnswer(call) instanceof AgentGrant grant) {
+            fences.put(agentIncarnation, Fence.of(grant.epoch(), grant.generation()));
         }
     }
 
-    /** Lets a job of one task run on the worker. */
-    private void begin() {
+    /** Starts a job of one task on the worker. */
+    private void startRun() {
         report(agent, 1, List.of());
         assertEquals(JobAnswer.Result.DONE, ask(leader, submission()).result());
         assertEquals(List.of(RUN), agent.starts());
@@ -157,14 +157,14 @@
     // -----------------------------------------------------------------------
     @Test
     public void aCancelledRunIsStoppedBeforeTheNextReport() {
-        begin();
+        startRun();
         assertEquals(JobAnswer.Result.DONE, cancel());
         assertEquals(List.of(RUN), agent.stops());
     }
 
     @Test
     public void aRunOfACancelledJobIsStoppedAgainAsLongAsItIsListed() {
-        begin();
+        startRun();
         cancel();
         for (int i = 0; i < 3; i++) {
             agent.clear();
@@ -178,18 +178,18 @@
     }
 
     @Test
-    public void aStopThatASilentChannelLostIsSentOverTheNextOne() {
-        loseStop(FakeChannel.Mode.SILENT);
+    public void stopLostOnASilentChannelIsSentOverTheNextOne() {
+        checkLostStopIsResent(FakeChannel.Mode.SILENT);
     }
 
     @Test
-    public void aStopThatAClosedChannelRefusedIsSentOverTheNextOne() {
-        loseStop(FakeChannel.Mode.CLOSED);
+    public void stopRefusedByAClosedChannelIsSentOverTheNextOne() {
+        checkLostStopIsResent(FakeChannel.Mode.CLOSED);
     }
 
-    private void loseStop(FakeChannel.Mode how) {
-        begin();
-        agent.setMode(how);
+    private void checkLostStopIsResent(FakeChannel.Mode mode) {
+        startRun();
+        agent.setMode(mode);
         cancel();
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of());
@@ -197,14 +197,14 @@
     }
 
     @Test
-    public void aNewAgentOfTheSameWorkerIsToldTheStops() {
-        begin();
+    public void newAgentOfTheSameWorkerReceivesTheStops() {
+        startRun();
         agent.setMode(FakeChannel.Mode.SILENT);
         cancel();
         FakeChannel other = new FakeChannel();
         report(other, 2, List.of());
         assertEquals(List.of(RUN), other.stops());
-        // A last report of the earlier agent must not keep the stops from the present one.
+        // A last report of the earlier agent must not prevent the stops from reaching the new one.
         agent.setMode(FakeChannel.Mode.OPEN);
         report(agent, 1, List.of());
         assertEquals(List.of(), agent.stops());
@@ -214,29 +214,29 @@
     }
 
     /**
-     * Seen: after a loss of power a job of which one run had failed was shown as failed, though its
-     * queue allowed four. Its leader had taken over 50 ms after its start and had read its state,
-     * but not yet the configuration; it took the queue for one that was not configured any more.
+     * Guards against failing a job early after a power loss: one of its runs had failed and its
+     * queue allowed four. A leader that took over 50 ms after its start had loaded its state but
+     * not yet the configuration, and treated the queue as no longer configured.
      */
     @Test
-    public void aLeaderThatHasNotReadTheConfigurationTakesNoTaskForSpent() {
-        begin();
+    public void noTaskFailsPermanentlyBeforeTheConfigurationIsRead() {
+        startRun();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.FAILED, ""));
         RunId second = new RunId(RUN.task(), 2);
         assertTrue(agent.starts().contains(second));
-        leader = CellFixtures.lead(2, store, clock, loop, () -> Configuration.NONE);
+        leader = CellFixtures.startLeader(2, store, clock, loop, () -> Configuration.NONE);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of(), new RunEnd(2, second, RunEndKind.STOPPED, ""));
         assertEquals(JobState.RUNNING, ask(leader, new JobQuery(JOB, "q")).state());
     }
 
     @Test
-    public void aTaskThatWasSpentBeforeTheConfigurationWasReadIsNotStartedAfterwards() {
-        begin();
+    public void taskOutOfAttemptsBeforeTheConfigurationWasReadIsNotStartedAfterwards() {
+        startRun();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.FAILED, ""));
         RunId second = new RunId(RUN.task(), 2);
         AtomicReference<Configuration> read = new AtomicReference<>(Configuration.NONE);
-        leader = CellFixtures.lead(2, store, clock, loop, read::get);
+        leader = CellFixtures.startLeader(2, store, clock, loop, read::get);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of(), new RunEnd(2, second, RunEndKind.FAILED, ""));
         read.set(CellFixtures.CONFIGURATION);
@@ -247,19 +247,19 @@
     }
 
     @Test
-    public void aNewLeaderStopsWhatTheOneBeforeCancelled() {
-        begin();
+    public void newLeaderStopsRunsThatThePreviousOneCancelled() {
+        startRun();
         agent.setMode(FakeChannel.Mode.SILENT);
         cancel();
-        leader = lead(2);
+        leader = startLeader(2);
         FakeChannel next = new FakeChannel();
         report(next, 1, List.of());
         assertEquals(List.of(RUN), next.stops());
     }
 
     @Test
-    public void aRunThatBeginsLateIsStoppedAlsoIfNothingOfItsJobIsLeft() {
-        begin();
+    public void lateRunOfACancelledJobIsStoppedAfterTheJobEnded() {
+        startRun();
         cancel();
         report(agent, 1, List.of(), new RunEnd(1, RUN, RunEndKind.STOPPED, ""));
         for (int i = 0; i < 3; i++) {
@@ -267,14 +267,14 @@
             report(agent, 1, List.of(RUN));
             assertEquals(List.of(RUN), agent.stops());
         }
-        leader = lead(2);
+        leader = startLeader(2);
         agent.clear();
         report(agent, 1, List.of(RUN));
         assertEquals(List.of(RUN), agent.stops());
     }
 
     @Test
-    public void aJobCancelledWhileItIsBeingKeptIsStoppedAfterItsStart() {
+    public void jobCancelledWhileItIsBeingPersistedIsStoppedAfterItsStart() {
         report(agent, 1, List.of());
         store.setMode(FakeKeyedStore.Mode.DOWN);
         leader.handle(entry, 1, submission());
@@ -293,29 +293,29 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void aLeaderWhosePlaceIsTakenDoesNotDenyAJob() {
-        CellLeader next = lead(2);
+    public void replacedLeaderDoesNotDenyAJob() {
+        JobCellLeader next = startLeader(2);
         assertEquals(JobAnswer.Result.DONE, ask(next, submission()).result());
-        JobAnswer old = ask(leader, new CancelJob(JOB, "q"));
-        assertNull(old, () -> "a caller takes this for a cancel: " + old);
+        JobAnswer answer = ask(leader, new CancelJob(JOB, "q"));
+        assertNull(answer, () -> "the caller would take this for a completed cancel: " + answer);
     }
 
     @Test
-    public void aLeaderThatCannotAskTheStoreDoesNotDenyAJob() {
+    public void cancelIsNotDeniedWhileTheStoreIsUnavailable() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(2000);
         assertEquals(JobAnswer.Result.NOT_DONE, cancel());
     }
 
     @Test
-    public void aLeaderThatCannotAskTheStoreDoesNotSayThatAJobIsUnknown() {
+    public void queryIsNotDeniedWhileTheStoreIsUnavailable() {
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(2000);
         assertEquals(JobAnswer.Result.NOT_DONE, ask(leader, new JobQuery(JOB, "q")).result());
     }
 
     @Test
-    public void aJobThatWasCancelledBeforeItCameNeverRuns() {
+    public void jobCancelledBeforeItsSubmissionNeverRuns() {
         report(agent, 1, List.of());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
         assertEquals(JobState.CANCELLED, ask(leader, submission()).state());
@@ -325,9 +325,9 @@
     }
 
     @Test
-    public void aNewLeaderKnowsWhatWasCancelledBeforeItCame() {
+    public void newLeaderKnowsOfCancelsBeforeTheSubmission() {
         cancel();
-        leader = lead(2);
+        leader = startLeader(2);
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, ask(leader, new JobQuery(JOB, "q")).result());
         report(agent, 1, List.of());
         ask(leader, submission());
@@ -336,7 +336,7 @@
     }
 
     @Test
-    public void aJobThatNeverCameIsNotShown() {
+    public void cancelledJobThatWasNeverSubmittedIsNotFound() {
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, ask(leader, new JobQuery(JOB, "q")).result());
         assertEquals(JobAnswer.Result.NO_SUCH_JOB, cancel());
--- a/src/test/java/org/standlink/cell/TestOrderDesk.java
+++ b/src/test/java/org/standlink/cell/TestOrderDispatcher.java
@@ -26,8 +26,8 @@
 import org.standlink.job.WorkerDescription;
 import org.standlink.store.FakeKeyedStore;
 
-/** Tests that no order runs ahead of the record of what it orders. */
-public class TestOrderDesk {
+/** Tests that no order is sent before the record of its run is durable. */
+public class TestOrderDispatcher {
 
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
@@ -35,49 +35,50 @@
     private final FakeLoop loop = new FakeLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel agent = new FakeChannel();
-    private final JobBoard board = new JobBoard();
-    private final WorkerBoard workers = new WorkerBoard(() -> EvacuatedHalls.NONE);
+    private final JobRegistry jobs = new JobRegistry();
+    private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
             new CommitQueue(
                     store,
                     Epoch.of(1),
-                    List.of(board),
-                    new StoreContact(clock, clock::nowMillis),
+                    List.of(jobs),
+                    new LeaderAuthority(clock, clock::nowMillis),
                     loop,
                     loop,
                     () -> {});
-    private final OrderDesk orders = new OrderDesk(Epoch.of(1), board, workers, commits);
+    private final OrderDispatcher dispatcher =
+            new OrderDispatcher(Epoch.of(1), jobs, workers, commits);
 
-    /** Hands the same job in, whose only task goes to the worker. */
-    private JobEntry handIn() {
-        workers.get(WORKER.life(), 10_000).heard(WORKER, agent, true, 0);
-        JobEntry job = board.add(CellFixtures.job("b", 1));
+    /** Submits the same job each time and assigns its only task to the worker. */
+    private JobEntry submitAndAssign() {
+        workers.getOrAdd(WORKER.incarnation(), 10_000).receiveReport(WORKER, agent, true, 0);
+        JobEntry job = jobs.add(CellFixtures.job("b", 1));
         TaskEntry task = job.allTasks().findFirst().orElseThrow();
-        task.assign(WORKER.life());
-        workers.place(task, 10_000);
+        task.assign(WORKER.incarnation());
+        workers.addTask(task, 10_000);
         return job;
     }
 
     @Test
-    public void anOrderOfARefusedJobDoesNotRunAheadOfTheRecordOfTheJobInItsPlace() {
-        JobEntry refused = handIn();
-        orders.startAfterCommit(refused.allTasks().toList());
-        board.withdraw(refused);
-        board.add(CellFixtures.job("other", 1));
-        // This append carries the other job alone; the order of the refused one waits for it.
-        commits.pump();
-        handIn();
+    public void orderOfARefusedJobIsNotSentBeforeTheRecordOfItsResubmission() {
+        JobEntry refused = submitAndAssign();
+        dispatcher.startAfterCommit(refused.allTasks().toList());
+        jobs.withdraw(refused);
+        jobs.add(CellFixtures.job("other", 1));
+        // This append contains only the other job; the order of the refused job waits for it.
+        commits.startAppend();
+        submitAndAssign();
         store.setMode(FakeKeyedStore.Mode.DOWN);
         loop.advance(0);
         assertEquals(List.of(), agent.starts());
     }
 
     @Test
-    public void anOrderIsSentOnceItsRecordIsKept() {
-        JobEntry job = handIn();
-        orders.startAfterCommit(job.allTasks().toList());
+    public void orderIsSentOnceItsRecordIsPersisted() {
+        JobEntry job = submitAndAssign();
+        dispatcher.startAfterCommit(job.allTasks().toList());
         assertEquals(List.of(), agent.starts());
-        commits.pump();
+        commits.startAppend();
         loop.advance(0);
         assertEquals(1, agent.starts().size());
     }
