--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -40,8 +40,8 @@
 import org.standlink.wire.BundleAnswer;
 import org.standlink.wire.BundleQuery;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.Heartbeat;
 import org.standlink.wire.HeartbeatAnswer;
 import org.standlink.wire.Hello;
@@ -110,7 +110,7 @@
     private final ReportDelta delta = new ReportDelta();
 
     /** Requests that are not over for those who sent them. */
-    private final OpenRequests openRequests = new OpenRequests();
+    private final RequestDrain openRequests = new RequestDrain();
 
     /** The server. */
     private final WireServer server;
@@ -214,19 +214,20 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void drain() throws InterruptedException {
-        BooleanSupplier drained = () -> isDrained() && server.isLeaveKnown();
+        BooleanSupplier drained = () -> isDrained() && server.isLeavingAcknowledged();
         leave();
-        server.awaitAccepted(READ_MILLIS);
+        server.awaitPendingAccepts(READ_MILLIS);
         server.leave();
         long until = clock.nowMillis() + settings.drainMillis();
         Polling.await(drained, clock, until);
-        server.awaitAccepted(READ_MILLIS);
+        server.awaitPendingAccepts(READ_MILLIS);
         Polling.await(drained, clock, until);
         // Whoever connects from now on is refused and knows that nothing was sent.
         server.stopListening();
         Polling.await(drained, clock, until);
-        server.finish();
-        Polling.await(server::isEmpty, clock, Math.min(until, clock.nowMillis() + READ_MILLIS));
+        server.shutDownOutput();
+        Polling.await(
+                server::hasNoConnections, clock, Math.min(until, clock.nowMillis() + READ_MILLIS));
         close();
     }
 
@@ -252,13 +253,13 @@
         boolean tasksHandedBack =
                 supervisor.getRunning() == 0 && report != null && report == supervisor.getReport();
         boolean requestsOver =
-                requests.outstanding() == 0 && openRequests.isOver(clock.nowMillis());
+                requests.getOutstanding() == 0 && openRequests.isDrained(clock.nowMillis());
         return requestsOver && (tasksHandedBack || supervisor.getReport().tasks().isEmpty());
     }
 
     private void addGauges() {
         WorkFailures.showIn(registry);
-        registry.gauge("standlink.agent.outstanding", requests, RequestHandler::outstanding);
+        registry.gauge("standlink.agent.outstanding", requests, RequestHandler::getOutstanding);
         registry.gauge("standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunning);
         registry.gauge(
                 "standlink.agent.bundle.version",
@@ -272,7 +273,7 @@
             return;
         }
         SupervisorReport report = supervisor.getReport();
-        ReportDelta.Part part = delta.next(report.tasks(), leaderRole.getEpoch());
+        ReportDelta.Selection part = delta.selectNext(report.tasks(), leaderRole.getEpoch());
         long asked = clock.nowMillis();
         Heartbeat heartbeat =
                 new Heartbeat(
@@ -288,7 +289,7 @@
                         report.workerReady(),
                         part.tasks(),
                         part.gone(),
-                        requests.getMeter().report(asked));
+                        requests.getMeter().createReports(asked));
         Message answer = leaderRole.send(heartbeat);
         if (answer instanceof HeartbeatAnswer granted) {
             take(granted, asked, report);
@@ -298,8 +299,8 @@
     private void take(HeartbeatAnswer granted, long asked, SupervisorReport report) {
         boolean current = granted.epoch().compareTo(leaderRole.getEpoch()) >= 0;
         if (current && supervisor.accept(granted, asked)) {
-            delta.answered(granted.epoch());
-            leaderRole.answered(granted);
+            delta.answerReceived(granted.epoch());
+            leaderRole.answerReceived(granted);
             holder.offer(granted.signedBundle(), granted.bundle());
             answeredReport = report;
         }
@@ -324,8 +325,8 @@
     }
 
     private void broadcastLoad() {
-        requests.expire();
-        requests.noteBundle();
+        requests.rejectExpired();
+        requests.observeBundle();
         server.broadcast(requests.getLoad());
     }
 
@@ -337,23 +338,23 @@
             leave();
         }
         if (listed) {
-            requests.upstreamLeaves();
+            requests.setUpstreamLeaving();
         }
     }
 
     // -----------------------------------------------------------------------
     private void handle(Connection connection, long call, Message message) {
-        if (message instanceof Forward forward) {
-            openRequests.begin(connection, clock.nowMillis() + forward.budgetMillis());
+        if (message instanceof ForwardRequest forward) {
+            openRequests.requestReceived(connection, clock.nowMillis() + forward.budgetMillis());
             answerWhenDone(connection, call, requests.forward(forward));
             askForBundle(connection);
         } else if (message instanceof OutcomeQuery query) {
-            openRequests.begin(connection, clock.nowMillis());
-            answerWhenDone(connection, call, requests.outcome(query));
+            openRequests.requestReceived(connection, clock.nowMillis());
+            answerWhenDone(connection, call, requests.queryOutcome(query));
         } else if (message instanceof Heartbeat heartbeat) {
             connection.answer(call, leaderRole.answer(heartbeat));
         } else if (message instanceof LeaderAnnouncement news) {
-            leaderRole.hear(news);
+            leaderRole.announcementReceived(news);
         } else if (message instanceof StatusQuery query) {
             connection.answer(call, leaderRole.answer(query));
         } else if (message instanceof BundleQuery query) {
@@ -370,7 +371,7 @@
                     try {
                         connection.answer(call, answer);
                     } finally {
-                        openRequests.end();
+                        openRequests.requestAnswered();
                     }
                 });
     }
--- a/src/main/java/org/standlink/agent/Answers.java
+++ b/src/main/java/org/standlink/agent/AnswerFactory.java
@@ -22,15 +22,15 @@
 /**
  * Makes the answers to forwarded requests that did not come from the upstream.
  *
- * <p>{@code Answers} is thread-safe and immutable.
+ * <p>{@code AnswerFactory} is thread-safe and immutable.
  */
-final class Answers {
+final class AnswerFactory {
 
     /** No body. */
     private static final byte[] EMPTY = {};
 
     /** No instances. */
-    private Answers() {}
+    private AnswerFactory() {}
 
     /**
      * Makes the answer of a request that did not run and never will under its id.
--- a/src/main/java/org/standlink/agent/CapacityLedger.java
+++ b/src/main/java/org/standlink/agent/CapacityUsage.java
@@ -20,9 +20,9 @@
 /**
  * What a VM has granted to services and tasks; never more than it has.
  *
- * <p>{@code CapacityLedger} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code CapacityUsage} is mutable and not thread-safe; its owner guards it.
  */
-final class CapacityLedger {
+final class CapacityUsage {
 
     /** What the VM has. */
     private final Resources capacity;
@@ -36,7 +36,7 @@
      * @param capacity what the VM has
      * @param reserved what services take of it
      */
-    CapacityLedger(Resources capacity, Resources reserved) {
+    CapacityUsage(Resources capacity, Resources reserved) {
         this.capacity = capacity;
         this.granted = reserved;
     }
@@ -46,7 +46,7 @@
      *
      * @param amount the amount
      */
-    void addHeld(Resources amount) {
+    void addAllocated(Resources amount) {
         granted = granted.plus(amount);
     }
 
@@ -56,7 +56,7 @@
      * @param amount the amount
      * @return true if granted
      */
-    boolean tryGrant(Resources amount) {
+    boolean tryAllocate(Resources amount) {
         Resources sum = granted.plus(amount);
         if (!sum.fitsIn(capacity)) {
             return false;
@@ -79,7 +79,7 @@
      *
      * @return true if so
      */
-    boolean isOverfull() {
+    boolean isOvercommitted() {
         return !granted.fitsIn(capacity);
     }
 }
--- a/src/main/java/org/standlink/agent/HttpUpstream.java
+++ b/src/main/java/org/standlink/agent/HttpUpstream.java
@@ -29,8 +29,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import org.standlink.Outcome;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 
 /**
  * The upstream over HTTP.
@@ -81,13 +81,13 @@
     }
 
     @Override
-    public CompletableFuture<ForwardAnswer> run(Forward request) {
+    public CompletableFuture<ForwardAnswer> run(ForwardRequest request) {
         HttpRequest sent;
         try {
             sent = request(request);
         } catch (IllegalArgumentException malformed) {
             String reason = "the request cannot be sent: " + malformed.getMessage();
-            return CompletableFuture.completedFuture(Answers.notRun(reason, 0, 0));
+            return CompletableFuture.completedFuture(AnswerFactory.notRun(reason, 0, 0));
         }
         return client.sendAsync(sent, HttpResponse.BodyHandlers.ofByteArray())
                 .handle(
@@ -96,7 +96,7 @@
     }
 
     // -----------------------------------------------------------------------
-    private HttpRequest request(Forward forward) {
+    private HttpRequest request(ForwardRequest forward) {
         HttpRequest.Builder builder =
                 HttpRequest.newBuilder(base.resolve(forward.target()))
                         .timeout(Duration.ofSeconds(LONGEST_SECONDS))
@@ -125,9 +125,9 @@
     private static ForwardAnswer failed(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException) {
-            return Answers.notRun("the upstream cannot be reached", RETRY_MILLIS, 0);
+            return AnswerFactory.notRun("the upstream cannot be reached", RETRY_MILLIS, 0);
         }
-        return Answers.unknown("the upstream's answer was lost: " + cause, 0);
+        return AnswerFactory.unknown("the upstream's answer was lost: " + cause, 0);
     }
 
     private static Map<String, String> withoutConnection(Map<String, String> headers) {
--- a/src/main/java/org/standlink/agent/KeyedAnswers.java
+++ b/src/main/java/org/standlink/agent/KeyedAnswers.java
@@ -59,8 +59,8 @@
     }
 
     /** What a request with a key shall do. */
-    enum Verdict {
-        /** Run it, and call {@link #end} after. */
+    enum Decision {
+        /** Run it, and call {@link #complete} after. */
         RUN,
         /** Take the answer of the first request. */
         REPLAY,
@@ -84,24 +84,24 @@
      * @param nowMillis the time, in milliseconds
      * @return the verdict
      */
-    synchronized Verdict begin(String key, int fingerprint, long nowMillis) {
+    synchronized Decision begin(String key, int fingerprint, long nowMillis) {
         Kept present = keys.get(key);
         if (present != null && nowMillis >= present.untilMillis) {
             drop(key);
             present = null;
         }
         if (present != null) {
-            return present.fingerprint == fingerprint ? Verdict.REPLAY : Verdict.MISMATCH;
+            return present.fingerprint == fingerprint ? Decision.REPLAY : Decision.MISMATCH;
         }
         if (bytes >= MOST_BYTES) {
             dropOld(nowMillis);
         }
         if (bytes >= MOST_BYTES) {
-            return Verdict.FULL;
+            return Decision.FULL;
         }
         keys.put(key, new Kept(fingerprint));
         bytes += BYTES_PER_KEY;
-        return Verdict.RUN;
+        return Decision.RUN;
     }
 
     /**
@@ -121,7 +121,7 @@
      * @param answer what became of it; after "not run" the key is free again
      * @param untilMillis when the answer may be forgotten, in milliseconds
      */
-    void end(String key, ForwardAnswer answer, long untilMillis) {
+    void complete(String key, ForwardAnswer answer, long untilMillis) {
         Kept kept;
         synchronized (this) {
             kept = keys.get(key);
--- a/src/main/java/org/standlink/agent/KeyedRequests.java
+++ b/src/main/java/org/standlink/agent/KeyedRequests.java
@@ -27,8 +27,8 @@
 import org.standlink.bundle.ServiceSpecification;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.Guarded;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 
 /**
  * Runs requests with an idempotency key once, and answers the others with the same key alike.
@@ -59,7 +59,7 @@
     private final KeyedAnswers answers = new KeyedAnswers();
 
     /** The keys that may be vouched for. */
-    private final RosterWatch rosters;
+    private final RosterTracker rosters;
 
     /**
      * Constructor.
@@ -71,7 +71,7 @@
     KeyedRequests(VmId self, BooleanSupplier nodeLease, MonotonicClock clock) {
         this.nodeLease = nodeLease;
         this.clock = clock;
-        this.rosters = new RosterWatch(self, clock.nowMillis());
+        this.rosters = new RosterTracker(self, clock.nowMillis());
     }
 
     /**
@@ -79,8 +79,8 @@
      *
      * @param bundle the bundle
      */
-    void note(Bundle bundle) {
-        rosters.note(bundle, clock.nowMillis());
+    void observeBundle(Bundle bundle) {
+        rosters.observeBundle(bundle, clock.nowMillis());
     }
 
     /**
@@ -92,7 +92,7 @@
      * @param runner runs the request and completes the answer
      */
     void run(
-            Forward request,
+            ForwardRequest request,
             Bundle bundle,
             CompletableFuture<ForwardAnswer> answer,
             Runnable runner) {
@@ -109,27 +109,29 @@
                 Guarded.then(
                         "keyed-end",
                         answer,
-                        (value, failure) -> answers.end(key, value, clock.nowMillis() + window));
+                        (value, failure) ->
+                                answers.complete(key, value, clock.nowMillis() + window));
                 runner.run();
             }
             case REPLAY -> replay(key, answer);
             case MISMATCH -> answer.complete(mismatch());
-            default -> answer.complete(Answers.notRun("too many keys are kept", SOON_MILLIS, 0));
+            default ->
+                    answer.complete(AnswerFactory.notRun("too many keys are kept", SOON_MILLIS, 0));
         }
     }
 
     // -----------------------------------------------------------------------
     private Optional<ForwardAnswer> refusal(
-            Forward request, Bundle bundle, ServiceSpecification service, String key) {
+            ForwardRequest request, Bundle bundle, ServiceSpecification service, String key) {
         if (!nodeLease.getAsBoolean()) {
-            return Optional.of(Answers.notRun("keys need a live node lease", SOON_MILLIS, 0));
+            return Optional.of(AnswerFactory.notRun("keys need a live node lease", SOON_MILLIS, 0));
         }
         if (request.roster() != service.rosterDigest()) {
-            return Optional.of(Answers.notRun("the upstreams have changed", SOON_MILLIS, 0));
+            return Optional.of(AnswerFactory.notRun("the upstreams have changed", SOON_MILLIS, 0));
         }
         long wait = rosters.getWaitMillis(bundle, service, key, clock.nowMillis());
         if (wait > 0) {
-            return Optional.of(Answers.notRun("the key may have run elsewhere", wait, 0));
+            return Optional.of(AnswerFactory.notRun("the key may have run elsewhere", wait, 0));
         }
         return Optional.empty();
     }
@@ -137,7 +139,7 @@
     private void replay(String key, CompletableFuture<ForwardAnswer> answer) {
         Optional<CompletableFuture<ForwardAnswer>> first = answers.get(key);
         if (first.isEmpty()) {
-            answer.complete(Answers.notRun("the first request did not run", 0, 0));
+            answer.complete(AnswerFactory.notRun("the first request did not run", 0, 0));
         } else {
             Guarded.then("replay", first.get(), (value, failure) -> answer.complete(value));
         }
@@ -155,11 +157,11 @@
                 0);
     }
 
-    private static String keyOf(Forward request) {
+    private static String keyOf(ForwardRequest request) {
         return request.service() + "\n" + request.team() + "\n" + request.idempotencyKey();
     }
 
-    private static int fingerprint(Forward request) {
+    private static int fingerprint(ForwardRequest request) {
         return Arrays.hashCode(request.body())
                 + 31 * (request.method() + request.target()).hashCode();
     }
--- a/src/main/java/org/standlink/agent/LeaderRole.java
+++ b/src/main/java/org/standlink/agent/LeaderRole.java
@@ -41,7 +41,7 @@
 import org.standlink.wire.LeaderAnnouncement;
 import org.standlink.wire.Message;
 import org.standlink.wire.MessageHandler;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
 import org.standlink.wire.Refusal;
 import org.standlink.wire.StatusAnswer;
 import org.standlink.wire.StatusQuery;
@@ -90,10 +90,10 @@
     private final MeterRegistry registry;
 
     /** Who leads. */
-    private final LeaderFinder finder;
+    private final LeaderTracker finder;
 
     /** The other agents of the cell. */
-    private final Map<VmId, Peer> peers = new ConcurrentHashMap<>();
+    private final Map<VmId, PeerConnection> peers = new ConcurrentHashMap<>();
 
     /** The leader's work, null until the cell is known. */
     private volatile LeaderService service;
@@ -135,7 +135,7 @@
         this.handler = handler;
         this.registry = registry;
         this.finder =
-                new LeaderFinder(settings.vm(), settings.claimAfterMillis(), clock.nowMillis());
+                new LeaderTracker(settings.vm(), settings.claimAfterMillis(), clock.nowMillis());
     }
 
     // -----------------------------------------------------------------------
@@ -148,10 +148,10 @@
         long now = clock.nowMillis();
         LeaderService present = service;
         if (present != null && !present.getEpoch().equals(Epoch.NONE)) {
-            present.run();
+            present.runOnce();
             learn(present);
             announce(present);
-        } else if (now >= nextReadMillis && (!logRead || finder.isSilent(now))) {
+        } else if (now >= nextReadMillis && (!logRead || finder.isLeaderUnresponsive(now))) {
             nextReadMillis = now + READ_MILLIS;
             lookForLeader(leaving);
         }
@@ -186,8 +186,8 @@
      *
      * @param answer the answer
      */
-    void answered(HeartbeatAnswer answer) {
-        finder.answered(answer.logAgeMillis(), clock.nowMillis());
+    void answerReceived(HeartbeatAnswer answer) {
+        finder.answerReceived(answer.logAgeMillis(), clock.nowMillis());
     }
 
     /**
@@ -195,8 +195,8 @@
      *
      * @param news the announcement
      */
-    void hear(LeaderAnnouncement news) {
-        finder.hear(news.epoch(), news.leader(), clock.nowMillis());
+    void announcementReceived(LeaderAnnouncement news) {
+        finder.update(news.epoch(), news.leader(), clock.nowMillis());
     }
 
     /**
@@ -217,7 +217,7 @@
     Message answer(Heartbeat heartbeat) {
         LeaderService present = service;
         try {
-            return present == null ? notLeading() : present.heartbeat(heartbeat);
+            return present == null ? notLeading() : present.handleHeartbeat(heartbeat);
         } catch (StandlinkException refused) {
             return new Refusal(refused.getCode(), refused.getMessage());
         }
@@ -241,7 +241,7 @@
 
     @Override
     public void close() {
-        peers.values().forEach(Peer::close);
+        peers.values().forEach(PeerConnection::close);
     }
 
     // -----------------------------------------------------------------------
@@ -264,8 +264,8 @@
         LeaderService present = serviceOf(cell);
         learn(present);
         logRead = true;
-        if (!leaving && finder.isMyTurn(cell, clock.nowMillis())) {
-            finder.claiming(clock.nowMillis());
+        if (!leaving && finder.isClaimDue(cell, clock.nowMillis())) {
+            finder.claimStarted(clock.nowMillis());
             present.claim();
             learn(present);
             announce(present);
@@ -295,7 +295,7 @@
 
     private void learn(LeaderService present) {
         CellState state = follower.read(fold -> fold.getCell(present.getCell()));
-        if (finder.hear(state.getEpoch(), state.getLeader(), clock.nowMillis())) {
+        if (finder.update(state.getEpoch(), state.getLeader(), clock.nowMillis())) {
             LOGGER.log(
                     System.Logger.Level.INFO,
                     "cell {0} is led by {1} under epoch {2}",
@@ -328,8 +328,9 @@
         }
     }
 
-    private Peer peer(VmId vm) {
-        return peers.computeIfAbsent(vm, key -> new Peer(() -> addressOf(key), executor, handler));
+    private PeerConnection peer(VmId vm) {
+        return peers.computeIfAbsent(
+                vm, key -> new PeerConnection(() -> addressOf(key), executor, handler));
     }
 
     private java.net.InetSocketAddress addressOf(VmId vm) {
--- a/src/main/java/org/standlink/agent/LeaderFinder.java
+++ b/src/main/java/org/standlink/agent/LeaderTracker.java
@@ -29,9 +29,9 @@
  * <p>The agents of a cell take turns in an order drawn for each epoch, so that seldom two of them
  * claim at once; if they do, the log settles it.
  *
- * <p>{@code LeaderFinder} is thread-safe.
+ * <p>{@code LeaderTracker} is thread-safe.
  */
-final class LeaderFinder {
+final class LeaderTracker {
 
     /** How much later each next agent claims, in milliseconds. */
     private static final long TURN_MILLIS = 700;
@@ -58,7 +58,7 @@
      * @param claimAfterMillis how long the leader is silent before it is replaced, in milliseconds
      * @param nowMillis the time, in milliseconds
      */
-    LeaderFinder(VmId self, long claimAfterMillis, long nowMillis) {
+    LeaderTracker(VmId self, long claimAfterMillis, long nowMillis) {
         this.self = self;
         this.claimAfterMillis = claimAfterMillis;
         this.answeredMillis = nowMillis;
@@ -72,7 +72,7 @@
      * @param nowMillis the time, in milliseconds
      * @return true if it is news
      */
-    synchronized boolean hear(Epoch heardEpoch, VmId heardLeader, long nowMillis) {
+    synchronized boolean update(Epoch heardEpoch, VmId heardLeader, long nowMillis) {
         if (heardLeader == null || !heardEpoch.isAfter(epoch)) {
             return false;
         }
@@ -88,7 +88,7 @@
      * @param logAgeMillis how long ago the leader last read the log, in milliseconds
      * @param nowMillis the time, in milliseconds
      */
-    synchronized void answered(long logAgeMillis, long nowMillis) {
+    synchronized void answerReceived(long logAgeMillis, long nowMillis) {
         if (logAgeMillis < claimAfterMillis) {
             answeredMillis = nowMillis;
         }
@@ -99,7 +99,7 @@
      *
      * @param nowMillis the time, in milliseconds
      */
-    synchronized void claiming(long nowMillis) {
+    synchronized void claimStarted(long nowMillis) {
         answeredMillis = nowMillis;
     }
 
@@ -109,7 +109,7 @@
      * @param nowMillis the time, in milliseconds
      * @return true if so, or if no leader is known
      */
-    synchronized boolean isSilent(long nowMillis) {
+    synchronized boolean isLeaderUnresponsive(long nowMillis) {
         return leader == null || nowMillis - answeredMillis >= claimAfterMillis / 2;
     }
 
@@ -120,7 +120,7 @@
      * @param nowMillis the time, in milliseconds
      * @return true if so
      */
-    synchronized boolean isMyTurn(CellSpecification cell, long nowMillis) {
+    synchronized boolean isClaimDue(CellSpecification cell, long nowMillis) {
         List<VmId> vms = cell.workers().stream().map(WorkerSpecification::vm).toList();
         CellId id = cell.id();
         int turn = RendezvousHash.order(id + "/" + epoch.next(), vms).indexOf(self);
--- a/src/main/java/org/standlink/agent/NodeGrant.java
+++ b/src/main/java/org/standlink/agent/NodeGrant.java
@@ -65,7 +65,7 @@
      * @return the grant
      */
     NodeGrant with(HeartbeatAnswer answer, long askedMillis) {
-        Lease asked = Lease.ofAsked(askedMillis, answer.grantedMillis());
+        Lease asked = Lease.ofRequestTime(askedMillis, answer.grantedMillis());
         return new NodeGrant(
                 answer.epoch(),
                 answer.generation(),
--- a/src/main/java/org/standlink/agent/ReportDelta.java
+++ b/src/main/java/org/standlink/agent/ReportDelta.java
@@ -60,7 +60,7 @@
      * @param tasks the reports told
      * @param gone tasks that the leader has and that are no more
      */
-    public record Part(long number, boolean full, List<TaskReport> tasks, List<TaskId> gone) {}
+    public record Selection(long number, boolean full, List<TaskReport> tasks, List<TaskId> gone) {}
 
     /**
      * Chooses what the next heartbeat tells.
@@ -69,7 +69,7 @@
      * @param leaderEpoch the highest epoch heard of
      * @return the part to tell
      */
-    public Part next(List<TaskReport> reports, Epoch leaderEpoch) {
+    public Selection selectNext(List<TaskReport> reports, Epoch leaderEpoch) {
         number++;
         boolean full = !complete || !leaderEpoch.equals(epoch);
         complete = false;
@@ -86,7 +86,7 @@
         List<TaskId> gone = new ArrayList<>(sent.keySet());
         gone.removeAll(present.keySet());
         gone.forEach(sent::remove);
-        return new Part(number, full, told, gone);
+        return new Selection(number, full, told, gone);
     }
 
     /**
@@ -94,7 +94,7 @@
      *
      * @param answerEpoch the epoch of the leader that answered
      */
-    public void answered(Epoch answerEpoch) {
+    public void answerReceived(Epoch answerEpoch) {
         epoch = answerEpoch;
         answered = sent;
         complete = true;
--- a/src/main/java/org/standlink/agent/OpenRequests.java
+++ b/src/main/java/org/standlink/agent/RequestDrain.java
@@ -23,9 +23,9 @@
  * Tells when a leaving agent may end without cutting a request: nothing is to be answered, and
  * nobody may still come to ask what became of a request whose connection was lost.
  *
- * <p>{@code OpenRequests} is thread-safe.
+ * <p>{@code RequestDrain} is thread-safe.
  */
-final class OpenRequests {
+final class RequestDrain {
 
     /** How many requests and questions have not been answered, up to the write of the answer. */
     private int unanswered;
@@ -39,13 +39,13 @@
      * @param connection where it came from
      * @param untilMillis when its caller stops waiting, in milliseconds
      */
-    synchronized void begin(Connection connection, long untilMillis) {
+    synchronized void requestReceived(Connection connection, long untilMillis) {
         unanswered++;
         waitUntil.merge(connection, untilMillis, Math::max);
     }
 
     /** Takes note that an answer has been written, or could not be. */
-    synchronized void end() {
+    synchronized void requestAnswered() {
         unanswered--;
     }
 
@@ -55,7 +55,7 @@
      * @param nowMillis the time, in milliseconds
      * @return true if all is answered and nobody may ask again
      */
-    synchronized boolean isOver(long nowMillis) {
+    synchronized boolean isDrained(long nowMillis) {
         waitUntil.values().removeIf(until -> until <= nowMillis);
         return unanswered == 0 && waitUntil.keySet().stream().noneMatch(Connection::isClosed);
     }
--- a/src/main/java/org/standlink/agent/RequestHandler.java
+++ b/src/main/java/org/standlink/agent/RequestHandler.java
@@ -32,10 +32,10 @@
 import org.standlink.bundle.ServiceSpecification;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.Guarded;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
-import org.standlink.wire.Load;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.OutcomeQuery;
+import org.standlink.wire.UpstreamLoad;
 
 /**
  * Runs forwarded requests against the upstream, each at most once, within the upstream's slots.
@@ -84,7 +84,7 @@
     private final RequestTable table = new RequestTable();
 
     /** The slots. */
-    private final UpstreamGate gate = new UpstreamGate();
+    private final UpstreamSlots gate = new UpstreamSlots();
 
     /** The requests with a key. */
     private final KeyedRequests keyed;
@@ -139,14 +139,15 @@
      * @param request the request
      * @return what becomes of it, at its deadline at the latest
      */
-    public CompletableFuture<ForwardAnswer> forward(Forward request) {
-        Optional<RequestTable.Refused> refused = table.begin(request.id());
+    public CompletableFuture<ForwardAnswer> forward(ForwardRequest request) {
+        Optional<RequestTable.Rejection> refused = table.begin(request.id());
         if (refused.isPresent()) {
             return CompletableFuture.completedFuture(refusedAnswer(refused.get()));
         }
         CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
         // The table learns what really became of it, the caller perhaps only that its time was up.
-        Guarded.then("request-end", answer, (value, failure) -> table.end(request.id(), value));
+        Guarded.then(
+                "request-end", answer, (value, failure) -> table.complete(request.id(), value));
         Optional<ForwardAnswer> refusal = refusal(request);
         if (refusal.isPresent()) {
             answer.complete(refusal.get());
@@ -166,17 +167,17 @@
      * @param query the question
      * @return what became of it, once it has ended
      */
-    public CompletableFuture<ForwardAnswer> outcome(OutcomeQuery query) {
+    public CompletableFuture<ForwardAnswer> queryOutcome(OutcomeQuery query) {
         if (!query.agent().equals(incarnation)) {
             return CompletableFuture.completedFuture(
-                    Answers.unknown("the agent was restarted", outstanding()));
+                    AnswerFactory.unknown("the agent was restarted", getOutstanding()));
         }
-        ForwardAnswer barred = Answers.notRun("never arrived", 0, outstanding());
-        return table.ask(query.id(), barred)
+        ForwardAnswer barred = AnswerFactory.notRun("never arrived", 0, getOutstanding());
+        return table.queryOutcome(query.id(), barred)
                 .orElseGet(
                         () ->
                                 CompletableFuture.completedFuture(
-                                        Answers.unknown("too long ago", outstanding())));
+                                        AnswerFactory.unknown("too long ago", getOutstanding())));
     }
 
     /**
@@ -184,9 +185,9 @@
      *
      * @return the load
      */
-    public Load getLoad() {
+    public UpstreamLoad getLoad() {
         boolean failing = clock.nowMillis() - failedMillis.get() < FAILING_MILLIS;
-        return new Load(outstanding(), leaving, failing);
+        return new UpstreamLoad(getOutstanding(), leaving, failing);
     }
 
     /**
@@ -199,10 +200,10 @@
     }
 
     /** Notes the bundle in force; to be called often, so that a move of keys is dated right. */
-    public void noteBundle() {
+    public void observeBundle() {
         Bundle bundle = holder.getBundle();
         if (bundle != null) {
-            keyed.note(bundle);
+            keyed.observeBundle(bundle);
         }
     }
 
@@ -215,15 +216,15 @@
      * Sends nothing more to the upstream, which may close its connections at any time: a request
      * that is cut then may have run. What waits for a slot has not run and can go elsewhere.
      */
-    public void upstreamLeaves() {
+    public void setUpstreamLeaving() {
         leaving = true;
         upstreamLeaving = true;
-        gate.giveUpAll(LEAVING);
+        gate.rejectAll(LEAVING);
     }
 
     /** Gives up the requests whose time in the queue is up. */
-    public void expire() {
-        gate.expire(clock.nowMillis());
+    public void rejectExpired() {
+        gate.rejectExpired(clock.nowMillis());
     }
 
     /**
@@ -231,19 +232,20 @@
      *
      * @return the number
      */
-    public int outstanding() {
+    public int getOutstanding() {
         return gate.getOutstanding();
     }
 
     // -----------------------------------------------------------------------
-    private ForwardAnswer refusedAnswer(RequestTable.Refused refused) {
-        if (refused == RequestTable.Refused.BARRED) {
-            return Answers.notRun("asked about before it arrived", SOON_MILLIS, outstanding());
+    private ForwardAnswer refusedAnswer(RequestTable.Rejection refused) {
+        if (refused == RequestTable.Rejection.BARRED) {
+            return AnswerFactory.notRun(
+                    "asked about before it arrived", SOON_MILLIS, getOutstanding());
         }
-        return Answers.unknown("seen before", outstanding());
+        return AnswerFactory.unknown("seen before", getOutstanding());
     }
 
-    private Optional<ForwardAnswer> refusal(Forward request) {
+    private Optional<ForwardAnswer> refusal(ForwardRequest request) {
         if (leaving) {
             return refuse(LEAVING, SOON_MILLIS);
         }
@@ -259,40 +261,42 @@
     }
 
     private Optional<ForwardAnswer> refuse(String reason, long retryMillis) {
-        return Optional.of(Answers.notRun(reason, retryMillis, outstanding()));
+        return Optional.of(AnswerFactory.notRun(reason, retryMillis, getOutstanding()));
     }
 
-    private void enter(Forward request, CompletableFuture<ForwardAnswer> answer) {
+    private void enter(ForwardRequest request, CompletableFuture<ForwardAnswer> answer) {
         ServiceSpecification service =
                 holder.getBundle().findService(request.service()).orElseThrow();
         long until = clock.nowMillis() + request.budgetMillis();
-        UpstreamGate.Waiter waiter =
-                new UpstreamGate.Waiter() {
+        UpstreamSlots.Waiter waiter =
+                new UpstreamSlots.Waiter() {
                     @Override
-                    public void enter() {
+                    public void slotAcquired() {
                         run(request, service, until, answer);
                     }
 
                     @Override
-                    public void giveUp(String reason) {
-                        answer.complete(Answers.notRun(reason, SOON_MILLIS, outstanding()));
+                    public void rejected(String reason) {
+                        answer.complete(
+                                AnswerFactory.notRun(reason, SOON_MILLIS, getOutstanding()));
                     }
                 };
-        if (!gate.tryEnter(waiter, service.slots(), service.queue(), until)) {
-            answer.complete(Answers.notRun("the queue is full", SOON_MILLIS, outstanding()));
+        if (!gate.tryAcquire(waiter, service.slots(), service.queue(), until)) {
+            answer.complete(
+                    AnswerFactory.notRun("the queue is full", SOON_MILLIS, getOutstanding()));
         }
     }
 
     private void run(
-            Forward request,
+            ForwardRequest request,
             ServiceSpecification service,
             long until,
             CompletableFuture<ForwardAnswer> answer) {
         long start = System.nanoTime();
         if (upstreamLeaving || clock.nowMillis() >= until) {
-            gate.leave(clock.nowMillis());
+            gate.release(clock.nowMillis());
             String reason = upstreamLeaving ? LEAVING : "no slot in time";
-            answer.complete(Answers.notRun(reason, SOON_MILLIS, outstanding()));
+            answer.complete(AnswerFactory.notRun(reason, SOON_MILLIS, getOutstanding()));
             return;
         }
         Guarded.then(
@@ -300,17 +304,17 @@
                 upstream.run(request),
                 (value, failure) -> {
                     // The slot and the answer first, so that nothing keeps them.
-                    gate.leave(clock.nowMillis());
+                    gate.release(clock.nowMillis());
                     answer.complete(
                             failure == null
                                     ? value
-                                    : Answers.unknown("the agent failed", outstanding()));
+                                    : AnswerFactory.unknown("the agent failed", getOutstanding()));
                     measure(request, service, value, System.nanoTime() - start);
                 });
     }
 
     private void measure(
-            Forward request, ServiceSpecification service, ForwardAnswer value, long nanos) {
+            ForwardRequest request, ServiceSpecification service, ForwardAnswer value, long nanos) {
         if (value.outcome() == Outcome.NOT_RUN) {
             failedMillis.set(clock.nowMillis());
         }
@@ -323,7 +327,7 @@
                 .record(nanos, TimeUnit.NANOSECONDS);
         long micros = TimeUnit.NANOSECONDS.toMicros(nanos);
         long percent = micros / (10 * targetMillis(service, request.requestClass()));
-        meter.add(
+        meter.recordRequest(
                 service.id(),
                 (int) Math.min(Integer.MAX_VALUE, percent),
                 gate.getRunning(),
@@ -340,7 +344,7 @@
     }
 
     private CompletableFuture<ForwardAnswer> atDeadline(
-            Forward request, CompletableFuture<ForwardAnswer> answer) {
+            ForwardRequest request, CompletableFuture<ForwardAnswer> answer) {
         if (answer.isDone()) {
             return answer;
         }
@@ -361,7 +365,7 @@
     }
 
     private void tellLate(CompletableFuture<ForwardAnswer> told) {
-        expire();
-        told.complete(Answers.unknown("no answer in time", outstanding()));
+        rejectExpired();
+        told.complete(AnswerFactory.unknown("no answer in time", getOutstanding()));
     }
 }
--- a/src/main/java/org/standlink/agent/RequestTable.java
+++ b/src/main/java/org/standlink/agent/RequestTable.java
@@ -74,14 +74,14 @@
      * Notes a try that has arrived.
      *
      * @param id the id of the try
-     * @return empty if it may run, and then {@link #end} must follow; else the reason why not
+     * @return empty if it may run, and then {@link #complete} must follow; else the reason why not
      */
-    synchronized Optional<Refused> begin(RequestId id) {
+    synchronized Optional<Rejection> begin(RequestId id) {
         if (tries.containsKey(id)) {
-            return Optional.of(ended.containsKey(id) ? Refused.BARRED : Refused.NOT_KNOWN);
+            return Optional.of(ended.containsKey(id) ? Rejection.BARRED : Rejection.NOT_KNOWN);
         }
         if (isDropped(id)) {
-            return Optional.of(Refused.NOT_KNOWN);
+            return Optional.of(Rejection.NOT_KNOWN);
         }
         tries.put(id, new CompletableFuture<>());
         return Optional.empty();
@@ -93,7 +93,7 @@
      * @param id the id of the try
      * @param answer what became of it
      */
-    void end(RequestId id, ForwardAnswer answer) {
+    void complete(RequestId id, ForwardAnswer answer) {
         CompletableFuture<ForwardAnswer> waiting;
         synchronized (this) {
             waiting = tries.get(id);
@@ -112,7 +112,7 @@
      * @param ifBarred the answer if it has not run and never will
      * @return the answer, complete when the try has ended; empty if it is no longer known
      */
-    synchronized Optional<CompletableFuture<ForwardAnswer>> ask(
+    synchronized Optional<CompletableFuture<ForwardAnswer>> queryOutcome(
             RequestId id, ForwardAnswer ifBarred) {
         CompletableFuture<ForwardAnswer> present = tries.get(id);
         if (present != null) {
@@ -128,7 +128,7 @@
     }
 
     /** Why a try may not run. */
-    enum Refused {
+    enum Rejection {
         /** It was barred, or has ended: it did not run by this arrival. */
         BARRED,
         /** It is running, or was dropped from the table: what became of it is not known here. */
--- a/src/main/java/org/standlink/agent/RosterWatch.java
+++ b/src/main/java/org/standlink/agent/RosterTracker.java
@@ -31,9 +31,9 @@
  * <p>After a start, and for the keys whose home has moved here, another process may have run a
  * request under the same key. Such keys are refused until the service's window has passed.
  *
- * <p>{@code RosterWatch} is thread-safe.
+ * <p>{@code RosterTracker} is thread-safe.
  */
-final class RosterWatch {
+final class RosterTracker {
 
     /** This VM. */
     private final VmId self;
@@ -59,7 +59,7 @@
      * @param self this VM
      * @param startMillis when the process started, in milliseconds
      */
-    RosterWatch(VmId self, long startMillis) {
+    RosterTracker(VmId self, long startMillis) {
         this.self = self;
         this.startMillis = startMillis;
     }
@@ -75,7 +75,7 @@
      */
     synchronized long getWaitMillis(
             Bundle bundle, ServiceSpecification service, String key, long nowMillis) {
-        note(bundle, nowMillis);
+        observeBundle(bundle, nowMillis);
         long window = service.keyWindowSeconds() * 1000;
         long wait = Math.max(0, startMillis + window - nowMillis);
         Change change = changes.get(service.id());
@@ -91,7 +91,7 @@
      * @param bundle the bundle
      * @param nowMillis the time, in milliseconds
      */
-    synchronized void note(Bundle bundle, long nowMillis) {
+    synchronized void observeBundle(Bundle bundle, long nowMillis) {
         if (bundle.version().equals(seen)) {
             return;
         }
--- a/src/main/java/org/standlink/agent/ServiceMeter.java
+++ b/src/main/java/org/standlink/agent/ServiceMeter.java
@@ -76,7 +76,8 @@
      * @param slots the slots of the upstream
      * @param nowMillis the time, in milliseconds
      */
-    synchronized void add(ServiceId service, int percent, int running, int slots, long nowMillis) {
+    synchronized void recordRequest(
+            ServiceId service, int percent, int running, int slots, long nowMillis) {
         Window window = windows.computeIfAbsent(service, key -> new Window());
         int index = (int) (window.count % REMEMBERED);
         window.percents[index] = percent;
@@ -92,7 +93,7 @@
      * @param nowMillis the time, in milliseconds
      * @return the reports
      */
-    synchronized List<ServiceReport> report(long nowMillis) {
+    synchronized List<ServiceReport> createReports(long nowMillis) {
         List<ServiceReport> reports = new ArrayList<>();
         windows.forEach((service, window) -> addReport(service, window, nowMillis, reports));
         return reports;
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -70,7 +70,7 @@
     private volatile SupervisorReport report = SupervisorReport.NONE;
 
     /** The worker lease. */
-    private final WorkerLeaseKeeper lease;
+    private final WorkerLeaseHolder lease;
 
     /** What the worker knows, as of the last reading. */
     private Map<TaskId, TaskUsage> known = new HashMap<>();
@@ -91,7 +91,7 @@
     public TaskSupervisor(VmId self, WorkerPort worker, MonotonicClock clock) {
         this.worker = worker;
         this.clock = clock;
-        this.lease = new WorkerLeaseKeeper(self, worker, clock);
+        this.lease = new WorkerLeaseHolder(self, worker, clock);
     }
 
     // -----------------------------------------------------------------------
@@ -122,17 +122,17 @@
         boolean ready = false;
         try {
             if (isLive(now)) {
-                lease.keep();
+                lease.acquireOrRenew();
             }
             readWorker(now);
             ready = lease.isLive();
             if (ready) {
-                carryOut(now, new CapacityLedger(capacity, reserved), leaving);
+                carryOut(now, new CapacityUsage(capacity, reserved), leaving);
             }
         } catch (StandlinkException failure) {
             ready = false;
             if (MAKES_LEASE_VOID.contains(failure.getCode())) {
-                lease.drop();
+                lease.discard();
             }
         }
         report =
@@ -219,7 +219,7 @@
         return first.attempt().isAfter(second.attempt()) ? first : second;
     }
 
-    private void carryOut(NodeGrant now, CapacityLedger ledger, boolean leaving) {
+    private void carryOut(NodeGrant now, CapacityUsage ledger, boolean leaving) {
         Map<TaskId, Assignment> wanted = new HashMap<>();
         if (isLive(now)) {
             now.assignments().forEach(assignment -> wanted.put(assignment.task(), assignment));
@@ -241,7 +241,7 @@
     }
 
     private void keepOrStop(
-            TaskUsage usage, Assignment assignment, CapacityLedger ledger, boolean leaving) {
+            TaskUsage usage, Assignment assignment, CapacityUsage ledger, boolean leaving) {
         boolean keep =
                 assignment != null
                         && assignment.attempt().equals(usage.attempt())
@@ -251,19 +251,19 @@
             stop(usage);
             return;
         }
-        ledger.addHeld(usage.reserved());
+        ledger.addAllocated(usage.reserved());
         throttle(assignment);
     }
 
-    private void shed(Map<TaskId, Assignment> wanted, CapacityLedger ledger) {
-        if (!ledger.isOverfull()) {
+    private void shed(Map<TaskId, Assignment> wanted, CapacityUsage ledger) {
+        if (!ledger.isOvercommitted()) {
             return;
         }
         List<TaskUsage> running = new ArrayList<>(known.values());
         running.removeIf(usage -> !isRunning(usage));
         running.sort(Comparator.comparingInt(usage -> wanted.get(usage.task()).priority()));
         for (TaskUsage usage : running) {
-            if (!ledger.isOverfull()) {
+            if (!ledger.isOvercommitted()) {
                 return;
             }
             stop(usage);
@@ -271,14 +271,14 @@
         }
     }
 
-    private void startIfRoom(NodeGrant now, Assignment assignment, CapacityLedger ledger) {
+    private void startIfRoom(NodeGrant now, Assignment assignment, CapacityUsage ledger) {
         TaskUsage usage = known.get(assignment.task());
         boolean mayStart =
                 !assignment.stop()
                         && (usage == null
                                 || !isRunning(usage)
                                         && assignment.attempt().isAfter(usage.attempt()));
-        if (!mayStart || !ledger.tryGrant(assignment.resources())) {
+        if (!mayStart || !ledger.tryAllocate(assignment.resources())) {
             return;
         }
         // The worker checks the lease again, so a pause right here starts nothing.
@@ -288,7 +288,7 @@
         start(assignment, ledger);
     }
 
-    private void start(Assignment assignment, CapacityLedger ledger) {
+    private void start(Assignment assignment, CapacityUsage ledger) {
         TaskStart start =
                 new TaskStart(
                         assignment.task(),
--- a/src/main/java/org/standlink/agent/UpstreamPort.java
+++ b/src/main/java/org/standlink/agent/UpstreamPort.java
@@ -16,8 +16,8 @@
 package org.standlink.agent;
 
 import java.util.concurrent.CompletableFuture;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 
 /** Runs requests against the upstream beside the agent. */
 public interface UpstreamPort {
@@ -29,5 +29,5 @@
      * @return what became of it; never fails: "not run" only if nothing was sent, "unknown" if
      *     something was sent and no whole answer came
      */
-    CompletableFuture<ForwardAnswer> run(Forward request);
+    CompletableFuture<ForwardAnswer> run(ForwardRequest request);
 }
--- a/src/main/java/org/standlink/agent/UpstreamGate.java
+++ b/src/main/java/org/standlink/agent/UpstreamSlots.java
@@ -22,22 +22,22 @@
 /**
  * Lets no more requests through to the upstream than it has slots; some wait in a bounded queue.
  *
- * <p>{@code UpstreamGate} is thread-safe.
+ * <p>{@code UpstreamSlots} is thread-safe.
  */
-final class UpstreamGate {
+final class UpstreamSlots {
 
     /** Whoever waits for a slot. */
     interface Waiter {
 
-        /** Called once a slot is taken for it; {@link UpstreamGate#leave} must follow. */
-        void enter();
+        /** Called once a slot is taken for it; {@link UpstreamSlots#release} must follow. */
+        void slotAcquired();
 
         /**
          * Called when it is given up before there was a slot.
          *
          * @param reason why
          */
-        void giveUp(String reason);
+        void rejected(String reason);
     }
 
     /** A waiter with its time. */
@@ -58,14 +58,14 @@
      * @param untilMillis when its time is up, in milliseconds
      * @return false if refused, because the queue is full
      */
-    boolean tryEnter(Waiter waiter, int slots, int queueLength, long untilMillis) {
+    boolean tryAcquire(Waiter waiter, int slots, int queueLength, long untilMillis) {
         synchronized (this) {
             if (running >= slots) {
                 return queue.size() < queueLength && queue.add(new Waiting(waiter, untilMillis));
             }
             running++;
         }
-        waiter.enter();
+        waiter.slotAcquired();
         return true;
     }
 
@@ -74,8 +74,8 @@
      *
      * @param nowMillis the time, in milliseconds
      */
-    void leave(long nowMillis) {
-        expire(nowMillis);
+    void release(long nowMillis) {
+        rejectExpired(nowMillis);
         Waiting next;
         synchronized (this) {
             next = queue.poll();
@@ -84,7 +84,7 @@
                 return;
             }
         }
-        next.waiter().enter();
+        next.waiter().slotAcquired();
     }
 
     /**
@@ -92,7 +92,7 @@
      *
      * @param nowMillis the time, in milliseconds
      */
-    void expire(long nowMillis) {
+    void rejectExpired(long nowMillis) {
         Queue<Waiting> late = new ArrayDeque<>();
         synchronized (this) {
             for (Iterator<Waiting> waiting = queue.iterator(); waiting.hasNext(); ) {
@@ -103,7 +103,7 @@
                 }
             }
         }
-        late.forEach(one -> one.waiter().giveUp("no slot in time"));
+        late.forEach(one -> one.waiter().rejected("no slot in time"));
     }
 
     /**
@@ -111,13 +111,13 @@
      *
      * @param reason why
      */
-    void giveUpAll(String reason) {
+    void rejectAll(String reason) {
         Queue<Waiting> all;
         synchronized (this) {
             all = new ArrayDeque<>(queue);
             queue.clear();
         }
-        all.forEach(one -> one.waiter().giveUp(reason));
+        all.forEach(one -> one.waiter().rejected(reason));
     }
 
     /**
--- a/src/main/java/org/standlink/agent/WorkerLeaseKeeper.java
+++ b/src/main/java/org/standlink/agent/WorkerLeaseHolder.java
@@ -24,9 +24,9 @@
 /**
  * Takes and renews the lease of the local worker.
  *
- * <p>{@code WorkerLeaseKeeper} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code WorkerLeaseHolder} is mutable and not thread-safe; its owner guards it.
  */
-final class WorkerLeaseKeeper {
+final class WorkerLeaseHolder {
 
     /** Renewals in one length of the lease. */
     private static final int RENEWALS_PER_LEASE = 3;
@@ -56,7 +56,7 @@
      * @param worker the worker
      * @param clock the clock
      */
-    WorkerLeaseKeeper(VmId self, WorkerPort worker, MonotonicClock clock) {
+    WorkerLeaseHolder(VmId self, WorkerPort worker, MonotonicClock clock) {
         this.self = self;
         this.worker = worker;
         this.clock = clock;
@@ -67,18 +67,18 @@
      *
      * @throws org.standlink.StandlinkException with code LEASE_LAPSED if it must be taken anew
      */
-    void keep() {
+    void acquireOrRenew() {
         long asked = clock.nowMillis();
         if (token != null && isLive() && asked < renewMillis) {
             return;
         }
         token = token == null ? worker.acquire(self.toString()) : worker.renew(token);
-        lease = Lease.ofAsked(asked, token.lengthMillis());
+        lease = Lease.ofRequestTime(asked, token.lengthMillis());
         renewMillis = asked + token.lengthMillis() / RENEWALS_PER_LEASE;
     }
 
     /** Lets the lease go, so that it is taken anew. */
-    void drop() {
+    void discard() {
         token = null;
         lease = Lease.NONE;
     }
--- a/src/main/java/org/standlink/benchmark/LeaderCost.java
+++ b/src/main/java/org/standlink/benchmark/LeaderCost.java
@@ -117,7 +117,7 @@
             List<ReportDelta> deltas,
             long[] bytes) {
         now[0] += 1000;
-        service.run();
+        service.runOnce();
         for (int worker = 0; worker < workers; worker++) {
             HeartbeatAnswer last = answers.size() > worker ? answers.get(worker) : null;
             byte[] sent =
@@ -127,8 +127,8 @@
                                     false,
                                     heartbeat(worker, last, holder, deltas.get(worker), now[0])));
             Heartbeat received = (Heartbeat) FrameCodec.decode(sent).message();
-            HeartbeatAnswer answer = service.heartbeat(received);
-            deltas.get(worker).answered(answer.epoch());
+            HeartbeatAnswer answer = service.handleHeartbeat(received);
+            deltas.get(worker).answerReceived(answer.epoch());
             bytes[0] += sent.length + FrameCodec.encode(new Frame(1, true, answer)).length;
             HeartbeatAnswer kept = answer.assignments() == null && last != null ? last : answer;
             if (last == null) {
@@ -155,7 +155,7 @@
                                                     assignment.resources())));
         }
         Epoch epoch = last == null ? Epoch.NONE : last.epoch();
-        ReportDelta.Part part = delta.next(reports, epoch);
+        ReportDelta.Selection part = delta.selectNext(reports, epoch);
         return new Heartbeat(
                 VmId.parse("vm-" + worker),
                 Incarnation.of(worker + 1),
--- a/src/main/java/org/standlink/cell/AgentReportHandler.java
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -246,7 +246,7 @@
         for (RunId run : workerReport.gone()) {
             releaseRun(worker, run, "stopped-before-start");
         }
-        if (workerReport.known()) {
+        if (workerReport.runsKnown()) {
             reconciler.reconcile(worker, workerReport, report.incarnation());
         }
         if (workerReport.worker().draining()) {
--- a/src/main/java/org/standlink/cell/CrashDetector.java
+++ b/src/main/java/org/standlink/cell/CrashDetector.java
@@ -81,7 +81,8 @@
     private record Crash(long at, List<TaskEntry> tasks) {
 
         boolean hasNoLikelyCause() {
-            return tasks.stream().noneMatch(task -> task.getTrial().getCrashes().isLikelyCause());
+            return tasks.stream()
+                    .noneMatch(task -> task.getTrial().getCrashHistory().isLikelyCause());
         }
     }
 
@@ -211,16 +212,19 @@
                 lost.begun().stream().filter(task -> !task.getTrial().isProven()).toList();
         List<TaskEntry> counted = new ArrayList<>(lost.proven());
         counted.forEach(
-                task -> task.getTrial().setCrashes(task.getTrial().getCrashes().withLateCrash()));
+                task ->
+                        task.getTrial()
+                                .setCrashHistory(
+                                        task.getTrial().getCrashHistory().withLateCrash()));
         double totalWeight = 0;
         for (TaskEntry task : started) {
-            totalWeight += task.getTrial().getCrashes().getWeight();
+            totalWeight += task.getTrial().getCrashHistory().getWeight();
         }
         for (TaskEntry task : started) {
-            CrashHistory history = task.getTrial().getCrashes();
+            CrashHistory history = task.getTrial().getCrashHistory();
             double likelihood =
                     history.getWeight() / (totalWeight + spontaneousCrashLikelihood(task));
-            task.getTrial().setCrashes(history.withStartupCrash(likelihood));
+            task.getTrial().setCrashHistory(history.withStartupCrash(likelihood));
             counted.add(task);
         }
         if (!counted.isEmpty()) {
@@ -229,7 +233,7 @@
         }
         Set<TaskEntry> changed = new LinkedHashSet<>(counted);
         counted.stream()
-                .filter(task -> task.getTrial().getCrashes().isFailedPermanently())
+                .filter(task -> task.getTrial().getCrashHistory().isFailedPermanently())
                 .forEach(task -> changed.addAll(clearSuspicion(task)));
         return List.copyOf(changed);
     }
@@ -255,14 +259,14 @@
                                 task ->
                                         task != cause
                                                 && !task.getTrial()
-                                                        .getCrashes()
+                                                        .getCrashHistory()
                                                         .isFailedPermanently())
                         .forEach(
                                 task -> {
                                     task.getTrial()
-                                            .setCrashes(
+                                            .setCrashHistory(
                                                     task.getTrial()
-                                                            .getCrashes()
+                                                            .getCrashHistory()
                                                             .withoutSuspicion());
                                     cleared.add(task);
                                 });
@@ -278,7 +282,7 @@
                 .with("runs", counted.size())
                 .write();
         for (TaskEntry task : counted) {
-            CrashHistory crashes = task.getTrial().getCrashes();
+            CrashHistory crashes = task.getTrial().getCrashHistory();
             if (crashes.isFailedPermanently() || crashes.requiresIsolation()) {
                 LOG.info(
                                 crashes.isFailedPermanently()
--- a/src/main/java/org/standlink/cell/CrashIsolation.java
+++ b/src/main/java/org/standlink/cell/CrashIsolation.java
@@ -64,10 +64,10 @@
 
     private static boolean isStartAllowed(
             TaskEntry task, WorkerEntry worker, Predicate<CrashHistory> needsIsolation) {
-        boolean isolated = needsIsolation.test(task.getTrial().getCrashes());
+        boolean isolated = needsIsolation.test(task.getTrial().getCrashHistory());
         for (TaskEntry other : worker.listTasks()) {
             if (!other.getTrial().isProven()
-                    && (isolated || needsIsolation.test(other.getTrial().getCrashes()))) {
+                    && (isolated || needsIsolation.test(other.getTrial().getCrashHistory()))) {
                 return false;
             }
         }
@@ -81,12 +81,12 @@
      * @param worker the worker
      * @return the penalty, in thousandths of a core
      */
-    static long penalty(TaskEntry task, WorkerEntry worker) {
+    static long computePenalty(TaskEntry task, WorkerEntry worker) {
         long onTrial = 0;
         for (TaskEntry other : worker.listTasks()) {
             onTrial += other.getTrial().isOnTrial() ? 1 : 0;
         }
-        boolean isolated = task.getTrial().getCrashes().requiresIsolation();
+        boolean isolated = task.getTrial().getCrashHistory().requiresIsolation();
         long riskPenalty = isolated ? worker.listTasks().size() * RUN_AT_RISK_PENALTY : 0;
         return onTrial * TRIAL_PENALTY + riskPenalty;
     }
--- a/src/main/java/org/standlink/cell/JobEntry.java
+++ b/src/main/java/org/standlink/cell/JobEntry.java
@@ -204,7 +204,7 @@
      * @return true if so
      */
     boolean hasStarted() {
-        return allTasks().anyMatch(TaskEntry::hasBegun);
+        return allTasks().anyMatch(TaskEntry::hasStarted);
     }
 
     /**
--- a/src/main/java/org/standlink/cell/LeastRequestedPlacement.java
+++ b/src/main/java/org/standlink/cell/LeastRequestedPlacement.java
@@ -220,6 +220,6 @@
                 + (nearData ? DATA_LOCALITY_BONUS_MILLICORES : 0)
                 - (failedHere ? LAST_FAILURE_PENALTY_MILLICORES : 0)
                 - failurePenalty(task, worker)
-                - CrashIsolation.penalty(task, worker);
+                - CrashIsolation.computePenalty(task, worker);
     }
 }
--- a/src/main/java/org/standlink/cell/Scheduler.java
+++ b/src/main/java/org/standlink/cell/Scheduler.java
@@ -184,7 +184,7 @@
             WorkerEntry worker = stepWaits ? null : choose(job, task, eligibleWorkers, now);
             if (worker == null) {
                 withoutWorker =
-                        task.getTrial().getCrashes().requiresIsolation()
+                        task.getTrial().getCrashHistory().requiresIsolation()
                                 ? withoutWorker
                                 : task.getName();
                 waiting.merge(job.getId().toString(), 1, Integer::sum);
--- a/src/main/java/org/standlink/cell/TaskEntry.java
+++ b/src/main/java/org/standlink/cell/TaskEntry.java
@@ -91,7 +91,7 @@
      * @return the record
      */
     SubmittedTaskRecord toRecord() {
-        CrashHistory crashes = trial.getCrashes();
+        CrashHistory crashes = trial.getCrashHistory();
         String incarnation = worker == null ? "" : worker.toString();
         return new SubmittedTaskRecord(
                 lastRun,
@@ -186,7 +186,7 @@
      */
     boolean hasFailedPermanently(int maxAttempts) {
         boolean failed = !step.longRunning() && failures >= maxAttempts;
-        return !done && (failed || trial.getCrashes().isFailedPermanently());
+        return !done && (failed || trial.getCrashHistory().isFailedPermanently());
     }
 
     /**
@@ -250,7 +250,7 @@
      * @return true if so
      */
     boolean isListed() {
-        return progress.isReported();
+        return progress.isListed();
     }
 
     /**
@@ -280,7 +280,7 @@
      *
      * @return true if so
      */
-    boolean hasBegun() {
+    boolean hasStarted() {
         return lastRun > 0;
     }
 
--- a/src/main/java/org/standlink/cell/TaskProgress.java
+++ b/src/main/java/org/standlink/cell/TaskProgress.java
@@ -89,7 +89,7 @@
      *
      * @return true if so
      */
-    boolean isReported() {
+    boolean isListed() {
         return percent != UNKNOWN;
     }
 
@@ -109,7 +109,7 @@
      * @return the time, in milliseconds; 0 if the run is not listed
      */
     double getRemainingMillis(long now) {
-        if (!isReported()) {
+        if (!isListed()) {
             return 0;
         }
         double elapsed = now - listedAt;
--- a/src/main/java/org/standlink/cell/TaskTrial.java
+++ b/src/main/java/org/standlink/cell/TaskTrial.java
@@ -158,7 +158,7 @@
      *
      * @return the history
      */
-    CrashHistory getCrashes() {
+    CrashHistory getCrashHistory() {
         return crashes;
     }
 
@@ -167,7 +167,7 @@
      *
      * @param history the history
      */
-    void setCrashes(CrashHistory history) {
+    void setCrashHistory(CrashHistory history) {
         crashes = history;
     }
 }
--- a/src/main/java/org/standlink/cell/WorkerRestartHandler.java
+++ b/src/main/java/org/standlink/cell/WorkerRestartHandler.java
@@ -108,7 +108,7 @@
                         .toList();
         boolean pending =
                 !endedIncarnations.isEmpty()
-                        && !(workerReport.listed() && workerReport.reachable());
+                        && !(workerReport.listsComplete() && workerReport.reachable());
         if (!pending) {
             endedIncarnations.forEach(former -> resolveRuns(former, current, workerReport));
         }
--- a/src/main/java/org/standlink/command/EntryCommand.java
+++ b/src/main/java/org/standlink/command/EntryCommand.java
@@ -50,7 +50,7 @@
                 new EntryProcess(
                         settings,
                         executor,
-                        ProcessThreads.newBounded("caller", settings.mostThreads()),
+                        ProcessThreads.newBounded("caller", settings.maxThreads()),
                         ProcessThreads.newScheduled("timer", TIMER_THREADS),
                         registry);
         HttpService admin =
--- a/src/main/java/org/standlink/command/PlatformAgentCommand.java
+++ b/src/main/java/org/standlink/command/PlatformAgentCommand.java
@@ -30,8 +30,8 @@
 import org.standlink.election.LeaderLink;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.platform.HeartbeatServer;
-import org.standlink.platform.HttpCaller;
 import org.standlink.platform.HttpWorkerClient;
+import org.standlink.platform.PlatformHttpClient;
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.process.HttpService;
@@ -99,7 +99,7 @@
                         address,
                         self,
                         leader,
-                        new HttpWorkerClient(new HttpCaller(base.getExecutor())),
+                        new HttpWorkerClient(new PlatformHttpClient(base.getExecutor())),
                         base.getClock(),
                         base.getLoop(),
                         candidate,
--- a/src/main/java/org/standlink/command/PlatformBase.java
+++ b/src/main/java/org/standlink/command/PlatformBase.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 import org.standlink.election.Claim;
 import org.standlink.lease.MonotonicClock;
-import org.standlink.platform.HttpCaller;
 import org.standlink.platform.HttpStore;
+import org.standlink.platform.PlatformHttpClient;
 import org.standlink.process.EventLog;
 import org.standlink.process.ProcessThreads;
 import org.standlink.process.WorkFailures;
@@ -57,7 +57,7 @@
     private final ScheduledExecutorService loop = ProcessThreads.newScheduled("loop", 1);
 
     /** The client of the store. */
-    private final HttpCaller storeCaller = new HttpCaller(executor);
+    private final PlatformHttpClient storeCaller = new PlatformHttpClient(executor);
 
     /** The store. */
     private final KeyedStore store;
--- a/src/main/java/org/standlink/command/PlatformEntryCommand.java
+++ b/src/main/java/org/standlink/command/PlatformEntryCommand.java
@@ -22,12 +22,12 @@
 import org.standlink.election.Claim;
 import org.standlink.election.LeaderLink;
 import org.standlink.gateway.JobGateway;
-import org.standlink.platform.CallerHttp;
-import org.standlink.platform.ReadyServer;
-import org.standlink.process.Arrivals;
+import org.standlink.platform.CallerHttpServer;
+import org.standlink.platform.ReadinessServer;
 import org.standlink.process.ConnectionDrain;
 import org.standlink.process.EventLog;
 import org.standlink.process.HttpService;
+import org.standlink.process.PendingArrivals;
 import org.standlink.process.ProcessEnd;
 import org.standlink.process.ProcessThreads;
 import org.standlink.wire.LeaderNotice;
@@ -65,13 +65,13 @@
         base.followOperator(new OperatorTopic(gateway::offer));
         base.followClaims(claim -> noteClaim(leader, claim));
         ConnectionDrain drain = new ConnectionDrain(base.getClock());
-        CallerHttp callers =
-                new CallerHttp(
+        CallerHttpServer callers =
+                new CallerHttpServer(
                         settings.callers(),
                         ProcessThreads.newBounded("caller", CALLER_THREADS),
                         gateway,
                         drain);
-        new ReadyServer(
+        new ReadinessServer(
                 settings.ready(),
                 ProcessThreads.newBounded("ready", SIDE_THREADS),
                 () -> gateway.isReady() && !leaving);
@@ -79,7 +79,7 @@
                 new HttpService(
                         settings.metrics(), ProcessThreads.newBounded("metrics", SIDE_THREADS));
         HealthApi.addTo(metrics, base.getRegistry(), gateway::isReady);
-        return serveUntilStopped(() -> drain(drain, callers.getArrivals(), settings));
+        return serveUntilStopped(() -> drain(drain, callers.getPendingArrivals(), settings));
     }
 
     // -----------------------------------------------------------------------
@@ -91,7 +91,7 @@
         }
     }
 
-    private void drain(ConnectionDrain drain, Arrivals arrivals, PlatformSettings settings)
+    private void drain(ConnectionDrain drain, PendingArrivals arrivals, PlatformSettings settings)
             throws InterruptedException {
         LOG.info("stopping").with("in-progress", drain.getInProgress()).write();
         leaving = true;
--- a/src/main/java/org/standlink/command/PlatformRehearseCommand.java
+++ b/src/main/java/org/standlink/command/PlatformRehearseCommand.java
@@ -82,7 +82,7 @@
         StandInStore store = new StandInStore(FREE, threads);
         MonotonicClock clock = MonotonicClock.ofSystem();
         StandInWorker worker = new StandInWorker(FREE, threads, clock::nowMillis, WORK_MILLIS);
-        StandInCaller.publishQueue(store);
+        StandInCaller.publishConfiguration(store);
         String common =
                 "{\"node\":\"rehearsal\",\"hall\":\"h\",\"graceMillis\":6000,\"store\":\"127.0.0.1:"
                         + store.getPort()
@@ -117,21 +117,21 @@
         long sequence = 0;
         for (long left = READY_MILLIS; left > 0 && !accepted; left -= PAUSE_MILLIS) {
             Thread.sleep(PAUSE_MILLIS);
-            caller.beat(heartbeats, worker, ++sequence);
+            caller.sendHeartbeat(heartbeats, worker, ++sequence);
             accepted = caller.submitBatch(BATCH_JOB) == HttpURLConnection.HTTP_OK;
         }
-        caller.submitLasting(LASTING_JOB);
-        caller.submitNowhere(LASTING_JOB);
+        caller.submitLongRunning(LASTING_JOB);
+        caller.submitToUnknownQueue(LASTING_JOB);
         for (int round = 0; round < ROUNDS; round++) {
             Thread.sleep(PAUSE_MILLIS);
             if (round == ROUNDS / 2) {
-                worker.startAgain();
+                worker.restart();
                 sequence = 0;
             }
-            caller.beat(heartbeats, worker, ++sequence);
-            caller.askReady(ready);
-            caller.askState(BATCH_JOB);
-            caller.askCount();
+            caller.sendHeartbeat(heartbeats, worker, ++sequence);
+            caller.queryReadiness(ready);
+            caller.queryState(BATCH_JOB);
+            caller.queryCount();
         }
         caller.cancel(LASTING_JOB);
         caller.get(metrics, "/metrics");
--- a/src/main/java/org/standlink/election/LeaderLink.java
+++ b/src/main/java/org/standlink/election/LeaderLink.java
@@ -28,7 +28,7 @@
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.Message;
 import org.standlink.wire.MessageHandler;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
 
 /**
  * The connection to the leader with the newest known epoch.
@@ -63,7 +63,7 @@
     private LeaderNotice leader = new LeaderNotice(Epoch.NONE, "");
 
     /** The connection to this leader, null if its address is not known; guarded by this. */
-    private Peer peer;
+    private PeerConnection peer;
 
     /**
      * Creates a link that knows no leader.
@@ -123,7 +123,7 @@
      */
     @Override
     public CompletableFuture<Message> call(Message message, long timeoutMillis) {
-        Peer current;
+        PeerConnection current;
         synchronized (this) {
             current = peer;
         }
@@ -135,7 +135,7 @@
         callStarted();
         return Guarded.then(
                 "leader-call",
-                current.callOpen(message, timeoutMillis),
+                current.callIfConnected(message, timeoutMillis),
                 (answer, failure) -> {
                     if (failure == null || isConnectionLost(failure)) {
                         resetUnanswered();
@@ -166,7 +166,7 @@
      * @return true if a connection is open
      */
     public synchronized boolean isConnected() {
-        return peer != null && peer.getOpen() != null;
+        return peer != null && peer.getOpenConnection() != null;
     }
 
     private synchronized void callStarted() {
@@ -193,8 +193,8 @@
         }
     }
 
-    private Peer connectTo(String address) {
+    private PeerConnection connectTo(String address) {
         InetSocketAddress target = Addresses.parse(address);
-        return new Peer(() -> target, executor, handler);
+        return new PeerConnection(() -> target, executor, handler);
     }
 }
--- a/src/main/java/org/standlink/entry/CallerServer.java
+++ b/src/main/java/org/standlink/entry/CallerServer.java
@@ -219,7 +219,7 @@
     }
 
     /** Reads how long a caller waits. */
-    static long waitMillis(String header) {
+    static long parseWaitMillis(String header) {
         if (header == null) {
             return 0;
         }
@@ -249,7 +249,7 @@
                 exchange.getRequestURI().getPath(),
                 team == null ? NO_TEAM : TeamId.parse(team),
                 headers.getFirst(KEY_HEADER),
-                waitMillis(headers.getFirst(WAIT_HEADER)),
+                parseWaitMillis(headers.getFirst(WAIT_HEADER)),
                 passed,
                 body);
     }
--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -41,7 +41,7 @@
 import org.standlink.wire.BundleAnswer;
 import org.standlink.wire.BundleQuery;
 import org.standlink.wire.Message;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
 
 /**
  * A running entry: it wires the parts together and drives them by timers.
@@ -140,7 +140,7 @@
                 present -> present.getVersion().getValue());
         timers.every("log", LOG_MILLIS, this::readLog);
         timers.every("connect", CONNECT_MILLIS, directory::connectAll);
-        timers.every("list", LIST_MILLIS, () -> directory.setListed(vmList.list()));
+        timers.every("list", LIST_MILLIS, () -> directory.setListedVms(vmList.list()));
     }
 
     // -----------------------------------------------------------------------
@@ -236,7 +236,9 @@
     private void askPeers() {
         Bundle bundle = holder.getBundle();
         if (bundle == null) {
-            settings.seeds().forEach(seed -> ask(new Peer(() -> seed, executor, (c, n, m) -> {})));
+            settings.seeds()
+                    .forEach(
+                            seed -> ask(new PeerConnection(() -> seed, executor, (c, n, m) -> {})));
             return;
         }
         List<VmId> vms =
@@ -247,17 +249,17 @@
         }
     }
 
-    private void ask(Peer peer) {
+    private void ask(PeerConnection peer) {
         query(peer, peer::close);
     }
 
-    private void askOpen(Peer peer) {
-        if (peer.getOpen() != null) {
+    private void askOpen(PeerConnection peer) {
+        if (peer.getOpenConnection() != null) {
             query(peer, () -> {});
         }
     }
 
-    private void query(Peer peer, Runnable afterwards) {
+    private void query(PeerConnection peer, Runnable afterwards) {
         Guarded.then(
                 "bundle-query",
                 peer.call(new BundleQuery(holder.getVersion()), BUNDLE_MILLIS),
--- a/src/main/java/org/standlink/entry/EntrySettings.java
+++ b/src/main/java/org/standlink/entry/EntrySettings.java
@@ -36,7 +36,7 @@
  * @param platform the platform's log and VM list
  * @param seeds agents to ask for the bundle while the log is out of reach
  * @param retryShare the share of requests that may be retried, in percent
- * @param mostThreads the most requests in progress
+ * @param maxThreads the most requests in progress
  * @param drainMillis how long a planned stop may take, in milliseconds
  */
 public record EntrySettings(
@@ -47,7 +47,7 @@
         URI platform,
         List<InetSocketAddress> seeds,
         int retryShare,
-        int mostThreads,
+        int maxThreads,
         long drainMillis) {
 
     /**
--- a/src/main/java/org/standlink/entry/MatchedRequest.java
+++ b/src/main/java/org/standlink/entry/MatchedRequest.java
@@ -21,7 +21,7 @@
 import org.standlink.bundle.Bundle;
 import org.standlink.bundle.RequestClass;
 import org.standlink.bundle.ServiceSpecification;
-import org.standlink.wire.Forward;
+import org.standlink.wire.ForwardRequest;
 
 /**
  * A caller's request with the service and class that it belongs to.
@@ -75,8 +75,8 @@
      * @param leftMillis how long the caller still waits, in milliseconds
      * @return the message
      */
-    Forward toForward(RequestId id, long leftMillis) {
-        return new Forward(
+    ForwardRequest toForwardRequest(RequestId id, long leftMillis) {
+        return new ForwardRequest(
                 id,
                 service.id(),
                 requestClass.id(),
--- a/src/main/java/org/standlink/entry/RequestRouter.java
+++ b/src/main/java/org/standlink/entry/RequestRouter.java
@@ -43,8 +43,8 @@
 import org.standlink.policy.RoutingPolicy;
 import org.standlink.policy.UpstreamView;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.Hello;
 import org.standlink.wire.Message;
 import org.standlink.wire.OutcomeQuery;
@@ -177,14 +177,14 @@
         ServiceSpecification service = request.service();
         String key = request.getScopedKey();
         if (key != null) {
-            Upstream home = directory.get(RendezvousHash.home(key, service.upstreams()));
+            Upstream home = directory.getOrAdd(RendezvousHash.home(key, service.upstreams()));
             return tried.isEmpty() && home.isOpen() ? home : null;
         }
         boolean manages = service.mode() == Mode.MANAGE;
         List<UpstreamView> views = new ArrayList<>();
         List<UpstreamView> fallback = new ArrayList<>();
         for (VmId vm : service.upstreams()) {
-            Upstream upstream = directory.get(vm);
+            Upstream upstream = directory.getOrAdd(vm);
             if (!upstream.isOpen() || tried.contains(vm)) {
                 continue;
             }
@@ -199,7 +199,7 @@
             return null;
         }
         RoutingPolicy policy = manages ? managed : observed;
-        return directory.get(candidates.get(policy.choose(candidates)).vm());
+        return directory.getOrAdd(candidates.get(policy.choose(candidates)).vm());
     }
 
     private UpstreamView view(Upstream upstream, ServiceSpecification service, Bundle bundle) {
@@ -217,24 +217,24 @@
 
     private ForwardAnswer tryOnce(
             MatchedRequest request, Upstream upstream, long left, long untilMillis) {
-        Connection connection = upstream.getPeer().getOpen();
+        Connection connection = upstream.getPeer().getOpenConnection();
         Hello hello = connection == null ? null : connection.getHello();
         if (hello == null) {
             return notSent();
         }
         RequestId id = new RequestId(incarnation, lastTry.incrementAndGet());
-        Forward forward = request.toForward(id, left);
+        ForwardRequest forward = request.toForwardRequest(id, left);
         long start = System.nanoTime();
         outliers.recordSend(upstream.getVm(), clock.nowMillis());
-        upstream.sent();
+        upstream.recordSend();
         ForwardAnswer answer;
         try {
-            answer = send(() -> connection.callUnlessLeft(forward, left + GRACE_MILLIS));
+            answer = send(() -> connection.callUnlessPeerLeaving(forward, left + GRACE_MILLIS));
             if (answer == null) {
                 answer = resolve(upstream, id, hello, untilMillis);
             }
         } finally {
-            upstream.ended();
+            upstream.recordEnd();
         }
         judge(upstream, answer, (System.nanoTime() - start) / 1000);
         return answer;
--- a/src/main/java/org/standlink/entry/Upstream.java
+++ b/src/main/java/org/standlink/entry/Upstream.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.standlink.VmId;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Load;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
+import org.standlink.wire.UpstreamLoad;
 
 /**
  * What an entry knows of the agent beside one upstream.
@@ -32,13 +32,13 @@
     private final VmId vm;
 
     /** The agent. */
-    private final Peer peer;
+    private final PeerConnection peer;
 
     /** Requests sent from here and not answered. */
     private final AtomicInteger inFlight = new AtomicInteger();
 
     /** What the agent last told. */
-    private volatile Load load = new Load(0, false, false);
+    private volatile UpstreamLoad load = new UpstreamLoad(0, false, false);
 
     /** Whether the platform lists the VM as leaving. */
     private volatile boolean listedLeaving;
@@ -49,7 +49,7 @@
      * @param vm the VM
      * @param peer the agent
      */
-    Upstream(VmId vm, Peer peer) {
+    Upstream(VmId vm, PeerConnection peer) {
         this.vm = vm;
         this.peer = peer;
     }
@@ -58,11 +58,11 @@
         return vm;
     }
 
-    Peer getPeer() {
+    PeerConnection getPeer() {
         return peer;
     }
 
-    void setLoad(Load told) {
+    void setLoad(UpstreamLoad told) {
         load = told;
     }
 
@@ -70,11 +70,11 @@
         listedLeaving = leaving;
     }
 
-    void sent() {
+    void recordSend() {
         inFlight.incrementAndGet();
     }
 
-    void ended() {
+    void recordEnd() {
         inFlight.decrementAndGet();
     }
 
@@ -93,9 +93,9 @@
      * @return true if it is connected and neither leaving nor failing
      */
     boolean isOpen() {
-        Connection connection = peer.getOpen();
+        Connection connection = peer.getOpenConnection();
         boolean greeted =
-                connection != null && connection.getHello() != null && !connection.isLeftByPeer();
+                connection != null && connection.getHello() != null && !connection.isPeerLeaving();
         return greeted && !isLeaving() && !load.failing();
     }
 
--- a/src/main/java/org/standlink/entry/UpstreamDirectory.java
+++ b/src/main/java/org/standlink/entry/UpstreamDirectory.java
@@ -32,9 +32,9 @@
 import org.standlink.wire.BundleAnswer;
 import org.standlink.wire.BundleQuery;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Load;
 import org.standlink.wire.Message;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
+import org.standlink.wire.UpstreamLoad;
 
 /**
  * The agents that an entry is connected to.
@@ -73,7 +73,7 @@
      * @param vm the VM
      * @return the agent, connected or not
      */
-    Upstream get(VmId vm) {
+    Upstream getOrAdd(VmId vm) {
         return upstreams.computeIfAbsent(vm, this::newUpstream);
     }
 
@@ -83,8 +83,8 @@
      * @param vm the VM
      * @return the agent
      */
-    public Peer getPeer(VmId vm) {
-        return get(vm).getPeer();
+    public PeerConnection getPeer(VmId vm) {
+        return getOrAdd(vm).getPeer();
     }
 
     /**
@@ -94,7 +94,7 @@
      * @return "leaving", "open" or "closed"
      */
     public String getState(VmId vm) {
-        Upstream upstream = get(vm);
+        Upstream upstream = getOrAdd(vm);
         if (upstream.isLeaving()) {
             return "leaving";
         }
@@ -108,7 +108,7 @@
      * @return the number, as last told or seen from here
      */
     public int getOutstanding(VmId vm) {
-        return get(vm).getOutstanding();
+        return getOrAdd(vm).getOutstanding();
     }
 
     /** Connects to the upstreams of the bundle in force and drops those that are gone. */
@@ -120,7 +120,7 @@
         Set<VmId> wanted = new HashSet<>();
         bundle.services().forEach(service -> wanted.addAll(service.upstreams()));
         for (VmId vm : wanted) {
-            if (get(vm).getPeer().getOpen() == null) {
+            if (getOrAdd(vm).getPeer().getOpenConnection() == null) {
                 executor.execute(() -> connect(vm));
             }
         }
@@ -138,7 +138,7 @@
      *
      * @param entries the VMs
      */
-    public void setListed(List<VmEntry> entries) {
+    public void setListedVms(List<VmEntry> entries) {
         Map<VmId, InetSocketAddress> addresses = new ConcurrentHashMap<>();
         for (VmEntry entry : entries) {
             addresses.put(entry.vm(), Addresses.parse(entry.address()));
@@ -158,7 +158,7 @@
     // -----------------------------------------------------------------------
     private void connect(VmId vm) {
         try {
-            get(vm).getPeer().connect();
+            getOrAdd(vm).getPeer().connect();
         } catch (StandlinkException unreachable) {
             if (unreachable.getCode() != ErrorCode.PEER_UNREACHABLE) {
                 throw unreachable;
@@ -168,8 +168,8 @@
 
     private Upstream newUpstream(VmId vm) {
         Upstream[] self = new Upstream[1];
-        Peer peer =
-                new Peer(
+        PeerConnection peer =
+                new PeerConnection(
                         () -> addressOf(vm),
                         executor,
                         (connection, call, message) -> handle(self[0], connection, call, message));
@@ -189,7 +189,7 @@
     }
 
     private void handle(Upstream upstream, Connection connection, long call, Message message) {
-        if (message instanceof Load load) {
+        if (message instanceof UpstreamLoad load) {
             upstream.setLoad(load);
         } else if (message instanceof BundleQuery query) {
             boolean newer = holder.getVersion().isAfter(query.held());
--- a/src/main/java/org/standlink/leader/AgentRecord.java
+++ b/src/main/java/org/standlink/leader/AgentEntry.java
@@ -30,9 +30,9 @@
 /**
  * What a leader knows of one agent.
  *
- * <p>{@code AgentRecord} is mutable and not thread-safe; its leader guards it.
+ * <p>{@code AgentEntry} is mutable and not thread-safe; its leader guards it.
  */
-final class AgentRecord {
+final class AgentEntry {
 
     /** The run of the agent, null until heard. */
     private Incarnation incarnation;
@@ -71,7 +71,7 @@
      * @param epoch the epoch of this leader
      * @param nowMillis the time, in milliseconds
      */
-    void heard(Heartbeat heartbeat, Epoch epoch, long nowMillis) {
+    void receiveHeartbeat(Heartbeat heartbeat, Epoch epoch, long nowMillis) {
         if (!heartbeat.incarnation().equals(incarnation)) {
             incarnation = heartbeat.incarnation();
             generation = generation.next();
@@ -98,7 +98,7 @@
      * @param heartbeat the heartbeat
      * @return false if it is older than the last one or leaves out what is not known here
      */
-    boolean canTake(Heartbeat heartbeat) {
+    boolean isAcceptable(Heartbeat heartbeat) {
         boolean sameRun = heartbeat.incarnation().equals(incarnation);
         if (sameRun && heartbeat.number() <= last.number()) {
             return false;
@@ -144,7 +144,7 @@
      * @param wanted the assignments
      * @param firstRevision the revision to use for the first list of this leader
      */
-    void want(List<Assignment> wanted, long firstRevision) {
+    void updateAssignments(List<Assignment> wanted, long firstRevision) {
         if (revision == 0 || !wanted.equals(assignments)) {
             revision = Math.max(firstRevision, revision + 1);
             assignments = wanted;
@@ -152,7 +152,7 @@
     }
 
     // -----------------------------------------------------------------------
-    boolean isHeard() {
+    boolean hasReported() {
         return last != null;
     }
 
@@ -164,7 +164,7 @@
         return lost;
     }
 
-    Heartbeat getLast() {
+    Heartbeat getLastHeartbeat() {
         return last;
     }
 
@@ -180,7 +180,7 @@
      * @param nowMillis the time, in milliseconds
      * @return true if its last heartbeat names the epoch and is not older than that
      */
-    boolean hasFollowed(Epoch epoch, long spanMillis, long nowMillis) {
+    boolean hasFollowedWithin(Epoch epoch, long spanMillis, long nowMillis) {
         return last.epoch().equals(epoch) && sentAfterMillis > nowMillis - spanMillis;
     }
 
--- a/src/main/java/org/standlink/leader/BundleCellLeader.java
+++ b/src/main/java/org/standlink/leader/BundleCellLeader.java
@@ -74,7 +74,7 @@
     private long confirmedMillis;
 
     /** The agents. */
-    private final Map<VmId, AgentRecord> agents = new TreeMap<>();
+    private final Map<VmId, AgentEntry> agents = new TreeMap<>();
 
     /** The old leader, once it can no longer grant leases to itself; null until then. */
     private VmId excluded;
@@ -116,7 +116,7 @@
      *
      * @param readStartMillis when the read began, in milliseconds
      */
-    public void confirm(long readStartMillis) {
+    public void confirmEpoch(long readStartMillis) {
         confirmedMillis = Math.max(confirmedMillis, readStartMillis);
     }
 
@@ -144,7 +144,7 @@
      * @return the answer
      * @throws StandlinkException with code LEASE_LAPSED if this process may not act as leader
      */
-    public HeartbeatAnswer heartbeat(
+    public HeartbeatAnswer handleHeartbeat(
             Heartbeat heartbeat,
             CellState state,
             Bundle bundle,
@@ -156,8 +156,8 @@
         if (heartbeat.vm().equals(state.getLeader()) && !mayServeItself(state, bundle, nowMillis)) {
             throw notLeading();
         }
-        AgentRecord agent = agents.getOrDefault(heartbeat.vm(), new AgentRecord());
-        if (!agent.canTake(heartbeat)) {
+        AgentEntry agent = agents.getOrDefault(heartbeat.vm(), new AgentEntry());
+        if (!agent.isAcceptable(heartbeat)) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
                     "heartbeat " + heartbeat.number() + " does not follow the last one",
@@ -165,11 +165,11 @@
         }
         // Only now: an agent whose heartbeat was refused is as unheard as before.
         agents.put(heartbeat.vm(), agent);
-        agent.heard(heartbeat, epoch, nowMillis);
+        agent.receiveHeartbeat(heartbeat, epoch, nowMillis);
         if (bundle != null) {
-            planner.learn(heartbeat, agent.getReports(), state, bundle);
+            planner.processHeartbeat(heartbeat, agent.getReports(), state, bundle);
         }
-        agent.want(
+        agent.updateAssignments(
                 assignments(heartbeat.vm(), state, bundle),
                 epoch.getValue() * REVISIONS_PER_EPOCH + 1);
         boolean newer = bundle != null && bundle.version().isAfter(heartbeat.bundle());
@@ -202,7 +202,7 @@
         noteExclusion(state, bundle, nowMillis);
         agents.forEach(
                 (vm, agent) -> {
-                    if (agent.isHeard() && isSilent(vm, agent, nowMillis)) {
+                    if (agent.hasReported() && isSilent(vm, agent, nowMillis)) {
                         agent.markLost();
                     }
                 });
@@ -221,7 +221,7 @@
      *
      * @return the records by VM
      */
-    Map<VmId, AgentRecord> getAgents() {
+    Map<VmId, AgentEntry> getAgents() {
         return agents;
     }
 
@@ -254,7 +254,7 @@
     }
 
     private void decideEnd(TaskState task, Bundle bundle, long nowMillis) {
-        AgentRecord agent = agents.get(task.worker());
+        AgentEntry agent = agents.get(task.worker());
         if (agent == null) {
             if (nowMillis >= endOfOldLeases(task.worker())) {
                 end(TaskEvent.Kind.RELEASE, task, null);
@@ -270,11 +270,11 @@
         }
     }
 
-    private void endByReport(TaskState task, AgentRecord agent, Bundle bundle, long nowMillis) {
+    private void endByReport(TaskState task, AgentEntry agent, Bundle bundle, long nowMillis) {
         TaskReport report = agent.getReport(task.task());
         boolean reported = report != null && report.attempt().equals(task.attempt());
         if (!reported) {
-            boolean knows = agent.getLast().revision() == agent.getRevision();
+            boolean knows = agent.getLastHeartbeat().revision() == agent.getRevision();
             if (knows && !CellPlanner.isManaged(bundle, task.task())) {
                 end(TaskEvent.Kind.RELEASE, task, null);
             }
@@ -292,18 +292,18 @@
 
     private void fail(TaskState task, String checkpoint, long nowMillis) {
         TaskEvent event = end(TaskEvent.Kind.FAIL, task, checkpoint);
-        planner.failed(event, task.worker(), nowMillis);
+        planner.recordFailure(event, task.worker(), nowMillis);
     }
 
     private TaskEvent end(TaskEvent.Kind kind, TaskState task, String checkpoint) {
         TaskEvent event = TaskEvent.ofEnd(kind, task.task(), task.attempt(), checkpoint);
         endings.put(task.task(), event);
-        planner.ended(event, task.worker());
+        planner.recordEnd(event, task.worker());
         return event;
     }
 
-    private boolean isSilent(VmId vm, AgentRecord agent, long nowMillis) {
-        long end = agent.getGrantedMillis() + times.nodeMillis() + times.silentAgentMillis();
+    private boolean isSilent(VmId vm, AgentEntry agent, long nowMillis) {
+        long end = agent.getGrantedMillis() + times.nodeMillis() + times.unresponsiveAgentMillis();
         // Until it has acknowledged this epoch it may still take leases of the old leader.
         long old = agent.isAcknowledged() ? Long.MIN_VALUE : endOfOldLeases(vm);
         return nowMillis >= Math.max(end, old);
@@ -311,24 +311,26 @@
 
     /** When an agent that has not acknowledged this epoch has surely no tasks running. */
     private long endOfOldLeases(VmId vm) {
-        long end = claimedMillis + times.unheardAgentMillis();
+        long end = claimedMillis + times.unacknowledgedAgentMillis();
         if (!vm.equals(excluded)) {
             return end;
         }
-        long sure = excludedMillis + 2 * times.nodeMillis() + times.silentAgentMillis();
+        long sure = excludedMillis + 2 * times.nodeMillis() + times.unresponsiveAgentMillis();
         return Math.min(end, sure);
     }
 
     private void noteExclusion(CellState state, Bundle bundle, long nowMillis) {
         VmId old = state.getPreviousLeader();
-        if (excluded == null && old != null && SelfLease.isExcluded(old, vms(bundle), agents)) {
+        if (excluded == null
+                && old != null
+                && LocalAgentLease.hasLostMajority(old, vms(bundle), agents)) {
             excluded = old;
             excludedMillis = nowMillis;
         }
     }
 
     private boolean mayServeItself(CellState state, Bundle bundle, long nowMillis) {
-        return SelfLease.isAllowed(
+        return LocalAgentLease.isAllowed(
                 nowMillis - confirmedMillis,
                 state.getLeader(),
                 epoch,
@@ -356,7 +358,7 @@
                 // end. Stopped before its start, neither agent nor worker would refuse it; kept in
                 // the list, the agent goes on to remember how it ended.
                 boolean givenUp = endings.containsKey(task.task());
-                result.add(planner.assignment(task, bundle, givenUp));
+                result.add(planner.createAssignment(task, bundle, givenUp));
             }
         }
         return result;
--- a/src/main/java/org/standlink/leader/CellPlanner.java
+++ b/src/main/java/org/standlink/leader/CellPlanner.java
@@ -136,7 +136,7 @@
      * @param givenUp whether the end of the attempt is decided
      * @return the assignment
      */
-    Assignment assignment(TaskState task, Bundle bundle, boolean givenUp) {
+    Assignment createAssignment(TaskState task, Bundle bundle, boolean givenUp) {
         JobSpecification job = bundle.findJob(task.task().getJob()).orElseThrow();
         int urgency = job.urgency() == Urgency.URGENT ? URGENT_PRIORITY : 0;
         return new Assignment(
@@ -146,7 +146,7 @@
                 urgency + job.priority(),
                 job.runSeconds(),
                 task.checkpoint(),
-                givenUp || orders.isStopping(task),
+                givenUp || orders.isStopOrdered(task),
                 orders.getThrottle(task.task()));
     }
 
@@ -158,7 +158,7 @@
      * @param state the folded state of the cell
      * @param bundle the bundle in force
      */
-    void learn(
+    void processHeartbeat(
             Heartbeat heartbeat, Collection<TaskReport> reports, CellState state, Bundle bundle) {
         for (TaskReport report : heartbeat.tasks()) {
             if (report.usage() != null) {
@@ -166,7 +166,7 @@
                         .ifPresent(job -> sizes.observe(job.batchClass(), report.usage()));
             }
         }
-        List<RunningTask> beside = views(bundle).runningOn(heartbeat.vm(), reports, state);
+        List<RunningTask> beside = views(bundle).listReportedTasks(heartbeat.vm(), reports, state);
         List<String> classes =
                 beside.stream()
                         .filter(task -> !task.queued())
@@ -192,8 +192,8 @@
      * @param event the end
      * @param worker where it was
      */
-    void ended(TaskEvent event, VmId worker) {
-        orders.forget(event.task());
+    void recordEnd(TaskEvent event, VmId worker) {
+        orders.remove(event.task());
         if (event.kind() == TaskEvent.Kind.FINISH) {
             health.recordSuccess(worker, event.task());
         }
@@ -206,7 +206,7 @@
      * @param worker where it was
      * @param nowMillis the time, in milliseconds
      */
-    void failed(TaskEvent event, VmId worker, long nowMillis) {
+    void recordFailure(TaskEvent event, VmId worker, long nowMillis) {
         health.recordFailure(worker, event.task(), nowMillis);
     }
 
@@ -220,7 +220,7 @@
      * @return the assignments to append
      */
     List<TaskEvent> plan(
-            CellState state, Bundle bundle, Map<VmId, AgentRecord> agents, long nowMillis) {
+            CellState state, Bundle bundle, Map<VmId, AgentEntry> agents, long nowMillis) {
         List<TaskDemand> demands = new ArrayList<>();
         Map<TaskId, String> reasons = new HashMap<>();
         for (JobSpecification job : bundle.jobs()) {
@@ -229,12 +229,13 @@
             }
         }
         CellViews views = views(bundle);
-        List<RunningTask> running = views.running(state, agents);
+        List<RunningTask> running = views.listAssignedTasks(state, agents);
         List<WorkerView> workers =
-                views.workers(agents, running, loads, vm -> health.isUsable(vm, nowMillis));
+                views.createWorkerViews(
+                        agents, running, loads, vm -> health.isUsable(vm, nowMillis));
         PlanningResult plan =
-                planner(bundle).plan(demands, workers, running, views.quotas(running));
-        plan.evictions().forEach(task -> orders.stop(task, state.get(task).attempt()));
+                planner(bundle).plan(demands, workers, running, views.computeQuotaUsage(running));
+        plan.evictions().forEach(task -> orders.orderStop(task, state.get(task).attempt()));
         reasons.putAll(plan.waiting());
         waiting = reasons;
         return events(plan, state);
@@ -254,7 +255,7 @@
      *
      * @return the reasons as of the last round
      */
-    Map<TaskId, String> getWaiting() {
+    Map<TaskId, String> getWaitingReasons() {
         return waiting;
     }
 
@@ -335,9 +336,9 @@
 
     private void act(ReliefAction action, CellState state) {
         if (action.throttlePercent() == 0) {
-            orders.stop(action.task(), state.get(action.task()).attempt());
+            orders.orderStop(action.task(), state.get(action.task()).attempt());
         } else {
-            orders.throttle(action.task(), action.throttlePercent());
+            orders.orderThrottle(action.task(), action.throttlePercent());
         }
     }
 }
--- a/src/main/java/org/standlink/leader/CellStatus.java
+++ b/src/main/java/org/standlink/leader/CellStatus.java
@@ -85,31 +85,31 @@
         node.put("vm", worker.vm().toString());
         node.put("hall", worker.hall().toString());
         node.put("rack", worker.rack().toString());
-        AgentRecord agent = leader.getAgents().get(worker.vm());
-        boolean heard = agent != null && agent.isHeard();
+        AgentEntry agent = leader.getAgents().get(worker.vm());
+        boolean heard = agent != null && agent.hasReported();
         node.put("state", stateOf(agent));
-        node.put("bundle", heard ? agent.getLast().bundle().getValue() : 0);
+        node.put("bundle", heard ? agent.getLastHeartbeat().bundle().getValue() : 0);
         node.put("silentMillis", heard ? nowMillis - agent.getGrantedMillis() : -1);
         node.put("tasks", heard ? agent.getReports().size() : 0);
         return node;
     }
 
-    private static String stateOf(AgentRecord agent) {
-        if (agent == null || !agent.isHeard()) {
+    private static String stateOf(AgentEntry agent) {
+        if (agent == null || !agent.hasReported()) {
             return "unheard";
         }
         if (agent.isLost()) {
             return "lost";
         }
-        if (agent.getLast().leaving()) {
+        if (agent.getLastHeartbeat().leaving()) {
             return "leaving";
         }
-        return agent.getLast().workerReady() ? "ready" : "worker not ready";
+        return agent.getLastHeartbeat().workerReady() ? "ready" : "worker not ready";
     }
 
     private static void addTasks(
             ArrayNode tasks, JobSpecification job, BundleCellLeader leader, CellState state) {
-        Map<TaskId, String> waiting = leader.getPlanner().getWaiting();
+        Map<TaskId, String> waiting = leader.getPlanner().getWaitingReasons();
         for (int index = 0; index < job.tasks(); index++) {
             TaskState task = state.get(TaskId.of(job.id(), index));
             ObjectNode node = tasks.addObject();
@@ -131,7 +131,7 @@
             return task.phase().name().toLowerCase(java.util.Locale.ROOT);
         }
         VmId worker = task.worker();
-        AgentRecord agent = leader.getAgents().get(worker);
+        AgentEntry agent = leader.getAgents().get(worker);
         TaskReport report = agent == null ? null : agent.getReport(task.task());
         return report == null
                 ? "assigned"
--- a/src/main/java/org/standlink/leader/CellViews.java
+++ b/src/main/java/org/standlink/leader/CellViews.java
@@ -77,7 +77,7 @@
      * @param running the tasks that hold room
      * @return the quotas with what is held of them
      */
-    QuotaUsage quotas(List<RunningTask> running) {
+    QuotaUsage computeQuotaUsage(List<RunningTask> running) {
         Map<TeamId, Resources> quotas = new HashMap<>();
         for (TeamSpecification team : bundle.teams()) {
             quotas.put(team.id(), team.quota());
@@ -96,8 +96,8 @@
      * @param isHealthy tells whether a worker may take new work
      * @return the views
      */
-    List<WorkerView> workers(
-            Map<VmId, AgentRecord> agents,
+    List<WorkerView> createWorkerViews(
+            Map<VmId, AgentEntry> agents,
             List<RunningTask> running,
             Map<VmId, List<ServiceLoad>> loads,
             Predicate<VmId> isHealthy) {
@@ -105,7 +105,7 @@
         Map<VmId, WorkerView> byVm = new HashMap<>();
         CellSpecification specification = bundle.findCell(cell).orElseThrow();
         for (WorkerSpecification worker : specification.workers()) {
-            AgentRecord agent = agents.get(worker.vm());
+            AgentEntry agent = agents.get(worker.vm());
             boolean usable = isReady(agent) && isHealthy.test(worker.vm());
             WorkerView view = view(worker, loads, usable);
             views.add(view);
@@ -122,12 +122,12 @@
         return views;
     }
 
-    private static boolean isReady(AgentRecord agent) {
+    private static boolean isReady(AgentEntry agent) {
         return agent != null
-                && agent.isHeard()
+                && agent.hasReported()
                 && !agent.isLost()
-                && agent.getLast().workerReady()
-                && !agent.getLast().leaving();
+                && agent.getLastHeartbeat().workerReady()
+                && !agent.getLastHeartbeat().leaving();
     }
 
     private WorkerView view(
@@ -165,20 +165,20 @@
      * @param agents what the leader knows of the agents
      * @return the tasks
      */
-    List<RunningTask> running(CellState state, Map<VmId, AgentRecord> agents) {
+    List<RunningTask> listAssignedTasks(CellState state, Map<VmId, AgentEntry> agents) {
         List<RunningTask> result = new ArrayList<>();
         for (TaskState task : state.getTasks()) {
             if (!task.isAssigned()) {
                 continue;
             }
-            AgentRecord agent = agents.get(task.worker());
+            AgentEntry agent = agents.get(task.worker());
             TaskReport report = agent == null ? null : agent.getReport(task.task());
-            result.add(running(task, report));
+            result.add(listAssignedTasks(task, report));
         }
         return result;
     }
 
-    private RunningTask running(TaskState task, TaskReport report) {
+    private RunningTask listAssignedTasks(TaskState task, TaskReport report) {
         Optional<JobSpecification> job = bundle.findJob(task.task().getJob());
         boolean queued =
                 report != null
@@ -194,7 +194,7 @@
                 job.map(JobSpecification::checkpointable).orElse(false),
                 orders.getThrottle(task.task()),
                 queued,
-                orders.isStopping(task) || job.isEmpty());
+                orders.isStopOrdered(task) || job.isEmpty());
     }
 
     /**
@@ -205,14 +205,14 @@
      * @param state the folded state of the cell
      * @return the tasks
      */
-    List<RunningTask> runningOn(VmId vm, Collection<TaskReport> reported, CellState state) {
+    List<RunningTask> listReportedTasks(VmId vm, Collection<TaskReport> reported, CellState state) {
         Map<TaskId, TaskReport> reports = new HashMap<>();
         reported.forEach(report -> reports.put(report.task(), report));
         List<RunningTask> result = new ArrayList<>();
         for (TaskState task : state.getTasks()) {
             TaskReport report = reports.get(task.task());
             if (task.isAssigned() && task.worker().equals(vm) && report != null) {
-                result.add(running(task, report));
+                result.add(listAssignedTasks(task, report));
             }
         }
         return result;
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -158,7 +158,8 @@
      * Claims the leadership of the cell, if the log can be read and its state is known.
      *
      * @throws StandlinkException with code PLATFORM_UNAVAILABLE, PLATFORM_OUTCOME_UNKNOWN or
-     *     LOG_GAP; a claim whose outcome is not known may still hold and is found by {@link #run}
+     *     LOG_GAP; a claim whose outcome is not known may still hold and is found by {@link
+     *     #runOnce}
      */
     public void claim() {
         follower.poll();
@@ -166,7 +167,7 @@
         log.append(
                 RecordCodec.encode(
                         new ClaimRecord(RecordCodec.newId(), cell, next, self, incarnation)));
-        run();
+        runOnce();
     }
 
     /**
@@ -174,7 +175,7 @@
      *
      * @throws StandlinkException with code PLATFORM_UNAVAILABLE or PLATFORM_OUTCOME_UNKNOWN
      */
-    public void run() {
+    public void runOnce() {
         long readStart = clock.nowMillis();
         follower.poll();
         follower.read(fold -> holder.offer(fold.getBundles().getSignedText(), versionOf(fold)));
@@ -194,14 +195,14 @@
      * @return the answer
      * @throws StandlinkException with code LEASE_LAPSED if this process may not act as leader
      */
-    public synchronized HeartbeatAnswer heartbeat(Heartbeat heartbeat) {
+    public synchronized HeartbeatAnswer handleHeartbeat(Heartbeat heartbeat) {
         if (leader == null) {
             throw notLeading();
         }
         long now = clock.nowMillis();
         return follower.read(
                 fold ->
-                        leader.heartbeat(
+                        leader.handleHeartbeat(
                                 heartbeat,
                                 fold.getCell(cell),
                                 holder.getBundle(),
@@ -282,7 +283,7 @@
             takeUp(state, readStart);
         }
         if (leader != null) {
-            leader.confirm(readStart);
+            leader.confirmEpoch(readStart);
         }
     }
 
--- a/src/main/java/org/standlink/leader/SelfLease.java
+++ b/src/main/java/org/standlink/leader/LocalAgentLease.java
@@ -33,12 +33,12 @@
  * leases later. A heartbeat counts by when it was sent, as one that was long on its way says
  * nothing of whom its agent follows now.
  *
- * <p>{@code SelfLease} is thread-safe and immutable.
+ * <p>{@code LocalAgentLease} is thread-safe and immutable.
  */
-final class SelfLease {
+final class LocalAgentLease {
 
     /** No instances. */
-    private SelfLease() {}
+    private LocalAgentLease() {}
 
     /**
      * Checks whether a leader may grant a lease to its own agent.
@@ -57,7 +57,7 @@
             VmId self,
             Epoch epoch,
             Collection<VmId> vms,
-            Map<VmId, AgentRecord> agents,
+            Map<VmId, AgentEntry> agents,
             LeaseTimes times,
             long nowMillis) {
         if (logAgeMillis < times.nodeMillis()) {
@@ -68,8 +68,11 @@
                 vms.stream()
                         .filter(vm -> !vm.equals(self))
                         .map(agents::get)
-                        .filter(agent -> agent != null && agent.isHeard())
-                        .filter(agent -> agent.hasFollowed(epoch, times.nodeMillis(), nowMillis))
+                        .filter(agent -> agent != null && agent.hasReported())
+                        .filter(
+                                agent ->
+                                        agent.hasFollowedWithin(
+                                                epoch, times.nodeMillis(), nowMillis))
                         .count();
         return heard > others / 2;
     }
@@ -83,7 +86,7 @@
      * @param agents what the successor knows of the agents
      * @return true if so
      */
-    static boolean isExcluded(VmId old, Collection<VmId> vms, Map<VmId, AgentRecord> agents) {
+    static boolean hasLostMajority(VmId old, Collection<VmId> vms, Map<VmId, AgentEntry> agents) {
         long others = countOthers(old, vms);
         long acknowledged =
                 vms.stream()
--- a/src/main/java/org/standlink/leader/TaskOrders.java
+++ b/src/main/java/org/standlink/leader/TaskOrders.java
@@ -43,7 +43,7 @@
      * @param task the task
      * @param percent the share of its processors it may use, in percent
      */
-    void throttle(TaskId task, int percent) {
+    void orderThrottle(TaskId task, int percent) {
         throttles.put(task, percent);
     }
 
@@ -53,7 +53,7 @@
      * @param task the task
      * @param attempt the attempt to stop
      */
-    void stop(TaskId task, Attempt attempt) {
+    void orderStop(TaskId task, Attempt attempt) {
         stops.put(task, attempt);
     }
 
@@ -62,7 +62,7 @@
      *
      * @param task the task
      */
-    void forget(TaskId task) {
+    void remove(TaskId task) {
         throttles.remove(task);
         stops.remove(task);
     }
@@ -83,7 +83,7 @@
      * @param task the task
      * @return true if so
      */
-    boolean isStopping(TaskState task) {
+    boolean isStopOrdered(TaskState task) {
         return task.attempt().equals(stops.get(task.task()));
     }
 }
--- a/src/main/java/org/standlink/lease/Lease.java
+++ b/src/main/java/org/standlink/lease/Lease.java
@@ -37,7 +37,7 @@
      * @param lengthMillis how long it lasts, in milliseconds
      * @return the lease
      */
-    public static Lease ofAsked(long askedMillis, long lengthMillis) {
+    public static Lease ofRequestTime(long askedMillis, long lengthMillis) {
         return new Lease(askedMillis + lengthMillis);
     }
 
--- a/src/main/java/org/standlink/lease/LeaseTimes.java
+++ b/src/main/java/org/standlink/lease/LeaseTimes.java
@@ -41,7 +41,7 @@
      *
      * @return the wait, in milliseconds
      */
-    public long silentAgentMillis() {
+    public long unresponsiveAgentMillis() {
         return 2 * workerMillis + marginMillis;
     }
 
@@ -51,7 +51,7 @@
      *
      * @return the wait, in milliseconds
      */
-    public long unheardAgentMillis() {
-        return authorityMillis + nodeMillis + silentAgentMillis();
+    public long unacknowledgedAgentMillis() {
+        return authorityMillis + nodeMillis + unresponsiveAgentMillis();
     }
 }
--- a/src/main/java/org/standlink/platform/CallerHttp.java
+++ b/src/main/java/org/standlink/platform/CallerHttpServer.java
@@ -28,18 +28,18 @@
 import org.standlink.gateway.JobCall;
 import org.standlink.gateway.JobGateway;
 import org.standlink.gateway.JobReply;
-import org.standlink.process.Arrivals;
 import org.standlink.process.ConnectionDrain;
 import org.standlink.process.HttpArrivals;
 import org.standlink.process.HttpService;
+import org.standlink.process.PendingArrivals;
 import org.standlink.process.RequestBody;
 
 /**
  * Takes callers' jobs and questions over HTTP.
  *
- * <p>{@code CallerHttp} is thread-safe.
+ * <p>{@code CallerHttpServer} is thread-safe.
  */
-public final class CallerHttp implements AutoCloseable {
+public final class CallerHttpServer implements AutoCloseable {
 
     /** The header that tells how long a caller waits, in milliseconds. */
     private static final String DEADLINE_HEADER = "X-Deadline-Ms";
@@ -70,7 +70,7 @@
      * @param gateway what answers
      * @param drain tells when a planned stop cuts nobody
      */
-    public CallerHttp(
+    public CallerHttpServer(
             InetSocketAddress address,
             Executor executor,
             JobGateway gateway,
@@ -98,7 +98,7 @@
      *
      * @return the arrivals
      */
-    public Arrivals getArrivals() {
+    public PendingArrivals getPendingArrivals() {
         return arrivals;
     }
 
@@ -180,7 +180,7 @@
     }
 
     private static ObjectNode body(JobReply reply) {
-        ObjectNode body = Json.object();
+        ObjectNode body = Json.newObject();
         if (reply.state() != null) {
             body.put("state", reply.state().name().toLowerCase(Locale.ROOT));
         }
--- a/src/main/java/org/standlink/platform/HeartbeatFormat.java
+++ b/src/main/java/org/standlink/platform/HeartbeatFormat.java
@@ -78,7 +78,7 @@
         }
         WorkerDescription worker =
                 new WorkerDescription(
-                        LifeFormat.read(id, fields),
+                        IncarnationFormat.decode(id, fields),
                         text(fields, "service"),
                         address(fields),
                         capacity(fields.path("capacity")),
--- a/src/main/java/org/standlink/platform/HttpStore.java
+++ b/src/main/java/org/standlink/platform/HttpStore.java
@@ -63,7 +63,7 @@
     private static final long BEYOND_ANY_END = 1L << 40;
 
     /** The client. */
-    private final HttpCaller caller;
+    private final PlatformHttpClient caller;
 
     /** Host and port. */
     private final String address;
@@ -74,7 +74,7 @@
      * @param caller the client
      * @param address host and port
      */
-    public HttpStore(HttpCaller caller, String address) {
+    public HttpStore(PlatformHttpClient caller, String address) {
         this.caller = caller;
         this.address = address;
     }
@@ -108,18 +108,18 @@
                         + "&from="
                         + from
                         + waitOf(waitMillis);
-        return caller.send(caller.request(address, target, waitMillis + WAIT_SPARE_MILLIS).GET())
+        return caller.send(caller.newRequest(address, target, waitMillis + WAIT_SPARE_MILLIS).GET())
                 .thenApply(
                         response -> {
                             check(response);
-                            return RecordFormat.decode(response.body(), from);
+                            return RecordFormat.decodeReadAnswer(response.body(), from);
                         });
     }
 
     @Override
     public CompletableFuture<Long> readEnd(Topic topic) {
         String target = "/v1/log-read?topic=" + name(topic) + PARTITION + "&from=" + BEYOND_ANY_END;
-        return caller.send(caller.request(address, target, CALL_MILLIS).GET())
+        return caller.send(caller.newRequest(address, target, CALL_MILLIS).GET())
                 .thenApply(
                         response -> {
                             check(response);
@@ -153,7 +153,7 @@
         String target = "/v1/log-append?topic=" + name(topic) + PARTITION + query;
         HttpRequest.BodyPublisher body =
                 HttpRequest.BodyPublishers.ofByteArray(RecordFormat.encode(records));
-        return caller.send(caller.request(address, target, CALL_MILLIS).POST(body))
+        return caller.send(caller.newRequest(address, target, CALL_MILLIS).POST(body))
                 .thenApply(
                         response -> {
                             check(response);
@@ -165,7 +165,7 @@
     private CompletableFuture<ReadResult> readPages(
             Topic topic, String after, long firstEnd, List<KeyedRecord> found) {
         String target = "/v1/log-newest?topic=" + name(topic) + PARTITION + after;
-        return caller.send(caller.request(address, target, CALL_MILLIS).GET())
+        return caller.send(caller.newRequest(address, target, CALL_MILLIS).GET())
                 .thenCompose(
                         response -> {
                             check(response);
@@ -258,10 +258,10 @@
          * @param from the offset that was asked for
          * @return the records
          */
-        static ReadResult decode(byte[] body, long from) {
+        static ReadResult decodeReadAnswer(byte[] body, long from) {
             ByteBuffer bytes = ByteBuffer.wrap(body);
             bytes.position(Math.min(HEADER_BYTES, body.length));
-            List<KeyedRecord> records = decodeBody(bytes);
+            List<KeyedRecord> records = decodeRecords(bytes);
             return new ReadResult(from + records.size(), records);
         }
 
@@ -271,7 +271,7 @@
          * @param bytes the records, and nothing behind them
          * @return the records
          */
-        static List<KeyedRecord> decodeBody(ByteBuffer bytes) {
+        static List<KeyedRecord> decodeRecords(ByteBuffer bytes) {
             List<KeyedRecord> records = new ArrayList<>();
             while (bytes.remaining() > 4) {
                 byte[] record = new byte[bytes.getInt()];
--- a/src/main/java/org/standlink/platform/HttpWorkerClient.java
+++ b/src/main/java/org/standlink/platform/HttpWorkerClient.java
@@ -52,14 +52,14 @@
     private static final String LIFE_HEADER = "X-Expect-Instance";
 
     /** The client. */
-    private final HttpCaller caller;
+    private final PlatformHttpClient caller;
 
     /**
      * Constructor.
      *
      * @param caller the client
      */
-    public HttpWorkerClient(HttpCaller caller) {
+    public HttpWorkerClient(PlatformHttpClient caller) {
         this.caller = caller;
     }
 
@@ -96,7 +96,7 @@
             Fence fence,
             long recordedEnd,
             long waitMillis) {
-        ObjectNode body = Json.object();
+        ObjectNode body = Json.newObject();
         if (leaseUntil >= 0) {
             body.put("until_ms", leaseUntil);
         }
@@ -118,7 +118,7 @@
 
     // -----------------------------------------------------------------------
     private static ObjectNode run(RunId run, Fence fence) {
-        ObjectNode body = Json.object();
+        ObjectNode body = Json.newObject();
         body.put("task", run.task().toString());
         body.put("run_id", run.number());
         body.put("fencing_token", fence.toToken());
@@ -136,7 +136,7 @@
     private CompletableFuture<HttpResponse<byte[]>> post(
             WorkerDescription worker, String path, ObjectNode body, long timeoutMillis) {
         HttpRequest.Builder request =
-                caller.request(worker.address(), path, timeoutMillis)
+                caller.newRequest(worker.address(), path, timeoutMillis)
                         .header("Content-Type", "application/json")
                         .header(LIFE_HEADER, worker.incarnation().getId().toString())
                         .POST(HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
@@ -169,7 +169,7 @@
             return Json.read(response.body());
         } catch (StandlinkException notJson) {
             // An error page has no clock and no reason; the status says enough.
-            return Json.object();
+            return Json.newObject();
         }
     }
 
@@ -200,7 +200,7 @@
             return RenewalResult.notDone(result);
         }
         JsonNode body = body(response);
-        WorkerIncarnation life = LifeFormat.readAnswer(asked.incarnation(), body);
+        WorkerIncarnation life = IncarnationFormat.decodeAnswer(asked.incarnation(), body);
         List<RunProgress> running = new ArrayList<>();
         for (JsonNode row : body.path("running")) {
             running.add(
--- a/src/main/java/org/standlink/platform/LifeFormat.java
+++ b/src/main/java/org/standlink/platform/IncarnationFormat.java
@@ -24,15 +24,15 @@
 /**
  * Reads which life of a worker speaks.
  *
- * <p>{@code LifeFormat} is thread-safe and immutable.
+ * <p>{@code IncarnationFormat} is thread-safe and immutable.
  */
-final class LifeFormat {
+final class IncarnationFormat {
 
     /** The field with the birth. */
     private static final String BIRTH = "born";
 
     /** No instances. */
-    private LifeFormat() {}
+    private IncarnationFormat() {}
 
     /**
      * Reads the life that speaks; a worker that tells no birth has another id in each life.
@@ -44,7 +44,7 @@
      *     there and not a whole number of milliseconds: what the worker says then counts for none
      *     of its lives
      */
-    static WorkerIncarnation read(WorkerId id, JsonNode fields) {
+    static WorkerIncarnation decode(WorkerId id, JsonNode fields) {
         return fields.has(BIRTH)
                 ? WorkerIncarnation.of(id, birth(fields.path(BIRTH)))
                 : WorkerIncarnation.withoutStartTime(id);
@@ -59,10 +59,10 @@
      * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the birth is
      *     not a whole number of milliseconds, or missing though the worker has told one before
      */
-    static WorkerIncarnation readAnswer(WorkerIncarnation asked, JsonNode fields) {
+    static WorkerIncarnation decodeAnswer(WorkerIncarnation asked, JsonNode fields) {
         return asked.hasStartTime()
                 ? WorkerIncarnation.of(asked.getId(), birth(fields.path(BIRTH)))
-                : read(asked.getId(), fields);
+                : decode(asked.getId(), fields);
     }
 
     private static long birth(JsonNode field) {
--- a/src/main/java/org/standlink/platform/Json.java
+++ b/src/main/java/org/standlink/platform/Json.java
@@ -37,7 +37,7 @@
      *
      * @return the object
      */
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
@@ -51,7 +51,7 @@
     static JsonNode read(byte[] body) {
         try {
             JsonNode value = MAPPER.readTree(body);
-            return value == null || value.isMissingNode() ? object() : value;
+            return value == null || value.isMissingNode() ? newObject() : value;
         } catch (IOException malformed) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
--- a/src/main/java/org/standlink/platform/NoTls.java
+++ b/src/main/java/org/standlink/platform/PlaintextSslContextSpi.java
@@ -32,10 +32,10 @@
  * A TLS context for a client that makes plain connections only. The JDK's client wants one; making
  * one of the JDK's reads providers, ciphers and curves, which takes a tenth of a start.
  */
-final class NoTls extends SSLContextSpi {
+final class PlaintextSslContextSpi extends SSLContextSpi {
 
     /** No instances but the one behind the context. */
-    private NoTls() {}
+    private PlaintextSslContextSpi() {}
 
     /** A provider of nothing. */
     private static final class NoProvider extends Provider {
@@ -51,7 +51,7 @@
     private static final class PlainContext extends SSLContext {
 
         PlainContext() {
-            super(new NoTls(), new NoProvider(), "none");
+            super(new PlaintextSslContextSpi(), new NoProvider(), "none");
         }
     }
 
--- a/src/main/java/org/standlink/platform/HttpCaller.java
+++ b/src/main/java/org/standlink/platform/PlatformHttpClient.java
@@ -37,9 +37,9 @@
  * are those that were idle then: open connections may go silent together, and each would hold up
  * one more call for its whole time.
  *
- * <p>{@code HttpCaller} is thread-safe.
+ * <p>{@code PlatformHttpClient} is thread-safe.
  */
-public final class HttpCaller {
+public final class PlatformHttpClient {
 
     /** How long to wait for a connection; links of the platform take a few milliseconds. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
@@ -61,7 +61,7 @@
      *
      * @param executor where the client's threads come from
      */
-    public HttpCaller(Executor executor) {
+    public PlatformHttpClient(Executor executor) {
         this.executor = executor;
         renew(null);
     }
@@ -79,7 +79,7 @@
                         .version(HttpClient.Version.HTTP_1_1)
                         .connectTimeout(CONNECT_TIMEOUT)
                         .executor(executor)
-                        .sslContext(NoTls.newContext())
+                        .sslContext(PlaintextSslContextSpi.newContext())
                         .build();
     }
 
@@ -91,7 +91,7 @@
      * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the request
      */
-    HttpRequest.Builder request(String address, String target, long timeoutMillis) {
+    HttpRequest.Builder newRequest(String address, String target, long timeoutMillis) {
         return HttpRequest.newBuilder(URI.create("http://" + address + target))
                 .timeout(Duration.ofMillis(timeoutMillis));
     }
--- a/src/main/java/org/standlink/platform/ReadyServer.java
+++ b/src/main/java/org/standlink/platform/ReadinessServer.java
@@ -26,9 +26,9 @@
 /**
  * Tells the platform's balancer whether this process takes new connections.
  *
- * <p>{@code ReadyServer} is thread-safe.
+ * <p>{@code ReadinessServer} is thread-safe.
  */
-public final class ReadyServer implements AutoCloseable {
+public final class ReadinessServer implements AutoCloseable {
 
     /** The server. */
     private final HttpServer server;
@@ -43,7 +43,7 @@
      * @param executor where threads come from
      * @param ready tells whether the process is ready
      */
-    public ReadyServer(InetSocketAddress address, Executor executor, BooleanSupplier ready) {
+    public ReadinessServer(InetSocketAddress address, Executor executor, BooleanSupplier ready) {
         this.ready = ready;
         server = HttpService.newServer(address, executor);
         HttpService.serve(server, "/v1/ready", 500, this::handle);
--- a/src/main/java/org/standlink/platform/StandInCaller.java
+++ b/src/main/java/org/standlink/platform/StandInCaller.java
@@ -77,8 +77,8 @@
      *
      * @param store where to publish it
      */
-    public static void publishQueue(StandInStore store) {
-        store.publish(CONFIGURATION);
+    public static void publishConfiguration(StandInStore store) {
+        store.publishConfiguration(CONFIGURATION);
     }
 
     // -----------------------------------------------------------------------
@@ -100,7 +100,7 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int submitLasting(JobId job) throws InterruptedException {
+    public int submitLongRunning(JobId job) throws InterruptedException {
         return call("POST", callers, "/q/" + job, LASTING);
     }
 
@@ -111,7 +111,7 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int submitNowhere(JobId job) throws InterruptedException {
+    public int submitToUnknownQueue(JobId job) throws InterruptedException {
         return call("POST", callers, "/none/" + job, LASTING);
     }
 
@@ -122,7 +122,7 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int askState(JobId job) throws InterruptedException {
+    public int queryState(JobId job) throws InterruptedException {
         return get(callers, "/q/" + job);
     }
 
@@ -132,7 +132,7 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int askCount() throws InterruptedException {
+    public int queryCount() throws InterruptedException {
         return get(callers, "/q/");
     }
 
@@ -154,7 +154,7 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int askReady(String ready) throws InterruptedException {
+    public int queryReadiness(String ready) throws InterruptedException {
         return get(ready, "/v1/ready");
     }
 
@@ -167,9 +167,9 @@
      * @return the status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int beat(String heartbeats, StandInWorker worker, long sequence)
+    public int sendHeartbeat(String heartbeats, StandInWorker worker, long sequence)
             throws InterruptedException {
-        return call("PUT", heartbeats, "/v1/instances/i-1", worker.heartbeat("s", sequence));
+        return call("PUT", heartbeats, "/v1/instances/i-1", worker.createHeartbeat("s", sequence));
     }
 
     /**
--- a/src/main/java/org/standlink/platform/StandInStore.java
+++ b/src/main/java/org/standlink/platform/StandInStore.java
@@ -95,7 +95,7 @@
      *
      * @param configuration the JSON text
      */
-    public synchronized void publish(String configuration) {
+    public synchronized void publishConfiguration(String configuration) {
         byte[] value = Json.write(Json.read(configuration.getBytes(StandardCharsets.UTF_8)));
         log("keyed.op").records.add(new KeyedRecord("config", value));
         notifyAll();
@@ -115,16 +115,16 @@
         Log log = log(request.getParameter("topic", ""));
         long end = log.records.size();
         if (Long.parseLong(request.getParameter("at", Long.toString(end))) != end) {
-            return json(412, Json.object().put("end", end));
+            return json(412, Json.newObject().put("end", end));
         }
         long epoch = Long.parseLong(request.getParameter("epoch", Long.toString(log.epoch)));
         if (epoch < log.epoch) {
-            return json(409, Json.object().put("reason", "fenced"));
+            return json(409, Json.newObject().put("reason", "fenced"));
         }
         log.epoch = epoch;
-        log.records.addAll(HttpStore.RecordFormat.decodeBody(ByteBuffer.wrap(request.body())));
+        log.records.addAll(HttpStore.RecordFormat.decodeRecords(ByteBuffer.wrap(request.body())));
         notifyAll();
-        return json(200, Json.object().put("offset", end).put("end", log.records.size()));
+        return json(200, Json.newObject().put("offset", end).put("end", log.records.size()));
     }
 
     private synchronized HttpService.Answer read(HttpService.Request request) {
@@ -158,7 +158,7 @@
 
     private synchronized HttpService.Answer newest(HttpService.Request request) {
         Log log = log(request.getParameter("topic", ""));
-        ObjectNode answer = Json.object();
+        ObjectNode answer = Json.newObject();
         ArrayNode items = answer.putArray("items");
         for (KeyedRecord record : log.newest().values()) {
             items.addObject()
--- a/src/main/java/org/standlink/platform/StandInWorker.java
+++ b/src/main/java/org/standlink/platform/StandInWorker.java
@@ -98,7 +98,7 @@
     }
 
     /** Ends the present life with all that runs, and begins another one under the same id. */
-    public synchronized void startAgain() {
+    public synchronized void restart() {
         bornMillis = Math.max(bornMillis + 1, System.currentTimeMillis());
         running.clear();
         ended.clear();
@@ -111,9 +111,9 @@
      * @param sequence the number of the heartbeat
      * @return the JSON text
      */
-    public synchronized String heartbeat(String service, long sequence) {
+    public synchronized String createHeartbeat(String service, long sequence) {
         ObjectNode body =
-                Json.object()
+                Json.newObject()
                         .put("service", service)
                         .put("address", "127.0.0.1:" + getPort())
                         .put("zone", "zone")
@@ -155,7 +155,7 @@
                 ended.add(new End(run, "done"));
             }
         }
-        ObjectNode answer = Json.object().put("born", bornMillis).put("clock_ms", now);
+        ObjectNode answer = Json.newObject().put("born", bornMillis).put("clock_ms", now);
         ArrayNode runningRows = answer.putArray("running");
         running.forEach((run, began) -> add(runningRows, run, now - began));
         ArrayNode endedRows = answer.putArray("ended");
@@ -188,7 +188,7 @@
     }
 
     private HttpService.Answer done() {
-        return answer(Json.object().put("clock_ms", clock.getAsLong()));
+        return answer(Json.newObject().put("clock_ms", clock.getAsLong()));
     }
 
     private static HttpService.Answer answer(ObjectNode body) {
--- a/src/main/java/org/standlink/process/ConnectionDrain.java
+++ b/src/main/java/org/standlink/process/ConnectionDrain.java
@@ -179,7 +179,8 @@
      * @param whenQuiet is told before the last look; what it starts may go on during a short pause
      * @throws InterruptedException if the thread is interrupted
      */
-    public void awaitEnd(long graceMillis, Pause pause, Arrivals arrivals, Runnable whenQuiet)
+    public void awaitEnd(
+            long graceMillis, Pause pause, PendingArrivals arrivals, Runnable whenQuiet)
             throws InterruptedException {
         long start = clock.nowMillis();
         long quietUntil = start + graceMillis - LAST_ANSWERS_MILLIS;
--- a/src/main/java/org/standlink/process/HttpArrivals.java
+++ b/src/main/java/org/standlink/process/HttpArrivals.java
@@ -37,7 +37,7 @@
  *
  * <p>{@code HttpArrivals} is thread-safe.
  */
-public final class HttpArrivals implements Arrivals {
+public final class HttpArrivals implements PendingArrivals {
 
     /** The request of this process to itself. */
     private static final byte[] OWN_REQUEST =
--- a/src/main/java/org/standlink/process/Arrivals.java
+++ b/src/main/java/org/standlink/process/PendingArrivals.java
@@ -16,7 +16,7 @@
 package org.standlink.process;
 
 /** Tells which requests have reached a server that no handler has seen yet. */
-public interface Arrivals {
+public interface PendingArrivals {
 
     /**
      * Waits until the server has read all requests that had arrived before this call.
--- a/src/main/java/org/standlink/wire/Connection.java
+++ b/src/main/java/org/standlink/wire/Connection.java
@@ -75,7 +75,7 @@
     private volatile long heardAtNanos = System.nanoTime();
 
     /** Closes this connection if it goes silent while watched calls wait. */
-    private final ConnectionWatch watch = new ConnectionWatch(this);
+    private final ConnectionMonitor watch = new ConnectionMonitor(this);
 
     /**
      * Constructor.
@@ -152,7 +152,7 @@
      * @param timeoutMillis how long to wait, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
-    public CompletableFuture<Message> callUnlessLeft(Message request, long timeoutMillis) {
+    public CompletableFuture<Message> callUnlessPeerLeaving(Message request, long timeoutMillis) {
         synchronized (output) {
             return leftByPeer
                     ? CompletableFuture.failedFuture(leaves())
@@ -165,20 +165,20 @@
      *
      * @param timeoutMillis how long to wait before it is told again, in milliseconds
      */
-    void tellLeave(long timeoutMillis) {
+    void announceLeaving(long timeoutMillis) {
         Guarded.then(
                 "leave",
                 call(new Leaving(), timeoutMillis),
                 (answer, failure) -> {
                     leaveKnown = failure == null;
                     if (failure != null && !closed) {
-                        tellLeave(timeoutMillis);
+                        announceLeaving(timeoutMillis);
                     }
                 });
     }
 
     /** Says that nothing more is sent; the other side closes once it has read all. */
-    void finish() {
+    void shutDownOutput() {
         try {
             synchronized (output) {
                 socket.shutdownOutput();
@@ -193,7 +193,7 @@
      *
      * @return true if so
      */
-    public boolean isLeftByPeer() {
+    public boolean isPeerLeaving() {
         return leftByPeer;
     }
 
@@ -202,7 +202,7 @@
      *
      * @return true if it has answered so
      */
-    boolean isLeaveKnown() {
+    boolean isLeavingAcknowledged() {
         return leaveKnown;
     }
 
@@ -215,9 +215,9 @@
      * @return the answer; fails with CONNECTION_LOST, or a {@code TimeoutException} if the other
      *     side lives and takes longer
      */
-    public CompletableFuture<Message> callWatched(Message message, long timeoutMillis) {
+    public CompletableFuture<Message> callMonitored(Message message, long timeoutMillis) {
         CompletableFuture<Message> answer = call(message, timeoutMillis);
-        watch.begin();
+        watch.start();
         return answer;
     }
 
@@ -226,7 +226,7 @@
      *
      * @return the time, in milliseconds
      */
-    long getQuietMillis() {
+    long getMillisSinceReceived() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardAtNanos);
     }
 
@@ -235,7 +235,7 @@
      *
      * @return true if so
      */
-    boolean hasWaitingCalls() {
+    boolean hasPendingCalls() {
         return !calls.isEmpty();
     }
 
--- a/src/main/java/org/standlink/wire/ConnectionWatch.java
+++ b/src/main/java/org/standlink/wire/ConnectionMonitor.java
@@ -25,24 +25,24 @@
  * <p>A connection may stop to carry anything without a reset. Each call has its own time limit, but
  * a call that takes long says nothing about the connection that it shares with others. So while
  * calls wait and nothing has been heard, the other side is asked for a sign of life, which it gives
- * without doing the calls. Silence is found within {@value #QUIET_MILLIS} ms and {@value
- * #ANSWER_MILLIS} ms of a call.
+ * without doing the calls. Silence is found within {@value #IDLE_MILLIS} ms and {@value
+ * #KEEP_ALIVE_TIMEOUT_MILLIS} ms of a call.
  *
- * <p>{@code ConnectionWatch} is thread-safe.
+ * <p>{@code ConnectionMonitor} is thread-safe.
  */
-final class ConnectionWatch {
+final class ConnectionMonitor {
 
     /**
      * How long nothing may be heard while calls wait before the other side is asked, in
      * milliseconds; nearly all calls are answered within a tenth of it.
      */
-    static final long QUIET_MILLIS = 250;
+    static final long IDLE_MILLIS = 250;
 
     /**
      * How long the sign of life is waited for, in milliseconds: links take 20 at most, a machine
      * that is slowed sixfold some 100.
      */
-    static final long ANSWER_MILLIS = 500;
+    static final long KEEP_ALIVE_TIMEOUT_MILLIS = 500;
 
     /** The name of the work in the log. */
     private static final String NAME = "connection-watch";
@@ -58,12 +58,12 @@
      *
      * @param connection the connection
      */
-    ConnectionWatch(Connection connection) {
+    ConnectionMonitor(Connection connection) {
         this.connection = connection;
     }
 
     /** Watches the connection for as long as calls wait. */
-    void begin() {
+    void start() {
         if (watching.compareAndSet(false, true)) {
             lookLater();
         }
@@ -71,7 +71,7 @@
 
     // -----------------------------------------------------------------------
     private void lookLater() {
-        Guarded.later(QUIET_MILLIS, Guarded.work(NAME, this::look, this::giveUp));
+        Guarded.later(IDLE_MILLIS, Guarded.work(NAME, this::look, this::giveUp));
     }
 
     /** A connection that is watched no more would be waited for until each call's own limit. */
@@ -81,26 +81,27 @@
     }
 
     private void look() {
-        if (connection.isClosed() || !connection.hasWaitingCalls()) {
+        if (connection.isClosed() || !connection.hasPendingCalls()) {
             watching.set(false);
-            if (connection.hasWaitingCalls()) {
+            if (connection.hasPendingCalls()) {
                 // A call came between the two looks.
-                begin();
+                start();
             }
             return;
         }
-        if (connection.getQuietMillis() < QUIET_MILLIS) {
+        if (connection.getMillisSinceReceived() < IDLE_MILLIS) {
             lookLater();
             return;
         }
         Guarded.then(
                 NAME,
-                connection.call(new KeepAlive(), ANSWER_MILLIS),
+                connection.call(new KeepAlive(), KEEP_ALIVE_TIMEOUT_MILLIS),
                 (answer, failure) -> Guarded.work(NAME, () -> judge(failure), this::giveUp).run());
     }
 
     private void judge(Throwable failure) {
-        if (failure instanceof TimeoutException && connection.getQuietMillis() >= ANSWER_MILLIS) {
+        if (failure instanceof TimeoutException
+                && connection.getMillisSinceReceived() >= KEEP_ALIVE_TIMEOUT_MILLIS) {
             connection.close();
         }
         lookLater();
--- a/src/main/java/org/standlink/wire/Forward.java
+++ b/src/main/java/org/standlink/wire/ForwardRequest.java
@@ -24,7 +24,7 @@
 /**
  * A request on its way from an entry to an agent.
  *
- * <p>{@code Forward} is thread-safe and immutable.
+ * <p>{@code ForwardRequest} is thread-safe and immutable.
  *
  * @param id the id of this try
  * @param service the service asked for
@@ -38,7 +38,7 @@
  * @param headers the headers to pass on
  * @param body the body
  */
-public record Forward(
+public record ForwardRequest(
         RequestId id,
         ServiceId service,
         RequestClassId requestClass,
--- a/src/main/java/org/standlink/wire/FrameCodec.java
+++ b/src/main/java/org/standlink/wire/FrameCodec.java
@@ -33,7 +33,7 @@
 public final class FrameCodec {
 
     /** The longest frame taken, in bytes. */
-    public static final int MAXIMUM_FRAME_BYTES = 16 * 1024 * 1024;
+    public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     /** The serializer; fields that a newer version added are passed over. */
     private static final ObjectMapper MAPPER =
@@ -97,7 +97,7 @@
      */
     public static Frame read(DataInputStream input) throws IOException {
         int length = input.readInt();
-        if (length <= 0 || length > MAXIMUM_FRAME_BYTES) {
+        if (length <= 0 || length > MAX_FRAME_BYTES) {
             throw invalid("a frame says it has " + length + " bytes", null);
         }
         byte[] bytes = new byte[length];
--- a/src/main/java/org/standlink/wire/Message.java
+++ b/src/main/java/org/standlink/wire/Message.java
@@ -26,8 +26,8 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.PROPERTY, property = "@")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Hello.class, name = "1"),
-    @JsonSubTypes.Type(value = Load.class, name = "2"),
-    @JsonSubTypes.Type(value = Forward.class, name = "3"),
+    @JsonSubTypes.Type(value = UpstreamLoad.class, name = "2"),
+    @JsonSubTypes.Type(value = ForwardRequest.class, name = "3"),
     @JsonSubTypes.Type(value = ForwardAnswer.class, name = "4"),
     @JsonSubTypes.Type(value = OutcomeQuery.class, name = "5"),
     @JsonSubTypes.Type(value = Heartbeat.class, name = "6"),
@@ -52,8 +52,8 @@
 })
 public sealed interface Message
         permits Hello,
-                Load,
-                Forward,
+                UpstreamLoad,
+                ForwardRequest,
                 ForwardAnswer,
                 OutcomeQuery,
                 Heartbeat,
--- a/src/main/java/org/standlink/wire/Peer.java
+++ b/src/main/java/org/standlink/wire/PeerConnection.java
@@ -28,9 +28,9 @@
 /**
  * The near end of a connection to one other process, made anew when it was lost.
  *
- * <p>{@code Peer} is thread-safe.
+ * <p>{@code PeerConnection} is thread-safe.
  */
-public final class Peer implements AutoCloseable {
+public final class PeerConnection implements AutoCloseable {
 
     /** How long to wait for a connection, in milliseconds. */
     private static final int CONNECT_MILLIS = 1000;
@@ -60,7 +60,8 @@
      * @param executor where the reading thread comes from
      * @param handler what answers messages that are not answers
      */
-    public Peer(Supplier<InetSocketAddress> address, Executor executor, MessageHandler handler) {
+    public PeerConnection(
+            Supplier<InetSocketAddress> address, Executor executor, MessageHandler handler) {
         this.address = address;
         this.executor = executor;
         this.handler = handler;
@@ -89,10 +90,10 @@
      * @param timeoutMillis how long to wait, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
-    public CompletableFuture<Message> callOpen(Message message, long timeoutMillis) {
-        Connection present = getOpen();
+    public CompletableFuture<Message> callIfConnected(Message message, long timeoutMillis) {
+        Connection present = getOpenConnection();
         if (present != null) {
-            return present.callWatched(message, timeoutMillis);
+            return present.callMonitored(message, timeoutMillis);
         }
         if (connecting.compareAndSet(false, true)) {
             executor.execute(this::connectInBackground);
@@ -117,7 +118,7 @@
      *
      * @return the open connection, null if there is none
      */
-    public Connection getOpen() {
+    public Connection getOpenConnection() {
         Connection present = connection;
         return present == null || present.isClosed() ? null : present;
     }
@@ -147,7 +148,7 @@
 
     // -----------------------------------------------------------------------
     private synchronized Connection connectAnew() {
-        Connection present = getOpen();
+        Connection present = getOpenConnection();
         if (present != null) {
             return present;
         }
--- a/src/main/java/org/standlink/wire/Load.java
+++ b/src/main/java/org/standlink/wire/UpstreamLoad.java
@@ -18,10 +18,10 @@
 /**
  * What an agent tells its callers about its upstream a few times a second.
  *
- * <p>{@code Load} is thread-safe and immutable.
+ * <p>{@code UpstreamLoad} is thread-safe and immutable.
  *
  * @param outstanding requests running or queued at the agent
  * @param leaving whether the agent takes no new work
  * @param failing whether the upstream cannot be reached
  */
-public record Load(int outstanding, boolean leaving, boolean failing) implements Message {}
+public record UpstreamLoad(int outstanding, boolean leaving, boolean failing) implements Message {}
--- a/src/main/java/org/standlink/wire/WireServer.java
+++ b/src/main/java/org/standlink/wire/WireServer.java
@@ -125,7 +125,7 @@
     /** Tells everybody who is connected, and whoever connects from now on, that it leaves. */
     public void leave() {
         leaving = true;
-        connections.forEach(connection -> connection.tellLeave(LEAVE_MILLIS));
+        connections.forEach(connection -> connection.announceLeaving(LEAVE_MILLIS));
     }
 
     /**
@@ -134,8 +134,8 @@
      *
      * @return true if so
      */
-    public boolean isLeaveKnown() {
-        return leaving && connections.stream().allMatch(Connection::isLeaveKnown);
+    public boolean isLeavingAcknowledged() {
+        return leaving && connections.stream().allMatch(Connection::isLeavingAcknowledged);
     }
 
     /** Takes no more connections; those that are open go on. */
@@ -148,8 +148,8 @@
     }
 
     /** Says on all connections that nothing more is sent; the others close once they have read. */
-    public void finish() {
-        connections.forEach(Connection::finish);
+    public void shutDownOutput() {
+        connections.forEach(Connection::shutDownOutput);
     }
 
     /**
@@ -157,7 +157,7 @@
      *
      * @return true if nobody is
      */
-    public boolean isEmpty() {
+    public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
@@ -169,7 +169,7 @@
      * @param timeoutMillis how long it may take, in milliseconds
      * @throws InterruptedException if the thread is interrupted
      */
-    public void awaitAccepted(long timeoutMillis) throws InterruptedException {
+    public void awaitPendingAccepts(long timeoutMillis) throws InterruptedException {
         try (Socket last = new Socket()) {
             last.bind(null);
             CountDownLatch accepted = new CountDownLatch(1);
@@ -181,7 +181,7 @@
                 ownPorts.remove(last.getLocalPort());
             }
         } catch (IOException closedOrFull) {
-            LOG.info("accepted-unknown").with("cause", closedOrFull).write();
+            LOG.info("await-accepts-failed").with("cause", closedOrFull).write();
         }
     }
 
@@ -234,7 +234,7 @@
         connection.send(hello);
         connection.start(executor);
         if (leaving) {
-            connection.tellLeave(LEAVE_MILLIS);
+            connection.announceLeaving(LEAVE_MILLIS);
         }
     }
 }
--- a/src/main/java/org/standlink/wire/WorkerReport.java
+++ b/src/main/java/org/standlink/wire/WorkerReport.java
@@ -32,24 +32,24 @@
  * @param worker what the worker said of itself last
  * @param reachable whether the worker answered the last call
  * @param lapsed whether all that ran there is surely over, since the worker's lease has run out
- * @param known whether the agent has asked the worker what it runs
+ * @param runsKnown whether the agent has asked the worker what it runs
  * @param running what runs
  * @param ended the ends that have not been recorded yet
  * @param refused runs that were surely not started
  * @param gone runs that were stopped and are not there any more, without an end
  * @param throttled the best-effort images whose runs may not work all the time
- * @param listed whether the lists are whole and were given under the fence that the report names,
- *     so that the worker refuses all that was ordered before
+ * @param listsComplete whether the lists are whole and were given under the fence that the report
+ *     names, so that the worker refuses all that was ordered before
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record WorkerReport(
         WorkerDescription worker,
         boolean reachable,
         boolean lapsed,
-        boolean known,
+        boolean runsKnown,
         List<RunProgress> running,
         List<RunEnd> ended,
         List<StartRefusal> refused,
         List<RunId> gone,
         List<ImageShare> throttled,
-        boolean listed) {}
+        boolean listsComplete) {}
--- a/src/test/java/org/standlink/agent/TestAgentThatLeaves.java
+++ b/src/test/java/org/standlink/agent/TestLeavingAgent.java
@@ -37,10 +37,10 @@
 import org.standlink.TeamId;
 import org.standlink.process.ProcessThreads;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.Message;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
 
 /**
  * Tests that a leaving agent cuts no request, however late an entry hears of the leave.
@@ -58,7 +58,7 @@
  * <p>Proof: an entry whose reading thread has not run yet when the agent has been asked to stop
  * sends a request two seconds later. Of the agent that waited for quiet it was cut.
  */
-public class TestAgentThatLeaves {
+public class TestLeavingAgent {
 
     private static final long HELD_MILLIS = 2000;
     private static final long LIMIT_MILLIS = 20_000;
@@ -87,13 +87,13 @@
         executor.shutdownNow();
     }
 
-    private Peer peer() {
+    private PeerConnection peer() {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", agent.getPort());
-        return new Peer(() -> address, held::add, (connection, call, message) -> {});
+        return new PeerConnection(() -> address, held::add, (connection, call, message) -> {});
     }
 
-    private static Forward forward(long number) {
-        return new Forward(
+    private static ForwardRequest forward(long number) {
+        return new ForwardRequest(
                 new RequestId(Incarnation.of(9), number),
                 ServiceId.parse("registry"),
                 RequestClassId.parse("push"),
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void anEntryThatHearsLateOfTheLeaveIsStillAnswered() throws Exception {
+    public void answersAnEntryThatLearnsLateThatTheAgentIsLeaving() throws Exception {
         Connection entry = peer().connect();
         Thread draining = drain();
         draining.join(HELD_MILLIS);
--- a/src/test/java/org/standlink/agent/TestRequestHandler.java
+++ b/src/test/java/org/standlink/agent/TestRequestHandler.java
@@ -40,8 +40,8 @@
 import org.standlink.VmId;
 import org.standlink.bundle.BundleHolder;
 import org.standlink.process.ProcessThreads;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.OutcomeQuery;
 
 /** Tests what an agent says of requests, and that it runs each at most once within the slots. */
@@ -87,7 +87,7 @@
                         clock,
                         timers,
                         new SimpleMeterRegistry());
-        made.noteBundle();
+        made.observeBundle();
         return made;
     }
 
@@ -102,7 +102,7 @@
                 BundleVersion.of(version));
     }
 
-    private CompletableFuture<ForwardAnswer> run(Forward request) {
+    private CompletableFuture<ForwardAnswer> run(ForwardRequest request) {
         runs++;
         CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
         upstream.add(answer);
@@ -113,9 +113,9 @@
         return new ForwardAnswer(Outcome.ANSWERED, 200, Map.of(), body.getBytes(), "", 0, 0);
     }
 
-    private Forward request(String key, String body) {
+    private ForwardRequest request(String key, String body) {
         int roster = holder.getBundle().services().get(0).rosterDigest();
-        return new Forward(
+        return new ForwardRequest(
                 new RequestId(ENTRY, ++number),
                 ServiceId.parse("registry"),
                 RequestClassId.parse("push"),
@@ -134,32 +134,33 @@
     }
 
     @Test
-    void barsAnIdThatItIsAskedAbout() {
-        Forward late = request(null, "a");
-        assertEquals(Outcome.NOT_RUN, outcome(handler.outcome(new OutcomeQuery(late.id(), AGENT))));
+    void barsAnUnseenRequestWhoseOutcomeIsQueried() {
+        ForwardRequest late = request(null, "a");
+        assertEquals(
+                Outcome.NOT_RUN, outcome(handler.queryOutcome(new OutcomeQuery(late.id(), AGENT))));
         assertEquals(Outcome.NOT_RUN, outcome(handler.forward(late)));
         assertEquals(0, runs);
     }
 
     @Test
-    void saysUnknownAboutAnEarlierRun() {
+    void reportsUnknownForAnEarlierIncarnation() {
         OutcomeQuery query = new OutcomeQuery(request(null, "a").id(), Incarnation.of(9));
-        assertEquals(Outcome.UNKNOWN, outcome(handler.outcome(query)));
+        assertEquals(Outcome.UNKNOWN, outcome(handler.queryOutcome(query)));
     }
 
     @Test
-    void tellsTheAnswerAgainAfterACut() {
-        Forward request = request(null, "a");
+    void returnsTheAnswerToAnOutcomeQuery() {
+        ForwardRequest request = request(null, "a");
         handler.forward(request);
         CompletableFuture<ForwardAnswer> asked =
-                handler.outcome(new OutcomeQuery(request.id(), AGENT));
+                handler.queryOutcome(new OutcomeQuery(request.id(), AGENT));
         assertFalse(asked.isDone(), "it still runs");
         upstream.remove().complete(answered("yes"));
         assertEquals("yes", new String(asked.join().body()));
     }
 
     @Test
-    void runsNoMoreThanTheSlotsAndQueuesSome() {
+    void limitsRunningRequestsToTheSlotsAndQueuesSome() {
         for (int i = 0; i < 4; i++) {
             handler.forward(request(null, "a"));
         }
@@ -170,10 +171,10 @@
     }
 
     @Test
-    void keepsTheSlotOfARequestWhoseCallerGaveUp() {
-        Forward first = request(null, "a");
-        Forward hasty =
-                new Forward(
+    void keepsTheSlotOfARequestPastItsDeadline() {
+        ForwardRequest first = request(null, "a");
+        ForwardRequest hasty =
+                new ForwardRequest(
                         first.id(),
                         first.service(),
                         first.requestClass(),
@@ -186,15 +187,16 @@
                         first.headers(),
                         first.body());
         assertEquals(Outcome.UNKNOWN, outcome(handler.forward(hasty)));
-        assertEquals(1, handler.outstanding());
+        assertEquals(1, handler.getOutstanding());
         upstream.remove().complete(answered("late"));
-        assertEquals(0, handler.outstanding());
+        assertEquals(0, handler.getOutstanding());
         assertEquals(
-                Outcome.ANSWERED, outcome(handler.outcome(new OutcomeQuery(hasty.id(), AGENT))));
+                Outcome.ANSWERED,
+                outcome(handler.queryOutcome(new OutcomeQuery(hasty.id(), AGENT))));
     }
 
     @Test
-    void refusesNewWorkWhenLeavingAndEndsWhatRuns() {
+    void refusesNewRequestsWhileLeavingAndCompletesRunningOnes() {
         CompletableFuture<ForwardAnswer> running = handler.forward(request(null, "a"));
         handler.leave();
         assertTrue(handler.getLoad().leaving());
@@ -205,18 +207,18 @@
 
     /** Seen: a request that an upstream cut as it was stopped was told as unknown. */
     @Test
-    void sendsNothingMoreToAnUpstreamThatLeaves() {
+    void sendsNoRequestsToALeavingUpstream() {
         CompletableFuture<ForwardAnswer> running = handler.forward(request(null, "a"));
         handler.forward(request(null, "b"));
         CompletableFuture<ForwardAnswer> waiting = handler.forward(request(null, "c"));
         assertFalse(waiting.isDone(), "both slots are taken");
-        handler.upstreamLeaves();
+        handler.setUpstreamLeaving();
         assertEquals(Outcome.NOT_RUN, outcome(waiting));
         assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request(null, "d"))));
         upstream.remove().complete(answered("yes"));
         assertEquals(Outcome.ANSWERED, outcome(running));
         assertEquals(2, runs);
-        assertEquals(1, handler.outstanding());
+        assertEquals(1, handler.getOutstanding());
     }
 
     @Test
@@ -231,18 +233,18 @@
     }
 
     @Test
-    void refusesAKeyThatStandsForAnotherRequest() {
+    void rejectsAKeyOfADifferentRequest() {
         handler.forward(request("k", "a"));
         assertEquals(422, handler.forward(request("k", "b")).join().status());
     }
 
     @Test
-    void keepsAnUnknownKeyAndFreesOneThatDidNotRun() {
+    void keepsAKeyWithUnknownOutcomeAndFreesOneThatDidNotRun() {
         handler.forward(request("k", "a"));
-        upstream.remove().complete(Answers.unknown("cut", 0));
+        upstream.remove().complete(AnswerFactory.unknown("cut", 0));
         assertEquals(Outcome.UNKNOWN, outcome(handler.forward(request("k", "a"))));
         handler.forward(request("m", "a"));
-        upstream.remove().complete(Answers.notRun("refused", 0, 0));
+        upstream.remove().complete(AnswerFactory.notRun("refused", 0, 0));
         handler.forward(request("m", "a"));
         assertEquals(3, runs);
     }
@@ -259,13 +261,13 @@
     @Test
     void refusesKeysThatMovedHereForTheWindow() {
         offer(2, "'vm-1','vm-2','vm-3'");
-        handler.noteBundle();
+        handler.observeBundle();
         assertTrue(refusedOf(40) == 0, "all keys were at home here before");
         offer(3, "'vm-2','vm-1'");
-        handler.noteBundle();
+        handler.observeBundle();
         clock.advance(10_001);
         offer(4, "'vm-1'");
-        handler.noteBundle();
+        handler.observeBundle();
         int refused = refusedOf(40);
         assertTrue(refused > 5 && refused < 35, "only the moved keys wait: " + refused);
         clock.advance(10_001);
@@ -290,23 +292,28 @@
         nodeLease = false;
         assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request("k", "a"))));
         nodeLease = true;
-        Forward old = request("k", "a");
+        ForwardRequest old = request("k", "a");
         offer(2, "'vm-1','vm-2'");
         assertEquals(Outcome.NOT_RUN, outcome(handler.forward(old)));
         assertEquals(0, runs);
     }
 
     @Test
-    void neverSaysNotRunOfADroppedId() {
+    void neverReportsNotRunForAnEvictedId() {
         RequestTable table = new RequestTable(2);
         for (int i = 1; i <= 4; i++) {
             RequestId id = new RequestId(ENTRY, i);
             assertTrue(table.begin(id).isEmpty());
-            table.end(id, answered("yes"));
+            table.complete(id, answered("yes"));
         }
-        assertTrue(table.ask(new RequestId(ENTRY, 1), Answers.notRun("", 0, 0)).isEmpty());
+        assertTrue(
+                table.queryOutcome(new RequestId(ENTRY, 1), AnswerFactory.notRun("", 0, 0))
+                        .isEmpty());
         assertEquals(
-                RequestTable.Refused.NOT_KNOWN, table.begin(new RequestId(ENTRY, 2)).orElseThrow());
-        assertTrue(table.ask(new RequestId(ENTRY, 4), Answers.notRun("", 0, 0)).isPresent());
+                RequestTable.Rejection.NOT_KNOWN,
+                table.begin(new RequestId(ENTRY, 2)).orElseThrow());
+        assertTrue(
+                table.queryOutcome(new RequestId(ENTRY, 4), AnswerFactory.notRun("", 0, 0))
+                        .isPresent());
     }
 }
--- a/src/test/java/org/standlink/cell/TestCrashDetector.java
+++ b/src/test/java/org/standlink/cell/TestCrashDetector.java
@@ -73,11 +73,11 @@
     }
 
     private static int startupCrashes(TaskEntry task) {
-        return task.getTrial().getCrashes().getStartupCrashes();
+        return task.getTrial().getCrashHistory().getStartupCrashes();
     }
 
     private static int suspicionPerMille(TaskEntry task) {
-        return task.getTrial().getCrashes().getSuspicionPerMille();
+        return task.getTrial().getCrashHistory().getSuspicionPerMille();
     }
 
     private void crash(WorkerEntry worker) {
@@ -99,7 +99,7 @@
         assertEquals(suspicionPerMille(one), suspicionPerMille(other));
         assertEquals(1, startupCrashes(one));
         assertEquals(0, suspicionPerMille(proven));
-        assertEquals(1, proven.getTrial().getCrashes().getLateCrashes());
+        assertEquals(1, proven.getTrial().getCrashHistory().getLateCrashes());
     }
 
     @Test
@@ -157,7 +157,7 @@
         TaskEntry task = newTask();
         WorkerEntry worker = newIncarnation(false);
         start(task, worker);
-        task.getTrial().setCrashes(CrashHistory.of(3, 0, 100));
+        task.getTrial().setCrashHistory(CrashHistory.of(3, 0, 100));
         detector.recordLeaseExpiry(worker);
         worker.removeTask(task);
         task.release();
@@ -175,7 +175,7 @@
         TaskEntry unsuspected = newTask();
         start(unsuspected, busy);
         TaskEntry suspected = newTask();
-        suspected.getTrial().setCrashes(CrashHistory.of(2, 0, 500));
+        suspected.getTrial().setCrashHistory(CrashHistory.of(2, 0, 500));
         assertEquals(null, placement.choose(suspected, List.of(busy)));
         assertEquals(null, placement.chooseAllowingInterference(suspected, List.of(busy)));
         assertEquals(busy, placement.chooseAllowingCrashRisk(suspected, List.of(busy)));
@@ -191,22 +191,22 @@
         WorkerEntry one = newIncarnation(false);
         WorkerEntry other = newIncarnation(false);
         TaskEntry first = newTask();
-        first.getTrial().setCrashes(CrashHistory.of(1, 0, 50));
+        first.getTrial().setCrashHistory(CrashHistory.of(1, 0, 50));
         start(first, one);
         start(newTask(), other);
         start(newTask(), other);
         TaskEntry second = newTask();
-        second.getTrial().setCrashes(CrashHistory.of(1, 0, 50));
+        second.getTrial().setCrashHistory(CrashHistory.of(1, 0, 50));
         assertEquals(other, placement.choose(second, List.of(one, other)));
     }
 
     @Test
     public void newLeaderRestoresTheCrashHistory() {
         TaskEntry task = newTask();
-        task.getTrial().setCrashes(CrashHistory.of(2, 1, 345));
+        task.getTrial().setCrashHistory(CrashHistory.of(2, 1, 345));
         JobRegistry restoredJobs = new JobRegistry();
         restoredJobs.restore(jobs.takeChanges());
         TaskEntry restored = restoredJobs.findTask(task.getName());
-        assertEquals(task.getTrial().getCrashes(), restored.getTrial().getCrashes());
+        assertEquals(task.getTrial().getCrashHistory(), restored.getTrial().getCrashHistory());
     }
 }
--- a/src/test/java/org/standlink/cell/TestJobCellLeader.java
+++ b/src/test/java/org/standlink/cell/TestJobCellLeader.java
@@ -74,7 +74,7 @@
     private long sequence;
 
     @BeforeEach
-    public void lead() {
+    public void setUpLeader() {
         leader = startLeader(1);
     }
 
--- a/src/test/java/org/standlink/cell/TestMovePlanner.java
+++ b/src/test/java/org/standlink/cell/TestMovePlanner.java
@@ -71,7 +71,7 @@
     }
 
     @BeforeEach
-    public void throttle() {
+    public void setUpThrottledRun() {
         clock.advance(100_000);
         serving = worker("i-1", 8);
         jobs.add(CellFixtures.of("s", CellFixtures.serving("s", 6)));
--- a/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
+++ b/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
@@ -70,7 +70,7 @@
     private long sequence;
 
     @BeforeEach
-    public void lead() {
+    public void setUpLeader() {
         leader = CellFixtures.startLeader(1, store, clock, loop);
         report();
         report();
--- a/src/test/java/org/standlink/cell/TestScheduler.java
+++ b/src/test/java/org/standlink/cell/TestScheduler.java
@@ -78,7 +78,7 @@
         schedule(NOW);
         JobEntry job = add("b", CellFixtures.step(3, List.of(), 0, true));
         TaskEntry suspected = job.listReadyTasks(0).get(0);
-        suspected.getTrial().setCrashes(CrashHistory.of(1, 0, 400));
+        suspected.getTrial().setCrashHistory(CrashHistory.of(1, 0, 400));
         assertEquals(2, schedule(NOW + 10).size());
         assertEquals(List.of(), schedule(NOW + 500));
         assertEquals(List.of(suspected), schedule(NOW + 1010));
@@ -91,7 +91,7 @@
         schedule(NOW);
         JobEntry job = add("b", CellFixtures.step(2, List.of(), 0, true));
         TaskEntry suspected = job.listReadyTasks(0).get(0);
-        suspected.getTrial().setCrashes(CrashHistory.of(2, 0, 400));
+        suspected.getTrial().setCrashHistory(CrashHistory.of(2, 0, 400));
         assertEquals(1, schedule(NOW + 10).size());
         assertEquals(List.of(), schedule(NOW + 1500));
         assertEquals(List.of(suspected), schedule(NOW + 2510));
--- a/src/test/java/org/standlink/cell/TestSupersededDecisions.java
+++ b/src/test/java/org/standlink/cell/TestSupersededDecisions.java
@@ -66,7 +66,7 @@
     private long sequence;
 
     @BeforeEach
-    public void begin() {
+    public void setUpLeaderAndRun() {
         leader = startLeader(1);
         report(agent, 1, workerReport(WORKER, false, List.of(), List.of()));
         leader.handle(entry, 1, new SubmitJob(CellFixtures.job("a", 1)));
--- a/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
+++ b/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
@@ -208,7 +208,7 @@
             report(AGENT, workerReport(CURRENT, i == 2, List.of()), List.of(FORMER.incarnation()));
         }
         for (TaskEntry task : tasks) {
-            assertEquals(1, task.getTrial().getCrashes().getStartupCrashes());
+            assertEquals(1, task.getTrial().getCrashHistory().getStartupCrashes());
         }
     }
 
@@ -256,7 +256,7 @@
                         workerReport(current, true, List.of(task.getRun())),
                         List.of()));
         assertEquals(current, task.getWorker());
-        assertEquals(0, task.getTrial().getCrashes().getStartupCrashes());
+        assertEquals(0, task.getTrial().getCrashHistory().getStartupCrashes());
     }
 
     @Test
--- a/src/test/java/org/standlink/entry/TestCallerServer.java
+++ b/src/test/java/org/standlink/entry/TestCallerServer.java
@@ -29,16 +29,16 @@
 public class TestCallerServer {
 
     @Test
-    public void aCallerMaySayHowLongItWaits() {
-        assertEquals(0, CallerServer.waitMillis(null));
-        assertEquals(250, CallerServer.waitMillis(" 250 "));
+    public void parsesTheWaitHeader() {
+        assertEquals(0, CallerServer.parseWaitMillis(null));
+        assertEquals(250, CallerServer.parseWaitMillis(" 250 "));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"zzz", "-5", "0", "1.5", "3600001", ""})
-    public void anythingElseIsRefusedWithTheRange(String header) {
+    public void rejectsAnInvalidWaitHeaderWithItsRange(String header) {
         StandlinkException refused =
-                assertThrows(StandlinkException.class, () -> CallerServer.waitMillis(header));
+                assertThrows(StandlinkException.class, () -> CallerServer.parseWaitMillis(header));
         assertEquals(ErrorCode.INVALID_MESSAGE, refused.getCode());
         assertTrue(refused.getMessage().contains(CallerServer.WAIT_HEADER));
         assertTrue(refused.getMessage().contains("milliseconds"));
--- a/src/test/java/org/standlink/entry/TestRequestRouter.java
+++ b/src/test/java/org/standlink/entry/TestRequestRouter.java
@@ -41,8 +41,8 @@
 import org.standlink.policy.RetryBudget;
 import org.standlink.process.ProcessThreads;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Forward;
 import org.standlink.wire.ForwardAnswer;
+import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.Hello;
 import org.standlink.wire.Message;
 import org.standlink.wire.OutcomeQuery;
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void triesElsewhereWhatDidNotRun() {
+    void retriesElsewhereARequestThatDidNotRun() {
         scripts[0] = says(Outcome.NOT_RUN);
         RoutedAnswer answer = send("POST");
         assertEquals("vm-2", new String(answer.body()));
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void tellsNotRunAtOnceWithATimeToComeBack() {
+    void reportsNotRunWithARetryTime() {
         for (int i = 0; i < 3; i++) {
             scripts[i] = says(Outcome.NOT_RUN);
         }
@@ -179,10 +179,10 @@
     }
 
     @Test
-    void asksAfterACutAndTriesElsewhereWhatWasBarred() {
+    void retriesElsewhereARequestBarredAfterALostConnection() {
         scripts[0] =
                 (connection, call, message) -> {
-                    if (message instanceof Forward) {
+                    if (message instanceof ForwardRequest) {
                         connection.close();
                     } else if (message instanceof OutcomeQuery) {
                         connection.answer(call, said(Outcome.NOT_RUN));
@@ -193,10 +193,10 @@
     }
 
     @Test
-    void asksAfterACutAndTellsTheAnswerOfWhatRan() {
+    void queriesTheAnswerOfARequestAfterALostConnection() {
         scripts[0] =
                 (connection, call, message) -> {
-                    if (message instanceof Forward) {
+                    if (message instanceof ForwardRequest) {
                         runs.incrementAndGet();
                         connection.close();
                     } else {
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void tellsUnknownWhenTheAgentIsGoneAndDoesNotRepeat() {
+    void reportsUnknownWithoutARetryWhenTheAgentIsUnreachable() {
         scripts[0] =
                 (connection, call, message) -> {
                     runs.incrementAndGet();
@@ -221,13 +221,13 @@
     }
 
     @Test
-    void repeatsWhatMayRunTwice() {
+    void retriesARepeatableRequestWithUnknownOutcome() {
         scripts[0] = says(Outcome.UNKNOWN);
         assertEquals("vm-2", new String(send("GET").body()));
     }
 
     @Test
-    void neverSaysNotRunOnceATryIsUnknown() {
+    void neverReportsNotRunOnceAnAttemptIsUnknown() {
         scripts[0] = says(Outcome.UNKNOWN);
         scripts[1] = says(Outcome.NOT_RUN);
         scripts[2] = says(Outcome.NOT_RUN);
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void sendsAKeyToItsHomeOnly() {
+    void sendsARequestWithAKeyToItsHomeUpstreamOnly() {
         String home = new String(send("POST", "k").body());
         for (int i = 0; i < 5; i++) {
             assertEquals(home, new String(send("POST", "k").body()));
@@ -245,11 +245,11 @@
     }
 
     @Test
-    void givesEachCallerItsOwnAnswerWhenAnswersAreCrossed() {
+    void givesEachCallerItsOwnAnswerWhenAnswersArriveOutOfOrder() {
         List<Runnable> held = new ArrayList<>();
         scripts[0] =
                 (connection, call, message) -> {
-                    Forward forward = (Forward) message;
+                    ForwardRequest forward = (ForwardRequest) message;
                     synchronized (held) {
                         held.add(
                                 () ->
@@ -275,7 +275,7 @@
     @Test
     void sendsNothingToAnUpstreamThatIsLeaving() {
         scripts[0] = says(Outcome.NOT_RUN);
-        servers.get(0).broadcast(new org.standlink.wire.Load(0, true, false));
+        servers.get(0).broadcast(new org.standlink.wire.UpstreamLoad(0, true, false));
         while (!directory.getState(VmId.parse("vm-1")).equals("leaving")) {
             Thread.onSpinWait();
         }
--- a/src/test/java/org/standlink/leader/TestCell.java
+++ b/src/test/java/org/standlink/leader/CellHarness.java
@@ -38,7 +38,7 @@
 import org.standlink.wire.Heartbeat;
 
 /** Three agents, their workers and the leader role on a fake clock, one second a step. */
-final class TestCell {
+final class CellHarness {
 
     static final CellId CELL = CellId.parse("one");
 
@@ -60,18 +60,18 @@
 
     private int violations;
 
-    TestCell() {
+    CellHarness() {
         for (int i = 1; i <= 3; i++) {
             nodes.put("vm-" + i, new CellNode(i, clock, log));
         }
     }
 
     // -----------------------------------------------------------------------
-    void publish(String jobs) {
-        publish(jobs, "'vm-1','vm-2','vm-3'");
+    void publishBundle(String jobs) {
+        publishBundle(jobs, "'vm-1','vm-2','vm-3'");
     }
 
-    void publish(String jobs, String upstreams) {
+    void publishBundle(String jobs, String upstreams) {
         long version = follow().read(fold -> fold.getBundles().getVersion()).getValue() + 1;
         String signed = Fixtures.signed(Fixtures.bundle(version, jobs, upstreams, ""));
         log.append(RecordCodec.encode(new BundleRecord(RecordCodec.newId(), signed)));
@@ -91,7 +91,7 @@
     }
 
     /** Lets time pass, one second a step. */
-    void run(int seconds) {
+    void runForSeconds(int seconds) {
         for (int i = 0; i < seconds; i++) {
             step();
         }
@@ -100,22 +100,23 @@
     void step() {
         clock.advance(1000);
         try {
-            leader.service.run();
+            leader.service.runOnce();
         } catch (StandlinkException unavailable) {
             // The log is down; what is assigned goes on.
         }
         for (CellNode node : nodes.values()) {
             if (node.reachable && node.alive) {
-                beat(node, node.followsOld && oldLeader != null ? oldLeader : leader);
+                sendHeartbeat(
+                        node, node.followsOldLeader && oldLeader != null ? oldLeader : leader);
             }
             tick(node);
-            check();
+            checkInvariants();
         }
     }
 
     void tick(String vm) {
         tick(nodes.get(vm));
-        check();
+        checkInvariants();
     }
 
     private void tick(CellNode node) {
@@ -129,11 +130,11 @@
         }
     }
 
-    void beat(String vm) {
-        beat(nodes.get(vm), leader);
+    void sendHeartbeat(String vm) {
+        sendHeartbeat(nodes.get(vm), leader);
     }
 
-    private void beat(CellNode node, CellNode to) {
+    private void sendHeartbeat(CellNode node, CellNode to) {
         try {
             beatOrThrow(node, to);
         } catch (StandlinkException refused) {
@@ -141,20 +142,20 @@
         }
     }
 
-    void heartbeatOrThrow(String vm) {
+    void sendHeartbeatOrThrow(String vm) {
         beatOrThrow(nodes.get(vm), leader);
     }
 
-    void heartbeatOldLeader(String vm) {
+    void sendHeartbeatToOldLeader(String vm) {
         beatOrThrow(nodes.get(vm), oldLeader);
     }
 
     private void beatOrThrow(CellNode node, CellNode to) {
         long asked = clock.nowMillis();
-        node.take(to.service.heartbeat(node.heartbeat(to.service)), asked);
+        node.receiveAnswer(to.service.handleHeartbeat(node.createHeartbeat(to.service)), asked);
     }
 
-    void check() {
+    void checkInvariants() {
         Map<TaskId, Integer> places = new HashMap<>();
         for (CellNode node : nodes.values()) {
             Resources sum = Resources.NONE;
@@ -172,7 +173,7 @@
      * Checks that the log gives an attempt to the worker that runs it: one given up runs nowhere.
      */
     private boolean holds(CellNode node, TaskStart start) {
-        TaskState task = task(start.task());
+        TaskState task = getTask(start.task());
         return task.isAssigned()
                 && task.attempt().equals(start.attempt())
                 && task.worker().equals(node.vm);
@@ -192,12 +193,12 @@
     }
 
     /** Sends a heartbeat to the leader whose answer is lost. */
-    void loseAnswer(String vm) {
-        leader.service.heartbeat(nodes.get(vm).heartbeat(leader.service));
+    void sendHeartbeatWithoutAnswer(String vm) {
+        leader.service.handleHeartbeat(nodes.get(vm).createHeartbeat(leader.service));
     }
 
     void setFollowsOldLeader(String vm) {
-        nodes.get(vm).followsOld = true;
+        nodes.get(vm).followsOldLeader = true;
     }
 
     void setLeaving(String vm) {
@@ -205,7 +206,7 @@
     }
 
     void restartAgent(String vm) {
-        nodes.get(vm).boot();
+        nodes.get(vm).startAgent();
     }
 
     /** Ends the agent of a VM for good, or for as long as nothing else is said. */
@@ -213,16 +214,16 @@
         nodes.get(vm).alive = false;
     }
 
-    /** Sends a heartbeat that is on its way until {@link #deliverLate}. */
-    Heartbeat sendLate(String vm) {
+    /** Sends a heartbeat that is on its way until {@link #deliverDelayedHeartbeat}. */
+    Heartbeat sendDelayedHeartbeat(String vm) {
         LeaderService to = leader.service;
-        Heartbeat heartbeat = nodes.get(vm).heartbeat(to);
-        late.add(() -> to.heartbeat(heartbeat));
+        Heartbeat heartbeat = nodes.get(vm).createHeartbeat(to);
+        late.add(() -> to.handleHeartbeat(heartbeat));
         return heartbeat;
     }
 
     /** Lets the oldest late heartbeat arrive; its sender takes no answer any more. */
-    void deliverLate() {
+    void deliverDelayedHeartbeat() {
         if (!late.isEmpty()) {
             late.remove(0).run();
         }
@@ -230,7 +231,7 @@
 
     /** Lets the leader read the log without deciding anything, as it waits between two appends. */
     void readLog() {
-        leader.service.run();
+        leader.service.runOnce();
     }
 
     /** Checks whether the leader was restarted, so that nobody leads until the next claim. */
@@ -238,11 +239,11 @@
         return !leader.service.isLeading();
     }
 
-    LateWorker calls(String vm) {
-        return nodes.get(vm).calls;
+    DelayedWorkerPort getWorkerPort(String vm) {
+        return nodes.get(vm).workerPort;
     }
 
-    MemoryWorker worker(String vm) {
+    MemoryWorker getWorker(String vm) {
         return nodes.get(vm).worker;
     }
 
@@ -255,11 +256,11 @@
         return !logDown;
     }
 
-    void healRouting() {
-        nodes.values().forEach(node -> node.followsOld = false);
+    void followCurrentLeader() {
+        nodes.values().forEach(node -> node.followsOldLeader = false);
     }
 
-    Map<TaskId, org.standlink.Attempt> attempts() {
+    Map<TaskId, org.standlink.Attempt> getAttempts() {
         Map<TaskId, org.standlink.Attempt> result = new HashMap<>();
         follow().read(
                         fold -> {
@@ -301,17 +302,17 @@
                 .anyMatch(start -> start.task().equals(TaskId.parse(task)));
     }
 
-    long grantedMilliCores(String vm) {
+    long getGrantedMilliCores(String vm) {
         return running(nodes.get(vm)).stream()
                 .mapToLong(start -> start.resources().milliCores())
                 .sum();
     }
 
-    TaskState task(TaskId task) {
+    TaskState getTask(TaskId task) {
         return follow().read(fold -> fold.getCell(CELL).get(task));
     }
 
-    TaskState firstOn(String... vms) {
+    TaskState findRunningTaskOn(String... vms) {
         List<String> wanted = List.of(vms);
         return follow().read(
                         fold ->
@@ -323,7 +324,7 @@
                                         .orElseThrow());
     }
 
-    long count(TaskState.Phase phase) {
+    long countInPhase(TaskState.Phase phase) {
         return follow().read(
                         fold ->
                                 fold.getCell(CELL).getTasks().stream()
@@ -331,17 +332,17 @@
                                         .count());
     }
 
-    int countFolded() {
+    int countTasks() {
         return follow().read(fold -> fold.getCell(CELL).getTasks().size());
     }
 
-    String waitingReason(String task) {
+    String getTaskStatus(String task) {
         String status = leader.service.getStatus();
         int at = status.indexOf("\"task\":\"" + task + "\"");
         return status.substring(at, status.indexOf('}', at));
     }
 
-    BundleVersion getVersion(String vm) {
+    BundleVersion getBundleVersion(String vm) {
         return nodes.get(vm).holder.getVersion();
     }
 
--- a/src/test/java/org/standlink/leader/CellNode.java
+++ b/src/test/java/org/standlink/leader/CellNode.java
@@ -32,7 +32,7 @@
 import org.standlink.wire.Heartbeat;
 import org.standlink.wire.HeartbeatAnswer;
 
-/** One agent of a {@link TestCell} with its worker and its leader role. */
+/** One agent of a {@link CellHarness} with its worker and its leader role. */
 final class CellNode {
 
     static final Resources CAPACITY = Resources.ofCores(8, 16_000, 0);
@@ -44,7 +44,7 @@
     final MemoryWorker worker;
 
     /** The way from the agent to the worker. */
-    final LateWorker calls;
+    final DelayedWorkerPort workerPort;
 
     private final FakeClock clock;
 
@@ -73,31 +73,31 @@
 
     boolean leaving;
 
-    boolean followsOld;
+    boolean followsOldLeader;
 
     CellNode(int number, FakeClock clock, LogPort log) {
         this.vm = VmId.parse("vm-" + number);
         this.clock = clock;
         this.log = log;
         this.worker = new MemoryWorker(clock, CAPACITY, WORKER_MILLIS, 1, 0.6);
-        this.calls = new LateWorker(worker);
-        boot();
+        this.workerPort = new DelayedWorkerPort(worker);
+        startAgent();
     }
 
     /** Starts a new run of the agent, which knows nothing and is not leaving. */
-    void boot() {
+    void startAgent() {
         runs++;
         incarnation = Incarnation.of(1000L * Integer.parseInt(vm.toString().substring(3)) + runs);
         alive = true;
         leaving = false;
         delta = new ReportDelta();
-        supervisor = new TaskSupervisor(vm, calls, clock);
+        supervisor = new TaskSupervisor(vm, workerPort, clock);
         holder = new BundleHolder();
         follower = new LogFollower(log, (id, refusal) -> {});
         epoch = null;
         service =
                 new LeaderService(
-                        TestCell.CELL,
+                        CellHarness.CELL,
                         vm,
                         incarnation,
                         log,
@@ -111,13 +111,13 @@
     }
 
     /** Makes a heartbeat; as in the process, only once the log was read since the start. */
-    Heartbeat heartbeat(LeaderService to) {
+    Heartbeat createHeartbeat(LeaderService to) {
         if (epoch == null) {
             follower.poll();
-            epoch = follower.read(fold -> fold.getCell(TestCell.CELL).getEpoch());
+            epoch = follower.read(fold -> fold.getCell(CellHarness.CELL).getEpoch());
         }
         SupervisorReport report = supervisor.getReport();
-        ReportDelta.Part part = delta.next(report.tasks(), to.getEpoch());
+        ReportDelta.Selection part = delta.selectNext(report.tasks(), to.getEpoch());
         return new Heartbeat(
                 vm,
                 incarnation,
@@ -135,11 +135,11 @@
     }
 
     /** Takes an answer; as in the process, one of an older epoch than heard of is passed over. */
-    void take(HeartbeatAnswer answer, long askedMillis) {
+    void receiveAnswer(HeartbeatAnswer answer, long askedMillis) {
         boolean current = answer.epoch().compareTo(epoch) >= 0;
         if (current && supervisor.accept(answer, askedMillis)) {
             epoch = answer.epoch();
-            delta.answered(answer.epoch());
+            delta.answerReceived(answer.epoch());
             holder.offer(answer.signedBundle(), answer.bundle());
         }
     }
--- a/src/test/java/org/standlink/leader/LateWorker.java
+++ b/src/test/java/org/standlink/leader/DelayedWorkerPort.java
@@ -27,7 +27,7 @@
 import org.standlink.port.WorkerPort;
 
 /** The way to a worker, on which calls may go unanswered and be carried out late. */
-final class LateWorker implements WorkerPort {
+final class DelayedWorkerPort implements WorkerPort {
 
     private final WorkerPort worker;
 
@@ -38,29 +38,29 @@
 
     private boolean holdsLeases;
 
-    LateWorker(WorkerPort worker) {
+    DelayedWorkerPort(WorkerPort worker) {
         this.worker = worker;
     }
 
     /** Leaves starts without an answer from now on, or no more. */
-    void holdStarts(boolean holds) {
+    void setDelayingStarts(boolean holds) {
         holdsStarts = holds;
     }
 
     /** Leaves calls that take or renew the lease without an answer from now on, or no more. */
-    void holdLeases(boolean holds) {
+    void setDelayingLeases(boolean holds) {
         holdsLeases = holds;
     }
 
     /** Counts the calls that are yet to be carried out. */
-    int countLate() {
+    int countDelayedCalls() {
         return late.size();
     }
 
     /**
      * Lets the worker carry out the oldest call without an answer; nobody hears what comes of it.
      */
-    void carryOutLate() {
+    void executeDelayedCall() {
         if (late.isEmpty()) {
             return;
         }
--- a/src/test/java/org/standlink/leader/TestGivenUpProperties.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttemptProperties.java
@@ -34,7 +34,7 @@
  * that are lost, agents that leave and come back and jobs that do: an attempt that was given up
  * runs nowhere. Attempts that wait to be started are there throughout.
  */
-public class TestGivenUpProperties {
+public class TestAbandonedAttemptProperties {
 
     private static final String JOBS =
             Fixtures.SCAN
@@ -43,45 +43,50 @@
 
     /** What may happen. */
     enum Kind {
-        HOLD_STARTS,
-        ANSWER_STARTS,
-        CARRY_OUT_LATE,
-        SEND_LATE,
-        DELIVER_LATE,
+        DELAY_STARTS,
+        STOP_DELAYING_STARTS,
+        EXECUTE_DELAYED_CALL,
+        SEND_DELAYED_HEARTBEAT,
+        DELIVER_DELAYED_HEARTBEAT,
         LOSE_ANSWER,
         LEAVE,
-        COME_BACK,
-        CUT,
-        JOIN,
+        RESTART_AGENT,
+        DISCONNECT_AGENT,
+        RECONNECT_AGENT,
         DELAY_APPEND,
-        LAND_LATE,
+        EXECUTE_DELAYED_APPENDS,
         LOG_DOWN,
         LOG_UP,
         CANCEL,
-        ADD_AGAIN,
+        ADD_JOB_AGAIN,
         CLAIM;
 
         /** Gets how often it happens beside others, so that what belongs together meets. */
         private int weight() {
             return switch (this) {
-                case LEAVE, COME_BACK, DELAY_APPEND, SEND_LATE, DELIVER_LATE -> 4;
-                case ANSWER_STARTS, JOIN, LOG_UP, ADD_AGAIN -> 2;
+                case LEAVE,
+                        RESTART_AGENT,
+                        DELAY_APPEND,
+                        SEND_DELAYED_HEARTBEAT,
+                        DELIVER_DELAYED_HEARTBEAT ->
+                        4;
+                case STOP_DELAYING_STARTS, RECONNECT_AGENT, LOG_UP, ADD_JOB_AGAIN -> 2;
                 default -> 1;
             };
         }
     }
 
     /** One thing that happens to one VM; a second that passes if there is no kind. */
-    record Event(Kind kind, int vm) {}
+    record Action(Kind kind, int vm) {}
 
     @Provide
-    Arbitrary<List<Event>> events() {
-        Arbitrary<Event> faults =
+    Arbitrary<List<Action>> events() {
+        Arbitrary<Action> faults =
                 Combinators.combine(
                                 Arbitraries.of(weighted()), Arbitraries.integers().between(1, 3))
-                        .as(Event::new);
+                        .as(Action::new);
         return Arbitraries.frequencyOf(
-                        net.jqwik.api.Tuple.of(2, Arbitraries.just(new Event(null, 0))),
+                        net.jqwik.api.Tuple.of(2, Arbitraries.just(new Action(null, 0))),
                         net.jqwik.api.Tuple.of(3, faults))
                 .list()
                 .ofSize(150);
@@ -98,68 +103,68 @@
             seed = "20261202",
             shrinking = net.jqwik.api.ShrinkingMode.OFF,
             edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
-    void neverRunsWhatWasGivenUp(@ForAll("events") List<Event> events) {
-        TestCell cell = new TestCell();
-        cell.publish(JOBS);
+    void neverRunsAnAbandonedAttempt(@ForAll("events") List<Action> events) {
+        CellHarness cell = new CellHarness();
+        cell.publishBundle(JOBS);
         cell.claim("vm-1");
-        cell.run(3);
-        for (Event event : events) {
+        cell.runForSeconds(3);
+        for (Action event : events) {
             try {
                 apply(cell, event);
             } catch (StandlinkException refused) {
                 // A heartbeat is too old, the leader may not act, or the log takes nothing.
             }
-            cell.check();
+            cell.checkInvariants();
             assertEquals(0, cell.getViolations(), () -> "after " + event + " in " + events);
         }
     }
 
-    private static void apply(TestCell cell, Event event) {
+    private static void apply(CellHarness cell, Action event) {
         if (event.kind() == null) {
             cell.step();
             return;
         }
         String vm = "vm-" + event.vm();
         switch (event.kind()) {
-            case HOLD_STARTS -> cell.calls(vm).holdStarts(true);
-            case ANSWER_STARTS -> cell.calls(vm).holdStarts(false);
-            case CARRY_OUT_LATE -> cell.calls(vm).carryOutLate();
-            case SEND_LATE -> sendLate(cell, vm);
-            case DELIVER_LATE -> cell.deliverLate();
-            case LOSE_ANSWER -> cell.loseAnswer(vm);
+            case DELAY_STARTS -> cell.getWorkerPort(vm).setDelayingStarts(true);
+            case STOP_DELAYING_STARTS -> cell.getWorkerPort(vm).setDelayingStarts(false);
+            case EXECUTE_DELAYED_CALL -> cell.getWorkerPort(vm).executeDelayedCall();
+            case SEND_DELAYED_HEARTBEAT -> sendLate(cell, vm);
+            case DELIVER_DELAYED_HEARTBEAT -> cell.deliverDelayedHeartbeat();
+            case LOSE_ANSWER -> cell.sendHeartbeatWithoutAnswer(vm);
             case LEAVE -> leave(cell, vm);
-            case COME_BACK -> comeBack(cell, vm);
-            case CUT -> cell.setReachable(vm, false);
-            case JOIN -> cell.setReachable(vm, true);
+            case RESTART_AGENT -> comeBack(cell, vm);
+            case DISCONNECT_AGENT -> cell.setReachable(vm, false);
+            case RECONNECT_AGENT -> cell.setReachable(vm, true);
             case DELAY_APPEND -> cell.getLog().delayAppends(1);
-            case LAND_LATE -> cell.getLog().landLate();
+            case EXECUTE_DELAYED_APPENDS -> cell.getLog().landLate();
             case LOG_DOWN -> cell.setLogDown(true);
             case LOG_UP -> cell.setLogDown(false);
-            case CANCEL -> cell.publish("");
-            case ADD_AGAIN -> cell.publish(JOBS);
+            case CANCEL -> cell.publishBundle("");
+            case ADD_JOB_AGAIN -> cell.publishBundle(JOBS);
             default -> cell.claim(vm);
         }
     }
 
     /** Sends one that tells everything, as the answer to the one before it was lost. */
-    private static void sendLate(TestCell cell, String vm) {
-        cell.loseAnswer(vm);
-        cell.sendLate(vm);
+    private static void sendLate(CellHarness cell, String vm) {
+        cell.sendHeartbeatWithoutAnswer(vm);
+        cell.sendDelayedHeartbeat(vm);
     }
 
-    private static void leave(TestCell cell, String vm) {
+    private static void leave(CellHarness cell, String vm) {
         cell.setLeaving(vm);
         cell.tick(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
     }
 
-    private static void comeBack(TestCell cell, String vm) {
+    private static void comeBack(CellHarness cell, String vm) {
         cell.restartAgent(vm);
         if (cell.isLeaderless()) {
             cell.claim("vm-1");
         }
         for (int i = 0; i < 2; i++) {
-            cell.beat(vm);
+            cell.sendHeartbeat(vm);
             cell.tick(vm);
         }
     }
