--- a/src/test/java/org/standlink/leader/TestGivenUpAttempts.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttempts.java
@@ -36,7 +36,7 @@
  * about a time that was over. Proof: the cell counts a violation whenever an attempt runs that the
  * log does not give to that worker; the fold is asked after each tick.
  */
-public class TestGivenUpAttempts {
+public class TestAbandonedAttempts {
 
     private static final TaskId TASK = TaskId.parse("scan#0");
 
@@ -51,12 +51,12 @@
             "{'id':'urgent','mode':'manage','team':'security','cell':'one','batchClass':'u','tasks':3,"
                     + "'resources':{'cores':6,'memoryMegabytes':1000},'runSeconds':3,'urgency':'urgent'}";
 
-    private final TestCell cell = new TestCell();
+    private final CellHarness cell = new CellHarness();
 
     private void start(String jobs) {
-        cell.publish(jobs);
+        cell.publishBundle(jobs);
         cell.claim("vm-1");
-        cell.run(5);
+        cell.runForSeconds(5);
     }
 
     /** Has the only task ordered on a worker that leaves the call to start it without an answer. */
@@ -64,10 +64,10 @@
         start("");
         // The leader takes nothing itself, so that its worker's agent may start again.
         cell.setLeaving("vm-1");
-        cell.run(2);
+        cell.runForSeconds(2);
         holdStarts(true);
-        cell.publish(ONE);
-        while (holder() == null || cell.calls(holder()).countLate() == 0) {
+        cell.publishBundle(ONE);
+        while (holder() == null || cell.getWorkerPort(holder()).countDelayedCalls() == 0) {
             cell.step();
         }
         return holder();
@@ -75,30 +75,30 @@
 
     private void holdStarts(boolean holds) {
         for (int i = 1; i <= 3; i++) {
-            cell.calls("vm-" + i).holdStarts(holds);
+            cell.getWorkerPort("vm-" + i).setDelayingStarts(holds);
         }
     }
 
     private void beatAll() {
         for (int i = 1; i <= 3; i++) {
-            cell.beat("vm-" + i);
+            cell.sendHeartbeat("vm-" + i);
             cell.tick("vm-" + i);
         }
     }
 
     private String holder() {
-        TaskState task = cell.task(TASK);
+        TaskState task = cell.getTask(TASK);
         return task.isAssigned() ? task.worker().toString() : null;
     }
 
     private void assertSafe() {
-        cell.check();
+        cell.checkInvariants();
         assertEquals(0, cell.getViolations(), "an attempt ran that was given up");
     }
 
     // -----------------------------------------------------------------------
     @Test
-    void aStartCarriedOutAfterTheNodeLeaseStartsNothing() {
+    void aDelayedStartIsIneffectiveAfterTheNodeLeaseExpired() {
         String vm = orderWithoutAnswer();
         cell.setReachable(vm, false);
         holdStarts(false);
@@ -109,25 +109,25 @@
             }
         }
         assertFalse(vm.equals(holder()), "given up");
-        while (cell.calls(vm).countLate() > 0) {
-            cell.calls(vm).carryOutLate();
+        while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
+            cell.getWorkerPort(vm).executeDelayedCall();
             assertSafe();
         }
         cell.setReachable(vm, true);
-        cell.run(20);
+        cell.runForSeconds(20);
         assertSafe();
         assertEquals(1, cell.countRunning());
     }
 
     @Test
-    void aStartCarriedOutAfterItsCancelStartsNothing() {
+    void aDelayedStartIsIneffectiveAfterACancel() {
         String vm = orderWithoutAnswer();
         holdStarts(false);
-        cell.publish("");
-        cell.run(4);
-        assertEquals(0, cell.countFolded(), "given up");
-        while (cell.calls(vm).countLate() > 0) {
-            cell.calls(vm).carryOutLate();
+        cell.publishBundle("");
+        cell.runForSeconds(4);
+        assertEquals(0, cell.countTasks(), "given up");
+        while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
+            cell.getWorkerPort(vm).executeDelayedCall();
             assertSafe();
         }
     }
@@ -136,195 +136,195 @@
     void aCancelledTaskIsNotStartedWithTheNextLease() {
         String vm = orderWithoutAnswer();
         cell.setReachable(vm, false);
-        cell.publish("");
-        cell.run(40);
-        assertEquals(0, cell.countFolded(), "given up");
+        cell.publishBundle("");
+        cell.runForSeconds(40);
+        assertEquals(0, cell.countTasks(), "given up");
         holdStarts(false);
         cell.setReachable(vm, true);
-        cell.run(5);
+        cell.runForSeconds(5);
         assertSafe();
         assertEquals(0, cell.countRunning());
     }
 
     @Test
-    void aReportWhoseAnswerWasLostBindsTheAgent() {
+    void anAttemptReportedAsStoppedIsNotStartedThoughTheAnswerWasLost() {
         start(LONG);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.setLeaving(vm);
         cell.tick(vm);
-        cell.loseAnswer(vm);
+        cell.sendHeartbeatWithoutAnswer(vm);
         cell.setReachable(vm, false);
-        cell.run(3);
-        assertTrue(cell.task(before.task()).attempt().isAfter(before.attempt()), "given up");
+        cell.runForSeconds(3);
+        assertTrue(cell.getTask(before.task()).attempt().isAfter(before.attempt()), "given up");
         cell.tick(vm);
         cell.setReachable(vm, true);
-        cell.run(10);
+        cell.runForSeconds(10);
         assertSafe();
     }
 
     @Test
-    void aStartOfAnEarlierRunOfTheAgentStartsNothing() {
+    void aDelayedStartOfAnEarlierAgentProcessIsIneffective() {
         String vm = orderWithoutAnswer();
         holdStarts(false);
         cell.restartAgent(vm);
-        cell.publish("");
-        cell.run(6);
-        assertEquals(0, cell.countFolded(), "given up");
-        while (cell.calls(vm).countLate() > 0) {
-            cell.calls(vm).carryOutLate();
+        cell.publishBundle("");
+        cell.runForSeconds(6);
+        assertEquals(0, cell.countTasks(), "given up");
+        while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
+            cell.getWorkerPort(vm).executeDelayedCall();
             assertSafe();
         }
     }
 
     @Test
-    void aStartOfAnEarlierRunOfTheAgentIsFoundWhenItCameFirst() {
+    void anAttemptStartedByAnEarlierAgentProcessIsStopped() {
         String vm = orderWithoutAnswer();
         holdStarts(false);
         cell.restartAgent(vm);
-        cell.calls(vm).carryOutLate();
-        cell.publish("");
-        cell.run(3);
+        cell.getWorkerPort(vm).executeDelayedCall();
+        cell.publishBundle("");
+        cell.runForSeconds(3);
         assertEquals(0, cell.countRunning(), "stopped within a heartbeat and two ticks");
-        cell.run(3);
+        cell.runForSeconds(3);
         assertSafe();
     }
 
     @Test
-    void aLateStartWhoseAgentIsGoneEndsWithTheWorkerLease() {
+    void aDelayedStartOfADeadAgentEndsWithTheWorkerLease() {
         String vm = orderWithoutAnswer();
         cell.killAgent(vm);
-        cell.calls(vm).carryOutLate();
+        cell.getWorkerPort(vm).executeDelayedCall();
         assertEquals(1, cell.countRunning(vm), "the worker lease has not ended");
         cell.getClock().advance(5000);
         assertEquals(0, cell.countRunning(vm));
         holdStarts(false);
-        cell.run(40);
+        cell.runForSeconds(40);
         assertSafe();
         assertEquals(1, cell.countRunning(), "it runs elsewhere");
     }
 
     @Test
-    void lateCallsForTheWorkerLeaseKeepNothingRunningPastTheWait() {
+    void delayedWorkerLeaseCallsKeepNoAttemptRunningPastItsRelease() {
         start(LONG);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
-        LateWorker calls = cell.calls(vm);
+        DelayedWorkerPort calls = cell.getWorkerPort(vm);
         cell.setReachable(vm, false);
-        cell.run(4);
-        calls.holdLeases(true);
-        cell.run(4);
-        calls.carryOutLate();
-        cell.run(4);
-        calls.carryOutLate();
-        cell.run(4);
-        calls.carryOutLate();
-        cell.run(1);
-        assertTrue(calls.countLate() > 0, "the last comes 7 s after the node lease ended");
-        calls.carryOutLate();
+        cell.runForSeconds(4);
+        calls.setDelayingLeases(true);
+        cell.runForSeconds(4);
+        calls.executeDelayedCall();
+        cell.runForSeconds(4);
+        calls.executeDelayedCall();
+        cell.runForSeconds(4);
+        calls.executeDelayedCall();
+        cell.runForSeconds(1);
+        assertTrue(calls.countDelayedCalls() > 0, "the last comes 7 s after the node lease ended");
+        calls.executeDelayedCall();
         assertTrue(cell.countRunning(vm) > 0, "the late calls kept it running");
         for (int i = 0; i < 20; i++) {
             cell.step();
             assertSafe();
         }
-        assertTrue(cell.task(before.task()).attempt().isAfter(before.attempt()), "given up");
+        assertTrue(cell.getTask(before.task()).attempt().isAfter(before.attempt()), "given up");
     }
 
     // -----------------------------------------------------------------------
     @Test
-    void whatALeavingAgentGaveBackIsNotHandedToItsNextRun() {
+    void attemptsStoppedByALeavingAgentAreNotStartedByItsNextProcess() {
         start(FILL);
         String vm = "vm-3";
         cell.setLeaving(vm);
         cell.tick(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
         cell.tick(vm);
         cell.getLog().delayAppends(1);
-        cell.run(1);
+        cell.runForSeconds(1);
         cell.restartAgent(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
         cell.tick(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
         cell.tick(vm);
         cell.setReachable(vm, false);
-        cell.run(3);
+        cell.runForSeconds(3);
         assertSafe();
     }
 
     @Test
-    void anAttemptStoppedBeforeItsStartIsNotStartedWhileItsEndIsOnItsWay() {
+    void anAttemptStoppedBeforeItsStartIsNotStartedWhileItsEndIsBeingAppended() {
         start("");
-        cell.publish(LONG);
+        cell.publishBundle(LONG);
         for (int i = 1; i <= 3; i++) {
             cell.setReachable("vm-" + i, false);
         }
-        cell.run(1);
-        cell.publish(LONG + "," + URGENT);
-        cell.run(1);
+        cell.runForSeconds(1);
+        cell.publishBundle(LONG + "," + URGENT);
+        cell.runForSeconds(1);
         for (int i = 1; i <= 3; i++) {
             cell.setReachable("vm-" + i, true);
         }
         beatAll();
         beatAll();
         cell.getLog().delayAppends(1);
-        cell.run(1);
+        cell.runForSeconds(1);
         for (int i = 0; i < 4; i++) {
             assertFalse(cell.isRunning("scan#" + i), "stopped before its start");
         }
         cell.setLogDown(true);
-        cell.run(6);
+        cell.runForSeconds(6);
         cell.setLogDown(false);
-        cell.run(3);
+        cell.runForSeconds(3);
         assertSafe();
     }
 
     @Test
-    void aCancelledTaskAddedAgainIsNotStartedAgainUnderItsOldAttempt() {
+    void aCancelledTaskAddedAgainIsNotStartedUnderItsOldAttempt() {
         start(FILL);
-        cell.publish("");
-        cell.run(1);
+        cell.publishBundle("");
+        cell.runForSeconds(1);
         beatAll();
         cell.getLog().delayAppends(1);
-        cell.run(1);
-        cell.publish(FILL);
+        cell.runForSeconds(1);
+        cell.publishBundle(FILL);
         cell.readLog();
         beatAll();
-        cell.run(3);
+        cell.runForSeconds(3);
         assertSafe();
     }
 
     @Test
-    void aHeartbeatOfAnEarlierRunOfTheAgentIsNotBelieved() {
+    void aDelayedHeartbeatOfAnEarlierAgentProcessEndsNoAttempt() {
         start(FILL);
         String vm = "vm-3";
         cell.setLeaving(vm);
         cell.tick(vm);
-        cell.loseAnswer(vm);
-        Heartbeat late = cell.sendLate(vm);
+        cell.sendHeartbeatWithoutAnswer(vm);
+        Heartbeat late = cell.sendDelayedHeartbeat(vm);
         assertTrue(late.full(), "as the one before it was not answered");
         cell.restartAgent(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
         cell.tick(vm);
-        cell.beat(vm);
+        cell.sendHeartbeat(vm);
         cell.tick(vm);
         assertTrue(cell.countRunning(vm) > 0, "it runs what waited there");
-        cell.deliverLate();
+        cell.deliverDelayedHeartbeat();
         cell.setReachable(vm, false);
-        cell.run(3);
+        cell.runForSeconds(3);
         assertSafe();
     }
 
     @Test
-    void anOldLeaderIsNotKeptServingItselfByLateHeartbeats() {
+    void delayedHeartbeatsDoNotExtendTheLeaseOfAnOldLeader() {
         start(LONG);
         assertTrue(cell.countRunning("vm-1") > 0);
-        cell.sendLate("vm-2");
-        cell.sendLate("vm-3");
+        cell.sendDelayedHeartbeat("vm-2");
+        cell.sendDelayedHeartbeat("vm-3");
         cell.claim("vm-2");
         cell.setFollowsOldLeader("vm-1");
-        cell.run(17);
-        cell.deliverLate();
-        cell.deliverLate();
+        cell.runForSeconds(17);
+        cell.deliverDelayedHeartbeat();
+        cell.deliverDelayedHeartbeat();
         for (int i = 0; i < 40; i++) {
             cell.step();
             assertSafe();
@@ -333,10 +333,10 @@
     }
 
     @Test
-    void anOlderHeartbeatOfTheSameRunIsRefused() {
+    void anOutOfOrderHeartbeatIsRejected() {
         start(FILL);
-        cell.sendLate("vm-3");
-        cell.beat("vm-3");
-        assertThrows(StandlinkException.class, cell::deliverLate);
+        cell.sendDelayedHeartbeat("vm-3");
+        cell.sendHeartbeat("vm-3");
+        assertThrows(StandlinkException.class, cell::deliverDelayedHeartbeat);
     }
 }
--- a/src/test/java/org/standlink/leader/TestBundleCellLeader.java
+++ b/src/test/java/org/standlink/leader/TestBundleCellLeader.java
@@ -40,239 +40,241 @@
 
     private static final String FILL = Fixtures.SCAN.replace("'tasks':4", "'tasks':20");
 
-    private final TestCell cell = new TestCell();
+    private final CellHarness cell = new CellHarness();
 
     private void start(String jobs) {
-        cell.publish(jobs);
+        cell.publishBundle(jobs);
         cell.claim("vm-1");
-        cell.run(5);
+        cell.runForSeconds(5);
     }
 
     @Test
-    void runsTheTasksToTheirEnd() {
+    void runsTasksToCompletion() {
         start(Fixtures.SCAN);
         assertEquals(4, cell.countRunning());
-        cell.run(70);
-        assertEquals(4, cell.count(TaskState.Phase.FINISHED));
+        cell.runForSeconds(70);
+        assertEquals(4, cell.countInPhase(TaskState.Phase.FINISHED));
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void resumesOnceFromTheCheckpointAfterAnAgentIsSilent() {
+    void resumesTasksOfAnUnresponsiveAgentOnce() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String lost = before.worker().toString();
         cell.setReachable(lost, false);
-        cell.run(15);
+        cell.runForSeconds(15);
         assertEquals(
-                before.attempt(), cell.task(before.task()).attempt(), "its leases have not ended");
-        cell.run(20);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+                before.attempt(),
+                cell.getTask(before.task()).attempt(),
+                "its leases have not ended");
+        cell.runForSeconds(20);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         cell.setReachable(lost, true);
-        cell.run(10);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+        cell.runForSeconds(10);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void neverTakesBackAReleaseWhoseAppendWasLost() {
+    void neverRevokesAReleaseWhoseAppendFailed() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String lost = before.worker().toString();
         cell.setReachable(lost, false);
-        cell.run(20);
+        cell.runForSeconds(20);
         cell.setLogDown(true);
-        cell.run(5);
+        cell.runForSeconds(5);
         cell.setReachable(lost, true);
-        cell.run(5);
-        assertTrue(cell.task(before.task()).isAssigned(), "the release is not in the log yet");
+        cell.runForSeconds(5);
+        assertTrue(cell.getTask(before.task()).isAssigned(), "the release is not in the log yet");
         assertEquals(0, cell.countRunning(lost), "the silent agent does not get it back");
         cell.setLogDown(false);
-        cell.run(10);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+        cell.runForSeconds(10);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void goesOnThroughAnOutageOfTheLog() {
+    void continuesThroughALogOutage() {
         start(FILL);
         int running = cell.countRunning();
         cell.setLogDown(true);
-        cell.run(50);
+        cell.runForSeconds(50);
         assertEquals(running, cell.countRunning(), "running work goes on");
-        cell.run(30);
+        cell.runForSeconds(30);
         assertTrue(cell.countRunning() > 0, "the backlog fills the workers");
         assertEquals(0, cell.getViolations());
         cell.setLogDown(false);
-        cell.run(150);
-        assertEquals(20, cell.count(TaskState.Phase.FINISHED));
+        cell.runForSeconds(150);
+        assertEquals(20, cell.countInPhase(TaskState.Phase.FINISHED));
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void stopsEverythingWhenTheAuthorityEnds() {
+    void stopsAllTasksWhenTheAuthorityExpires() {
         start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':5000"));
         cell.setLogDown(true);
-        cell.run(650);
+        cell.runForSeconds(650);
         assertEquals(0, cell.countRunning());
-        assertThrows(StandlinkException.class, () -> cell.heartbeatOrThrow("vm-2"));
+        assertThrows(StandlinkException.class, () -> cell.sendHeartbeatOrThrow("vm-2"));
     }
 
     @Test
     void takesOverFromAnotherLeader() {
         start(Fixtures.SCAN);
         cell.claim("vm-2");
-        cell.run(10);
+        cell.runForSeconds(10);
         assertEquals(4, cell.countRunning());
-        TaskState any = cell.firstOn("vm-1", "vm-2", "vm-3");
+        TaskState any = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3");
         assertEquals(Attempt.of(1), any.attempt(), "nothing was restarted");
         StandlinkException refused =
-                assertThrows(StandlinkException.class, () -> cell.heartbeatOldLeader("vm-3"));
+                assertThrows(StandlinkException.class, () -> cell.sendHeartbeatToOldLeader("vm-3"));
         assertEquals(ErrorCode.LEASE_LAPSED, refused.getCode());
     }
 
     @Test
-    void waitsOutTheAuthorityWhenLeaderAndAgentAreBothSilent() {
+    void waitsForTheAuthorityToExpireWhenOldLeaderAndAgentAreUnresponsive() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.setReachable(before.worker().toString(), false);
         cell.claim(before.worker().toString().equals("vm-2") ? "vm-3" : "vm-2");
-        cell.run(100);
-        assertEquals(before.attempt(), cell.task(before.task()).attempt());
-        cell.run(540);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+        cell.runForSeconds(100);
+        assertEquals(before.attempt(), cell.getTask(before.task()).attempt());
+        cell.runForSeconds(540);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void waitsOutTheAuthorityForAnAgentThatHasNotAcknowledged() {
+    void waitsForTheAuthorityToExpireForAnAgentThatHasNotAcknowledged() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.claim(vm.equals("vm-2") ? "vm-3" : "vm-2");
-        cell.loseAnswer(vm);
+        cell.sendHeartbeatWithoutAnswer(vm);
         cell.setFollowsOldLeader(vm);
-        cell.run(100);
-        assertEquals(before.attempt(), cell.task(before.task()).attempt());
+        cell.runForSeconds(100);
+        assertEquals(before.attempt(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void resumesTheTasksOfADeadLeaderWithoutWaitingOutItsAuthority() {
+    void resumesTasksOfADeadLeaderBeforeItsAuthorityExpires() {
         start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
-        TaskState before = cell.firstOn("vm-1", "vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3");
         String dead = before.worker().toString();
         cell.claim(dead);
-        cell.run(5);
+        cell.runForSeconds(5);
         cell.setReachable(dead, false);
         cell.claim(dead.equals("vm-1") ? "vm-2" : "vm-1");
-        cell.run(20);
+        cell.runForSeconds(20);
         assertEquals(
-                before.attempt(), cell.task(before.task()).attempt(), "it may still run there");
-        cell.run(25);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+                before.attempt(), cell.getTask(before.task()).attempt(), "it may still run there");
+        cell.runForSeconds(25);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void stopsServingItselfWhenCutFromLogAndAgents() {
+    void grantsItselfNoLeaseWhenPartitionedFromLogAndAgents() {
         start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
         cell.setLogDown(true);
-        cell.run(15);
-        cell.heartbeatOrThrow("vm-1");
+        cell.runForSeconds(15);
+        cell.sendHeartbeatOrThrow("vm-1");
         cell.setReachable("vm-2", false);
-        cell.run(15);
-        assertThrows(StandlinkException.class, () -> cell.heartbeatOrThrow("vm-1"));
+        cell.runForSeconds(15);
+        assertThrows(StandlinkException.class, () -> cell.sendHeartbeatOrThrow("vm-1"));
     }
 
     @Test
-    void keepsTasksThroughARestartOfTheAgent() {
+    void keepsTasksThroughAnAgentRestart() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.restartAgent(before.worker().toString());
-        cell.run(10);
-        assertEquals(before.attempt(), cell.task(before.task()).attempt());
+        cell.runForSeconds(10);
+        assertEquals(before.attempt(), cell.getTask(before.task()).attempt());
         assertEquals(4, cell.countRunning());
     }
 
     @Test
-    void resumesWhatARestartedWorkerHasForgotten() {
+    void resumesTasksLostInAWorkerRestart() {
         start(Fixtures.SCAN);
-        TaskState before = cell.firstOn("vm-2", "vm-3");
-        cell.worker(before.worker().toString()).restart();
-        cell.run(10);
-        assertEquals(before.attempt().next(), cell.task(before.task()).attempt());
+        TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
+        cell.getWorker(before.worker().toString()).restart();
+        cell.runForSeconds(10);
+        assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(4, cell.countRunning());
     }
 
     @Test
-    void makesRoomForUrgentWork() {
+    void evictsTasksForUrgentWork() {
         start(FILL);
-        cell.publish(FILL + "," + URGENT);
-        cell.run(9);
+        cell.publishBundle(FILL + "," + URGENT);
+        cell.runForSeconds(9);
         assertTrue(cell.isRunning("urgent#0"), "urgent work starts within 9 s");
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void namesWhatCanNeverRunAndHoldsNobodyBack() {
+    void reportsAnUnplaceableTaskWithoutDelayingOthers() {
         start(LARGE + "," + Fixtures.SCAN);
         assertEquals(4, cell.countRunning());
-        assertTrue(cell.waitingReason("large#0").contains("larger than every permitted worker"));
+        assertTrue(cell.getTaskStatus("large#0").contains("larger than every permitted worker"));
     }
 
     @Test
-    void cancelsAWaveWithOneAppend() {
+    void cancelsAJobWithAtMostTwoAppends() {
         start(FILL);
-        cell.run(10);
-        cell.publish("");
+        cell.runForSeconds(10);
+        cell.publishBundle("");
         long before = cell.getLog().getEnd();
-        cell.run(10);
+        cell.runForSeconds(10);
         assertEquals(0, cell.countRunning());
         assertTrue(
                 cell.getLog().getEnd() - before <= 2,
                 "appends: " + (cell.getLog().getEnd() - before));
-        assertEquals(0, cell.countFolded());
+        assertEquals(0, cell.countTasks());
     }
 
     @Test
-    void handsTasksBackWhenAVmLeaves() {
+    void movesTasksAwayFromALeavingVm() {
         start(Fixtures.SCAN);
-        String vm = cell.firstOn("vm-1", "vm-2", "vm-3").worker().toString();
+        String vm = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3").worker().toString();
         cell.setLeaving(vm);
-        cell.run(8);
+        cell.runForSeconds(8);
         assertEquals(0, cell.countRunning(vm));
         assertEquals(4, cell.countRunning());
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void setsAsideAWorkerThatFailsEverything() {
-        cell.worker("vm-1").setFailing(true);
+    void avoidsAWorkerThatFailsAllTasks() {
+        cell.getWorker("vm-1").setFailing(true);
         start(Fixtures.SCAN + "," + Fixtures.SCAN.replace("'id':'scan'", "'id':'other'"));
-        cell.run(150);
-        assertEquals(8, cell.count(TaskState.Phase.FINISHED));
+        cell.runForSeconds(150);
+        assertEquals(8, cell.countInPhase(TaskState.Phase.FINISHED));
     }
 
     @Test
-    void goesOnAfterAWorkerWasDown() {
+    void recoversAfterAWorkerOutage() {
         start(Fixtures.SCAN);
-        cell.worker("vm-2").setDown(true);
-        cell.run(3);
-        cell.worker("vm-2").setDown(false);
-        cell.run(30);
-        assertEquals(4, cell.countRunning() + cell.count(TaskState.Phase.FINISHED));
+        cell.getWorker("vm-2").setDown(true);
+        cell.runForSeconds(3);
+        cell.getWorker("vm-2").setDown(false);
+        cell.runForSeconds(30);
+        assertEquals(4, cell.countRunning() + cell.countInPhase(TaskState.Phase.FINISHED));
         assertEquals(0, cell.getViolations());
     }
 
     @Test
-    void shedsTasksWhenAServiceMovesIn() {
-        cell.publish(FILL, "'vm-1'");
+    void evictsTasksWhenAServiceIsAdded() {
+        cell.publishBundle(FILL, "'vm-1'");
         cell.claim("vm-1");
-        cell.run(5);
-        cell.publish(FILL, "'vm-1','vm-2','vm-3'");
-        cell.run(3);
-        assertTrue(cell.grantedMilliCores("vm-2") <= 6000);
+        cell.runForSeconds(5);
+        cell.publishBundle(FILL, "'vm-1','vm-2','vm-3'");
+        cell.runForSeconds(3);
+        assertTrue(cell.getGrantedMilliCores("vm-2") <= 6000);
         assertEquals(0, cell.getViolations());
     }
 
@@ -280,7 +282,7 @@
     void observesWithoutActing() {
         start(Fixtures.SCAN.replace("manage", "observe"));
         assertEquals(0, cell.countRunning());
-        assertTrue(cell.waitingReason("scan#0").contains("only observed"));
-        assertNull(cell.task(org.standlink.TaskId.parse("scan#0")).worker());
+        assertTrue(cell.getTaskStatus("scan#0").contains("only observed"));
+        assertNull(cell.getTask(org.standlink.TaskId.parse("scan#0")).worker());
     }
 }
--- a/src/test/java/org/standlink/leader/TestCellProperties.java
+++ b/src/test/java/org/standlink/leader/TestCellProperties.java
@@ -44,8 +44,8 @@
     enum Kind {
         STEP,
         LONG_PAUSE,
-        CUT_AGENT,
-        JOIN_AGENT,
+        DISCONNECT_AGENT,
+        RECONNECT_AGENT,
         RESTART_AGENT,
         RESTART_WORKER,
         WORKER_DOWN,
@@ -54,12 +54,12 @@
         LOG_UP,
         LOSE_ANSWER,
         DELAY_APPEND,
-        LAND_LATE,
+        EXECUTE_DELAYED_APPENDS,
         CLAIM,
-        FOLLOW_OLD,
+        FOLLOW_OLD_LEADER,
         LOSE_HEARTBEAT,
         CANCEL,
-        ADD_AGAIN
+        ADD_JOB_AGAIN
     }
 
     /** One thing that happens to one VM. */
@@ -82,32 +82,32 @@
             seed = "20261202",
             shrinking = net.jqwik.api.ShrinkingMode.OFF,
             edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
-    void neverRunsATaskTwiceNorGrantsTooMuch(@ForAll("actions") List<Action> actions) {
-        TestCell cell = new TestCell();
-        cell.publish(JOBS);
+    void neverRunsATaskTwiceNorExceedsTheCapacity(@ForAll("actions") List<Action> actions) {
+        CellHarness cell = new CellHarness();
+        cell.publishBundle(JOBS);
         cell.claim("vm-1");
-        cell.run(3);
+        cell.runForSeconds(3);
         Map<TaskId, Attempt> attempts = new HashMap<>();
         for (Action action : actions) {
             apply(cell, action);
-            cell.check();
+            cell.checkInvariants();
             assertEquals(0, cell.getViolations(), () -> "after " + action + " in " + actions);
             if (cell.isLogUp()) {
                 noteAttempts(cell, attempts);
             }
         }
         heal(cell);
-        cell.run(1200);
+        cell.runForSeconds(1200);
         assertEquals(0, cell.getViolations(), () -> "while healing after " + actions);
         assertEquals(
                 12,
-                cell.count(TaskState.Phase.FINISHED),
+                cell.countInPhase(TaskState.Phase.FINISHED),
                 () -> "not done: " + cell.getStatus() + " after " + actions);
     }
 
-    private static void noteAttempts(TestCell cell, Map<TaskId, Attempt> attempts) {
+    private static void noteAttempts(CellHarness cell, Map<TaskId, Attempt> attempts) {
         // A job that was cancelled and added again begins anew, so only present tasks count.
-        Map<TaskId, Attempt> now = cell.attempts();
+        Map<TaskId, Attempt> now = cell.getAttempts();
         attempts.keySet().retainAll(now.keySet());
         now.forEach(
                 (task, attempt) -> {
@@ -116,31 +116,31 @@
                 });
     }
 
-    private static void apply(TestCell cell, Action action) {
+    private static void apply(CellHarness cell, Action action) {
         String vm = "vm-" + action.vm();
         switch (action.kind()) {
             case STEP -> cell.step();
             case LONG_PAUSE -> cell.getClock().advance(7_000L * action.vm());
-            case CUT_AGENT -> cell.setReachable(vm, false);
-            case JOIN_AGENT -> cell.setReachable(vm, true);
+            case DISCONNECT_AGENT -> cell.setReachable(vm, false);
+            case RECONNECT_AGENT -> cell.setReachable(vm, true);
             case RESTART_AGENT -> cell.restartAgent(vm);
-            case RESTART_WORKER -> cell.worker(vm).restart();
-            case WORKER_DOWN -> cell.worker(vm).setDown(true);
-            case WORKER_UP -> cell.worker(vm).setDown(false);
+            case RESTART_WORKER -> cell.getWorker(vm).restart();
+            case WORKER_DOWN -> cell.getWorker(vm).setDown(true);
+            case WORKER_UP -> cell.getWorker(vm).setDown(false);
             case LOG_DOWN -> cell.setLogDown(true);
             case LOG_UP -> cell.setLogDown(false);
             case LOSE_ANSWER -> cell.getLog().loseAnswers(1);
             case DELAY_APPEND -> cell.getLog().delayAppends(1);
-            case LAND_LATE -> cell.getLog().landLate();
+            case EXECUTE_DELAYED_APPENDS -> cell.getLog().landLate();
             case CLAIM -> tryClaim(cell, vm);
-            case FOLLOW_OLD -> cell.setFollowsOldLeader(vm);
+            case FOLLOW_OLD_LEADER -> cell.setFollowsOldLeader(vm);
             case LOSE_HEARTBEAT -> tryLose(cell, vm);
             case CANCEL -> tryPublish(cell, "");
             default -> tryPublish(cell, JOBS);
         }
     }
 
-    private static void tryClaim(TestCell cell, String vm) {
+    private static void tryClaim(CellHarness cell, String vm) {
         try {
             cell.claim(vm);
         } catch (StandlinkException unavailable) {
@@ -148,34 +148,34 @@
         }
     }
 
-    private static void tryLose(TestCell cell, String vm) {
+    private static void tryLose(CellHarness cell, String vm) {
         try {
-            cell.loseAnswer(vm);
+            cell.sendHeartbeatWithoutAnswer(vm);
         } catch (StandlinkException refused) {
             // The leader may not act.
         }
     }
 
-    private static void tryPublish(TestCell cell, String jobs) {
+    private static void tryPublish(CellHarness cell, String jobs) {
         try {
-            cell.publish(jobs);
+            cell.publishBundle(jobs);
         } catch (StandlinkException unavailable) {
             // The log is down or the answer was lost; the next version is based on what holds.
         }
     }
 
-    private static void heal(TestCell cell) {
+    private static void heal(CellHarness cell) {
         cell.setLogDown(false);
         cell.getLog().loseAnswers(0);
         cell.getLog().delayAppends(0);
         cell.getLog().landLate();
         for (int i = 1; i <= 3; i++) {
-            cell.worker("vm-" + i).setDown(false);
+            cell.getWorker("vm-" + i).setDown(false);
             cell.setReachable("vm-" + i, true);
         }
-        cell.healRouting();
+        cell.followCurrentLeader();
         cell.getClock().advance(2000);
-        cell.publish(JOBS);
+        cell.publishBundle(JOBS);
         cell.claim("vm-1");
     }
 }
--- a/src/test/java/org/standlink/leader/TestLeaderService.java
+++ b/src/test/java/org/standlink/leader/TestLeaderService.java
@@ -84,15 +84,16 @@
     private void lead(CellNode leader, int seconds) {
         for (int i = 0; i < seconds; i++) {
             clock.advance(1000);
-            leader.service.run();
+            leader.service.runOnce();
             serve(leader);
         }
     }
 
     private void serve(CellNode leader) {
         try {
-            agent.take(
-                    leader.service.heartbeat(agent.heartbeat(leader.service)), clock.nowMillis());
+            agent.receiveAnswer(
+                    leader.service.handleHeartbeat(agent.createHeartbeat(leader.service)),
+                    clock.nowMillis());
         } catch (StandlinkException refused) {
             // It may not act as leader any more.
         }
@@ -101,7 +102,7 @@
 
     private TaskState task() {
         watcher.poll();
-        return watcher.read(fold -> fold.getCell(TestCell.CELL).get(TASK));
+        return watcher.read(fold -> fold.getCell(CellHarness.CELL).get(TASK));
     }
 
     // -----------------------------------------------------------------------
@@ -113,7 +114,7 @@
      * agent to the end of its authority.
      */
     @Test
-    void waitsOutAnAuthorityThatWasConfirmedWhileItRead() {
+    void waitsForAnAuthorityConfirmedDuringItsReadToExpire() {
         publish();
         old.service.claim();
         lead(old, 5);
@@ -125,12 +126,12 @@
                     lead(old, 30);
                     log.landLate();
                 };
-        next.service.run();
+        next.service.runOnce();
         assertTrue(next.service.isLeading());
         for (int i = 0; i < 680; i++) {
             clock.advance(1000);
             serve(old);
-            next.service.run();
+            next.service.runOnce();
             boolean runs = !agent.worker.getRunning().isEmpty();
             assertTrue(!runs || task().isAssigned(), "released while it ran, after " + i + " s");
         }
@@ -139,18 +140,18 @@
     }
 
     /**
-     * Seen in {@link TestGivenUpProperties}: a leader decided nothing any more. How it came about:
-     * the first heartbeat that it had of an agent left out what it did not know, and was refused.
-     * Cause: the agent counted as heard all the same. Proof: the leader goes on.
+     * Seen in {@link TestAbandonedAttemptProperties}: a leader decided nothing any more. How it
+     * came about: the first heartbeat that it had of an agent left out what it did not know, and
+     * was refused. Cause: the agent counted as heard all the same. Proof: the leader goes on.
      */
     @Test
-    void decidesWhileAnAgentWasOnlyRefused() {
+    void decidesAfterTheOnlyHeartbeatOfAnAgentWasRefused() {
         publish();
         old.service.claim();
         lead(old, 5);
-        Heartbeat part = agent.heartbeat(old.service);
+        Heartbeat part = agent.createHeartbeat(old.service);
         next.service.claim();
-        assertThrows(StandlinkException.class, () -> next.service.heartbeat(part));
+        assertThrows(StandlinkException.class, () -> next.service.handleHeartbeat(part));
         lead(next, 3);
         assertTrue(task().isAssigned());
         assertEquals(1, agent.worker.getRunning().size());
--- a/src/test/java/org/standlink/platform/SilencingProxy.java
+++ b/src/test/java/org/standlink/platform/StallingProxy.java
@@ -30,7 +30,7 @@
  * Passes connections on to a server, and lets those that are open go silent for good on demand,
  * without a reset, while new ones work.
  */
-final class SilencingProxy implements AutoCloseable {
+final class StallingProxy implements AutoCloseable {
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
@@ -50,7 +50,7 @@
         }
     }
 
-    SilencingProxy(int targetPort, Executor threads) throws IOException {
+    StallingProxy(int targetPort, Executor threads) throws IOException {
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         this.target = new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort);
         this.threads = threads;
@@ -62,7 +62,7 @@
     }
 
     /** Lets all connections that are open now go silent; tells how many these were. */
-    synchronized int silenceOpenOnes() {
+    synchronized int stallOpenConnections() {
         links.removeIf(link -> link.caller.isClosed());
         links.forEach(link -> link.silent = true);
         return links.size();
--- a/src/test/java/org/standlink/platform/TestCallerHttp.java
+++ b/src/test/java/org/standlink/platform/TestCallerHttpServer.java
@@ -39,13 +39,13 @@
 import org.standlink.process.ProcessThreads;
 
 /** Tests what a caller is told that sends too much. */
-public class TestCallerHttp {
+public class TestCallerHttpServer {
 
     private static final int MOST_BODY_BYTES = 1000;
 
     private final FakeClock clock = new FakeClock();
     private final ExecutorService threads = ProcessThreads.newCached("test");
-    private CallerHttp server;
+    private CallerHttpServer server;
     private int port;
 
     @BeforeEach
@@ -55,7 +55,7 @@
         QueueDefinition queue = new QueueDefinition("q", "h", "/q/", "s", 0, 2, 250, 1.5, false);
         gateway.offer(new Configuration(1, List.of(queue), List.of(), MOST_BODY_BYTES));
         server =
-                new CallerHttp(
+                new CallerHttpServer(
                         new InetSocketAddress("127.0.0.1", 0),
                         threads,
                         gateway,
@@ -96,14 +96,14 @@
     }
 
     @Test
-    public void aBodyThatIsAnnouncedAsTooLongIsNotWaitedFor() throws IOException {
+    public void oversizedContentLengthIsRejectedWithoutReadingTheBody() throws IOException {
         String answer = send(post(99_999_999_999L, ""));
         assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
         assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"), answer);
     }
 
     @Test
-    public void theLimitIsThatOfTheConfigurationInForce() throws IOException {
+    public void bodyLimitComesFromTheConfigurationInForce() throws IOException {
         String longest = "x".repeat(MOST_BODY_BYTES);
         assertTrue(send(post(MOST_BODY_BYTES, longest)).startsWith("HTTP/1.1 400"));
         assertTrue(send(post(MOST_BODY_BYTES + 1, longest + "x")).startsWith("HTTP/1.1 413"));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    public void aBodyInChunksHasTheSameLimit() throws IOException {
+    public void chunkedBodyHasTheSameLimit() throws IOException {
         String chunk = Integer.toHexString(MOST_BODY_BYTES + 1);
         String request =
                 "POST /q/5c0e7a21d94b36f8 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/test/java/org/standlink/platform/TestFormats.java
+++ b/src/test/java/org/standlink/platform/TestFormats.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void aJobOfThePages() {
+    public void decodesAJob() {
         JobDefinition job =
                 job(
                         "{\"spec\":\"(text)\",\"steps\":[{\"count\":4,\"cpu\":500,\"mem_mb\":256,"
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void everyFieldOfAStep() {
+    public void decodesEveryFieldOfAStep() {
         StepDefinition step =
                 job("{\"spec\":\"\",\"start_at_ms\":5,\"interval_ms\":6,"
                                 + "\"repeat_count\":7,\"steps\":[{\"count\":1,\"cpu\":1,"
@@ -99,7 +99,7 @@
     }
 
     @Test
-    public void whatIsNoJobIsRefusedWithARemedy() {
+    public void rejectsInvalidJobs() {
         for (String wrong :
                 List.of(
                         "not json",
@@ -112,7 +112,7 @@
     }
 
     @Test
-    public void aConfigurationOfThePages() {
+    public void decodesAConfiguration() {
         String text =
                 "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/l/\","
                         + "\"type\":\"unsafe\",\"timeout_ms\":3000,\"target_latency_ms\":250,"
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void otherRecordsOfTheOperatorAreNoConfiguration() {
+    public void ignoresOtherRecordsOfTheOperator() {
         assertTrue(ConfigurationFormat.decode(new KeyedRecord("wave/1", bytes("{}"))).isEmpty());
         assertTrue(ConfigurationFormat.decode(new KeyedRecord("config", new byte[0])).isEmpty());
     }
--- a/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void aWholeHeartbeatIsRead() {
+    public void completeHeartbeatIsDecoded() {
         HeartbeatFormat.Heartbeat read = HeartbeatFormat.decode(ID, bytes(WHOLE));
         assertEquals(4, read.sequence());
         assertEquals(WorkerIncarnation.of(ID, 1784553600123L), read.worker().incarnation());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void whatIsNotKnownIsPassedOver() {
+    public void unknownFieldsAreIgnored() {
         ObjectNode body = whole().put("newer", 1).put("state", "draining").put("remaining_ms", 5);
         HeartbeatFormat.Heartbeat read = HeartbeatFormat.decode(ID, Json.write(body));
         assertTrue(read.worker().draining());
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void eachFieldHasToBeThere() {
+    public void missingFieldsAreRejected() {
         for (String name : fields()) {
             if (!name.equals("born")) {
                 assertRefused(whole().without(name));
@@ -104,14 +104,14 @@
 
     /** Workers that have another id in each life tell none. */
     @Test
-    public void aWorkerThatTellsNoBirthIsKnownByItsId() {
+    public void workerWithoutStartTimeIsIdentifiedByItsId() {
         HeartbeatFormat.Heartbeat read =
                 HeartbeatFormat.decode(ID, Json.write(whole().without("born")));
         assertEquals(WorkerIncarnation.withoutStartTime(ID), read.worker().incarnation());
     }
 
     @Test
-    public void eachFieldHasToBeOfItsType() {
+    public void fieldsOfAnotherTypeAreRejected() {
         for (String name : fields()) {
             boolean number = whole().get(name).isNumber();
             assertRefused(whole().putNull(name));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void valuesThatCannotBeMeantAreRefused() {
+    public void invalidValuesAreRejected() {
         assertRefused(whole().put("state", "asleep"));
         assertRefused(whole().put("service", ""));
         assertRefused(whole().put("address", "10.0.0.1"));
@@ -139,13 +139,13 @@
     }
 
     @Property(tries = 300)
-    public void aHeartbeatThatIsCutShortIsRefused(@ForAll @IntRange(max = 200) int length) {
+    public void truncatedHeartbeatsAreRejected(@ForAll @IntRange(max = 200) int length) {
         byte[] all = bytes(WHOLE);
         assertRefused(Arrays.copyOf(all, Math.min(length, all.length - 1)), "cut at " + length);
     }
 
     @Property(tries = 500)
-    public void otherBytesNeverEndInAnotherError(@ForAll byte[] body) {
+    public void arbitraryBytesCauseNoOtherError(@ForAll byte[] body) {
         try {
             HeartbeatFormat.decode(ID, body);
         } catch (StandlinkException refused) {
--- a/src/test/java/org/standlink/platform/TestHeartbeatServer.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatServer.java
@@ -105,7 +105,8 @@
     }
 
     @Property(tries = 30)
-    public void noSpoiltBirthCounts(@ForAll @Size(max = 12) List<@IntRange(max = 9) Integer> forms)
+    public void malformedStartTimesAreRejected(
+            @ForAll @Size(max = 12) List<@IntRange(max = 9) Integer> forms)
             throws IOException, InterruptedException {
         HEARD.clear();
         List<String> good = new ArrayList<>();
--- a/src/test/java/org/standlink/platform/TestHttpStore.java
+++ b/src/test/java/org/standlink/platform/TestHttpStore.java
@@ -46,7 +46,7 @@
     @BeforeEach
     public void listen() {
         standIn = new StandInStore(new InetSocketAddress("127.0.0.1", 0), threads);
-        store = new HttpStore(new HttpCaller(threads), "127.0.0.1:" + standIn.getPort());
+        store = new HttpStore(new PlatformHttpClient(threads), "127.0.0.1:" + standIn.getPort());
     }
 
     @AfterEach
@@ -65,7 +65,7 @@
     }
 
     @Test
-    public void anAppendAtAnotherEndIsRefused() {
+    public void appendAtAnotherEndIsRejected() {
         assertEquals(1, store.appendAt(Topic.CLAIMS, List.of(record("a", "1")), 0).join());
         CompletableFuture<Long> second = store.appendAt(Topic.CLAIMS, List.of(record("a", "2")), 0);
         assertEquals(ErrorCode.CONDITION_FAILED, codeOf(second));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void theNewestOfEachKeyIsReadAndThenWhatFollows() {
+    public void newestRecordOfEachKeyIsReadAndThenFollowingRecords() {
         store.appendAt(
                         Topic.CLAIMS,
                         List.of(record("a", "1"), record("b", "1"), record("a", "2")),
--- a/src/test/java/org/standlink/platform/TestHttpWorkerClient.java
+++ b/src/test/java/org/standlink/platform/TestHttpWorkerClient.java
@@ -72,7 +72,7 @@
         server = HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
         server.createContext("/", this::handle);
         server.start();
-        calls = new HttpWorkerClient(new HttpCaller(threads));
+        calls = new HttpWorkerClient(new PlatformHttpClient(threads));
         worker =
                 new WorkerDescription(
                         WorkerIncarnation.parse("i-7f3a91c2@1000"),
@@ -109,7 +109,7 @@
 
     /** Whoever waits for a list goes on asking only if each call ends with a result. */
     @Test
-    public void aListThatCannotBeReadIsNoAnswer() {
+    public void malformedListsAreTreatedAsNoAnswer() {
         for (String row : List.of("[58,\"task\",1,\"done\",\"\"]", "[58,7]", "7", "null")) {
             answer = "{\"born\":1000,\"clock_ms\":1,\"running\":[],\"ended\":[" + row + "]}";
             RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
@@ -119,7 +119,7 @@
 
     /** Without it nobody can tell of which life the lists are. */
     @Test
-    public void aListWithoutAWholeBirthIsNoAnswer() {
+    public void listsWithAMalformedStartTimeAreTreatedAsNoAnswer() {
         List<String> births =
                 List.of(
                         "",
@@ -135,7 +135,7 @@
     }
 
     @Test
-    public void aWorkerThatTellsNoBirthAnswersWithoutOne() {
+    public void workerWithoutStartTimeAnswersWithoutOne() {
         worker =
                 new WorkerDescription(
                         WorkerIncarnation.parse("i-7f3a91c2"),
@@ -152,14 +152,14 @@
     }
 
     @Test
-    public void aListTellsWhichLifeAnswers() {
+    public void answerNamesTheIncarnation() {
         answer = "{\"born\":2000,\"clock_ms\":1,\"running\":[],\"ended\":[]}";
         RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
         assertEquals(WorkerIncarnation.parse("i-7f3a91c2@2000"), result.incarnation());
     }
 
     @Test
-    public void aStartNamesRunTimeEpochAndLife() {
+    public void startRequestNamesRunLeaseFenceAndWorker() {
         CallResult result = start("00000bb87a21d94b");
         assertEquals(CallResult.Kind.DONE, result.kind());
         assertEquals(482113, result.clockMillis());
@@ -174,13 +174,13 @@
     }
 
     @Test
-    public void aStartWithoutAStateNamesNone() {
+    public void startRequestWithoutCheckpointOmitsTheField() {
         start("");
         assertFalse(body.has("checkpoint"));
     }
 
     @Test
-    public void eachRefusalHasItsKind() {
+    public void refusalsAreMappedToTheirKind() {
         Object[][] table = {
             {409, "{\"clock_ms\":1,\"reason\":\"fence\"}", CallResult.Kind.FENCED},
             {409, "{\"clock_ms\":1,\"reason\":\"old\"}", CallResult.Kind.SUPERSEDED},
@@ -201,13 +201,13 @@
     }
 
     @Test
-    public void aWorkerThatIsNotThereIsUnknown() {
+    public void callToAnUnreachableWorkerHasUnknownOutcome() {
         server.stop(0);
         assertEquals(CallResult.Kind.UNKNOWN, start("").kind());
     }
 
     @Test
-    public void aHoldReadsBothLists() {
+    public void renewalDecodesBothLists() {
         answer =
                 "{\"born\":1000,\"clock_ms\":482113,\"running\":[[\"5c0e7a21d94b36f8.0.1.17\",2,\"0b\",41,12]],"
                         + "\"ended\":[[58,\"5c0e7a21d94b36f8.0.1.9\",1,\"done\",\"\"]]}";
@@ -222,7 +222,7 @@
     }
 
     @Test
-    public void aHoldThatProlongsNothingNamesNoTime() {
+    public void renewalWithoutExtensionOmitsTheLeaseEnd() {
         calls.renew(worker, -1, FENCE, 0, 0).join();
         assertFalse(body.has("until_ms"));
         assertFalse(body.has("wait_ms"));
--- a/src/test/java/org/standlink/platform/TestHttpCaller.java
+++ b/src/test/java/org/standlink/platform/TestPlatformHttpClient.java
@@ -38,7 +38,7 @@
 import org.standlink.process.ProcessThreads;
 
 /** Tests what becomes of calls when open connections go silent while new ones work. */
-public class TestHttpCaller {
+public class TestPlatformHttpClient {
 
     /** How many connections are open when they go silent. */
     private static final int OPEN = 3;
@@ -47,7 +47,7 @@
     private static final long PATIENT_MILLIS = 60_000;
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
-    private final HttpCaller caller = new HttpCaller(threads);
+    private final PlatformHttpClient caller = new PlatformHttpClient(threads);
     private final CountDownLatch allOpen = new CountDownLatch(OPEN);
     private ServerSocket listener;
 
@@ -104,11 +104,11 @@
 
     private CompletableFuture<HttpResponse<byte[]>> call(long millis) {
         String address = "127.0.0.1:" + listener.getLocalPort();
-        return caller.send(caller.request(address, "/", millis).GET());
+        return caller.send(caller.newRequest(address, "/", millis).GET());
     }
 
     @Test
-    public void afterOneSilentConnectionTheOtherIdleOnesAreNotUsed() {
+    public void idleConnectionsAreDiscardedAfterATimeout() {
         List<CompletableFuture<HttpResponse<byte[]>>> first =
                 IntStream.range(0, OPEN).mapToObj(one -> call(PATIENT_MILLIS)).toList();
         first.forEach(CompletableFuture::join);
--- a/src/test/java/org/standlink/platform/TestRecordFormat.java
+++ b/src/test/java/org/standlink/platform/TestRecordFormat.java
@@ -42,7 +42,7 @@
         byte[] records = {0, 0, 0, 5, 2, 'a', 'b', 7, 8, 0, 0, 0, 2, 1, 'c'};
         ByteBuffer body = ByteBuffer.allocate(16 + records.length);
         body.putLong(42).putLong(0).put(records);
-        ReadResult result = HttpStore.RecordFormat.decode(body.array(), 40);
+        ReadResult result = HttpStore.RecordFormat.decodeReadAnswer(body.array(), 40);
         assertEquals(42, result.next());
         assertEquals(new KeyedRecord("ab", new byte[] {7, 8}), result.records().get(0));
         assertEquals(new KeyedRecord("c", new byte[0]), result.records().get(1));
--- a/src/test/java/org/standlink/platform/TestSilentStoreConnections.java
+++ b/src/test/java/org/standlink/platform/TestStalledStoreConnections.java
@@ -45,23 +45,23 @@
  * limit, and that what follows gets a connection that works: nobody waits behind a silent one for
  * longer than one limit. The tests ask what ends and how, never how fast.
  */
-public class TestSilentStoreConnections {
+public class TestStalledStoreConnections {
 
     private static final Writer FIRST = new Writer(Epoch.of(1), 1, Writer.ANYWHERE);
     private static final Writer SECOND = new Writer(Epoch.of(1), 2, Writer.ANYWHERE);
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private StandInStore standIn;
-    private SilencingProxy proxy;
+    private StallingProxy proxy;
     private HttpStore store;
 
     @BeforeEach
     public void listen() throws IOException {
         standIn = new StandInStore(new InetSocketAddress("127.0.0.1", 0), threads);
-        proxy = new SilencingProxy(standIn.getPort(), threads);
-        store = new HttpStore(new HttpCaller(threads), "127.0.0.1:" + proxy.getPort());
+        proxy = new StallingProxy(standIn.getPort(), threads);
+        store = new HttpStore(new PlatformHttpClient(threads), "127.0.0.1:" + proxy.getPort());
         store.append(Topic.CELL, records("a"), FIRST).join();
-        assertTrue(proxy.silenceOpenOnes() > 0, "a connection is kept open");
+        assertTrue(proxy.stallOpenConnections() > 0, "a connection is kept open");
     }
 
     @AfterEach
@@ -85,48 +85,48 @@
 
     // -----------------------------------------------------------------------
     @Test
-    public void anAppendIsRepeatedUnderItsNumberAndCountsOnce() {
+    public void appendIsRetriedUnderItsSequenceNumberAndExecutedOnce() {
         assertEquals(2, secondOf(() -> store.append(Topic.CELL, records("b"), SECOND)));
         assertEquals(2, store.readEnd(Topic.CELL).join());
     }
 
     @Test
-    public void aClaimIsRepeatedUnderItsCondition() {
+    public void claimIsRetriedUnderItsCondition() {
         assertEquals(1, secondOf(() -> store.appendAt(Topic.CLAIMS, records("c"), 0)));
     }
 
     @Test
-    public void aFenceIsRepeated() {
+    public void fenceIsRetried() {
         assertEquals(1, secondOf(() -> store.fence(Topic.CELL, Epoch.of(2))));
     }
 
     @Test
-    public void aReadIsRepeated() {
+    public void readIsRetried() {
         assertEquals(1, secondOf(() -> store.read(Topic.CELL, 0, 0)).records().size());
     }
 
     @Test
-    public void aReadOfTheEndIsRepeated() {
+    public void readOfTheEndIsRetried() {
         assertEquals(1, secondOf(() -> store.readEnd(Topic.CELL)));
     }
 
     @Test
-    public void aReadOfTheNewestIsRepeated() {
+    public void readOfTheNewestRecordsIsRetried() {
         assertEquals(1, secondOf(() -> store.readNewest(Topic.CELL)).records().size());
     }
 
     @Test
-    public void aReadThatWaitsWhenItsConnectionGoesSilentEndsAndIsRepeated() {
+    public void longPollOnAStalledConnectionTimesOutAndIsRetried() {
         // Leaves one idle connection that works, which the read takes.
         secondOf(() -> store.readEnd(Topic.CELL));
         CompletableFuture<?> waiting = store.read(Topic.CELL, 1, 300);
-        proxy.silenceOpenOnes();
+        proxy.stallOpenConnections();
         assertThrows(CompletionException.class, waiting::join);
         assertEquals(1, store.read(Topic.CELL, 0, 300).join().records().size());
     }
 
     @Test
-    public void aCallIsNotQueuedBehindOneWhoseConnectionIsSilent() {
+    public void callIsNotQueuedBehindOneOnAStalledConnection() {
         CompletableFuture<Boolean> read = endsWell(store.readEnd(Topic.CELL));
         CompletableFuture<Boolean> append =
                 endsWell(store.append(Topic.CELL, records("b"), SECOND));
--- a/src/test/java/org/standlink/platform/TestStandInWorker.java
+++ b/src/test/java/org/standlink/platform/TestStandInWorker.java
@@ -51,7 +51,7 @@
     private final StandInWorker worker =
             new StandInWorker(
                     new InetSocketAddress("127.0.0.1", 0), threads, clock::nowMillis, WORK_MILLIS);
-    private final HttpWorkerClient calls = new HttpWorkerClient(new HttpCaller(threads));
+    private final HttpWorkerClient calls = new HttpWorkerClient(new PlatformHttpClient(threads));
 
     @AfterEach
     public void close() {
@@ -60,7 +60,7 @@
     }
 
     private WorkerDescription describe() {
-        byte[] body = worker.heartbeat("s", 1).getBytes(StandardCharsets.UTF_8);
+        byte[] body = worker.createHeartbeat("s", 1).getBytes(StandardCharsets.UTF_8);
         return HeartbeatFormat.decode(ID, body).worker();
     }
 
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void theNextLifeListsNothingAndCountsAnew() {
+    public void restartedWorkerListsNoRunsAndNumbersItsEndsAnew() {
         WorkerDescription former = describe();
         start(former, 0);
         clock.advance(WORK_MILLIS);
@@ -84,7 +84,7 @@
         assertEquals(former.incarnation(), before.incarnation());
         assertEquals(1, before.running().size());
         assertEquals(1, before.ended().size());
-        worker.startAgain();
+        worker.restart();
         RenewalResult after = renew(former);
         assertTrue(after.incarnation().isOtherIncarnationOf(former.incarnation()));
         assertEquals(List.of(), after.running());
--- a/src/test/java/org/standlink/process/TestConnectionDrain.java
+++ b/src/test/java/org/standlink/process/TestConnectionDrain.java
@@ -26,8 +26,8 @@
 public class TestConnectionDrain {
 
     /** A server that hands over at once whatever arrives. */
-    private static final Arrivals AT_ONCE =
-            new Arrivals() {
+    private static final PendingArrivals AT_ONCE =
+            new PendingArrivals() {
                 @Override
                 public void await(long timeoutMillis) {}
 
@@ -111,8 +111,8 @@
     public void aRequestThatHadArrivedAndWasNotReadIsWaitedFor() throws InterruptedException {
         drain.leave();
         boolean[] read = new boolean[1];
-        Arrivals late =
-                new Arrivals() {
+        PendingArrivals late =
+                new PendingArrivals() {
                     @Override
                     public void await(long timeoutMillis) {
                         if (!read[0]) {
@@ -135,8 +135,8 @@
     public void aServerIsNotLeftWhileRequestsWaitForAHandler() throws InterruptedException {
         drain.leave();
         int[] pending = {40};
-        Arrivals waiting =
-                new Arrivals() {
+        PendingArrivals waiting =
+                new PendingArrivals() {
                     @Override
                     public void await(long timeoutMillis) {}
 
--- a/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
+++ b/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
@@ -171,7 +171,7 @@
 
     @Test
     public void anUnresponsiveWorkerHasLapsedOnceItsLeaseHasExpired() {
-        assertTrue(supervisor.createReport().known());
+        assertTrue(supervisor.createReport().runsKnown());
         worker.renewalResult = CallResult.Kind.UNKNOWN;
         loop.advance(LEASE_MILLIS - 500);
         assertFalse(supervisor.createReport().reachable());
@@ -242,7 +242,7 @@
         assertTrue(supervisor.createReport().lapsed());
         supervisor.reportAcknowledged(supervisor.createReport());
         assertTrue(supervisor.createReport().running().isEmpty());
-        assertFalse(supervisor.createReport().known());
+        assertFalse(supervisor.createReport().runsKnown());
         assertTrue(supervisor.createReport().lapsed(), "a new leader has to receive it as well");
     }
 
--- a/src/test/java/org/standlink/simulation/FaultInjector.java
+++ b/src/test/java/org/standlink/simulation/FaultInjector.java
@@ -29,162 +29,171 @@
 
     FaultInjector(SimulatedCell cell) {
         this.cell = cell;
-        this.world = cell.getWorld();
+        this.world = cell.getEnvironment();
     }
 
     /** Lets all faults happen in their time. */
-    void schedule(List<Fault> faults) {
-        faults.forEach(fault -> world.later(fault.at() - world.elapsed(), () -> begin(fault)));
+    void schedule(List<SimulatedFault> faults) {
+        faults.forEach(
+                fault -> world.schedule(fault.startMillis() - world.elapsed(), () -> begin(fault)));
     }
 
     // -----------------------------------------------------------------------
-    private void begin(Fault fault) {
-        world.note("FAULT " + fault);
-        cell.getReferee().impaired(fault.millis());
+    private void begin(SimulatedFault fault) {
+        world.trace("FAULT " + fault);
+        cell.getInvariantChecker().recordImpairment(fault.durationMillis());
         switch (fault.kind()) {
-            case STORE_AWAY -> cell.getWeather().away(fault.millis());
-            case STORE_REFUSES -> cell.getWeather().refuse(fault.millis());
-            case STORE_SLOW -> cell.getWeather().slow(fault.millis());
-            case STORE_UNHEARD -> cell.getWeather().loseAnswers(fault.millis());
-            case STORE_CUT -> cell.newestLeader().getStore().getOwn().away(fault.millis());
+            case STORE_UNAVAILABLE -> cell.getStoreFaults().makeUnavailable(fault.durationMillis());
+            case STORE_REFUSES -> cell.getStoreFaults().refuseCalls(fault.durationMillis());
+            case STORE_SLOW -> cell.getStoreFaults().slowDown(fault.durationMillis());
+            case STORE_ANSWERS_LOST -> cell.getStoreFaults().loseAnswers(fault.durationMillis());
+            case LEADER_STORE_UNAVAILABLE ->
+                    cell.newestLeader()
+                            .getStore()
+                            .getOwnFaults()
+                            .makeUnavailable(fault.durationMillis());
             case LEADER_REPLACED -> replaceLeader(fault);
             case LEADER_OVERTAKEN -> overtakeLeader(fault);
-            case LEADER_CUT_OFF -> cutLeaderOff(fault);
+            case LEADER_PARTITIONED -> cutLeaderOff(fault);
             case LEADER_CRASH -> crashLeader(fault);
             case LEADER_FROZEN ->
-                    cell.newestLeader().freeze(fault.millis(), fault.choice() % 2 == 0);
+                    cell.newestLeader().freeze(fault.durationMillis(), fault.variant() % 2 == 0);
             default -> beginOn(cell.getMachines().get(fault.machine()), fault);
         }
     }
 
-    private void beginOn(SimulatedMachine machine, Fault fault) {
-        int choice = fault.choice();
+    private void beginOn(SimulatedMachine machine, SimulatedFault fault) {
+        int choice = fault.variant();
         switch (fault.kind()) {
-            case WORKER_UNSURE -> machine.getPath().unsure(fault.millis(), 20 + choice % 60);
-            case WORKER_SILENT -> machine.getPath().silence(fault.millis());
+            case WORKER_UNRELIABLE ->
+                    machine.getWorkerClient()
+                            .makeUnreliable(fault.durationMillis(), 20 + choice % 60);
+            case WORKER_UNRESPONSIVE ->
+                    machine.getWorkerClient().makeUnresponsive(fault.durationMillis());
             case WORKER_CRASH -> crashWorker(machine, fault);
-            case LINK_HELD, LINK_LOST -> hinder(machine, fault);
-            case CHANNEL_SILENT -> machine.silenceChannel(choice % 3 != 0, choice % 3 != 1);
+            case LINK_DELAYED, LINK_LOST -> hinder(machine, fault);
+            case CHANNEL_MESSAGES_DROPPED ->
+                    machine.dropChannelMessages(choice % 3 != 0, choice % 3 != 1);
             case AGENT_RESTART -> restart(machine, fault);
-            case AGENT_FROZEN -> machine.freezeAgent(fault.millis());
-            case WORKER_LEAVES -> leave(machine);
+            case AGENT_FROZEN -> machine.freezeAgent(fault.durationMillis());
+            case WORKER_DRAINS -> leave(machine);
             default -> throw new IllegalArgumentException("no fault of a machine: " + fault);
         }
     }
 
-    private static void hinder(SimulatedMachine machine, Fault fault) {
-        List<Pipe.Direction> directions = new ArrayList<>();
-        if (fault.choice() % 3 != 0) {
-            directions.add(machine.getUp());
+    private static void hinder(SimulatedMachine machine, SimulatedFault fault) {
+        List<OneWayChannel.NetworkPath> directions = new ArrayList<>();
+        if (fault.variant() % 3 != 0) {
+            directions.add(machine.getUplink());
         }
-        if (fault.choice() % 3 != 1) {
-            directions.add(machine.getDown());
+        if (fault.variant() % 3 != 1) {
+            directions.add(machine.getDownlink());
         }
-        for (Pipe.Direction direction : directions) {
-            if (fault.kind() == Fault.Kind.LINK_HELD) {
-                direction.hold(fault.millis());
+        for (OneWayChannel.NetworkPath direction : directions) {
+            if (fault.kind() == SimulatedFault.Kind.LINK_DELAYED) {
+                direction.delay(fault.durationMillis());
             } else {
-                direction.lose(fault.millis());
+                direction.loseMessages(fault.durationMillis());
             }
         }
     }
 
-    private void crashWorker(SimulatedMachine machine, Fault fault) {
-        if (machine.getPath().getLife().isUp()) {
+    private void crashWorker(SimulatedMachine machine, SimulatedFault fault) {
+        if (machine.getWorkerClient().getWorker().isUp()) {
             machine.crashWorker();
-            world.later(
-                    Math.min(fault.millis(), 2000),
+            world.schedule(
+                    Math.min(fault.durationMillis(), 2000),
                     () -> {
-                        if (!machine.getPath().getLife().isUp()) {
-                            machine.beginLife();
+                        if (!machine.getWorkerClient().getWorker().isUp()) {
+                            machine.startWorker();
                         }
                     });
         }
     }
 
     private void leave(SimulatedMachine machine) {
-        if (machine.getPath().getLife().isUp()) {
-            machine.leave();
-            cell.getReferee().impaired(LEAVE_MILLIS);
-            world.later(
+        if (machine.getWorkerClient().getWorker().isUp()) {
+            machine.drainWorker();
+            cell.getInvariantChecker().recordImpairment(LEAVE_MILLIS);
+            world.schedule(
                     LEAVE_MILLIS,
                     () -> {
-                        if (!machine.getPath().getLife().isUp()) {
-                            machine.beginLife();
+                        if (!machine.getWorkerClient().getWorker().isUp()) {
+                            machine.startWorker();
                         }
                     });
         }
     }
 
     /** The process is back at once, or after a while. */
-    private void restart(SimulatedMachine machine, Fault fault) {
+    private void restart(SimulatedMachine machine, SimulatedFault fault) {
         if (!machine.hasAgent()) {
             return;
         }
         machine.endAgent();
-        if (fault.choice() % 3 == 0) {
+        if (fault.variant() % 3 == 0) {
             // The new process hears of its worker hardly more than that it is there.
-            world.later(world.draw(20, 700), () -> silence(machine, world.draw(500, 5000)));
+            world.schedule(world.draw(20, 700), () -> silence(machine, world.draw(500, 5000)));
         }
-        long pause = fault.choice() % 2 == 0 ? 50 : Math.min(fault.millis(), 8000);
-        world.later(
+        long pause = fault.variant() % 2 == 0 ? 50 : Math.min(fault.durationMillis(), 8000);
+        world.schedule(
                 pause,
                 () -> {
                     if (!machine.hasAgent()) {
-                        machine.startAgent(cell.newestNotice());
+                        machine.startAgent(cell.newestLeaderNotice());
                     }
                 });
     }
 
     private void silence(SimulatedMachine machine, long millis) {
-        cell.getReferee().impaired(millis);
-        machine.getPath().silence(millis);
+        cell.getInvariantChecker().recordImpairment(millis);
+        machine.getWorkerClient().makeUnresponsive(millis);
     }
 
     /** Each agent learns of the new leader at a time of its own. */
-    private void replaceLeader(Fault fault) {
+    private void replaceLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
-            cell.lead();
+            cell.startLeader();
             announce(fault);
         }
     }
 
-    private void overtakeLeader(Fault fault) {
+    private void overtakeLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
-            cell.newestLeader().freeze(fault.millis(), fault.choice() % 2 == 0);
-            world.later(Math.min(fault.millis(), 1300), () -> replaceLeader(fault));
+            cell.newestLeader().freeze(fault.durationMillis(), fault.variant() % 2 == 0);
+            world.schedule(Math.min(fault.durationMillis(), 1300), () -> replaceLeader(fault));
         }
     }
 
     /** The one before grants for as long as it may, and some agents hear of no other for longer. */
-    private void cutLeaderOff(Fault fault) {
+    private void cutLeaderOff(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
-            cell.newestLeader().getStore().getOwn().away(CUT_OFF_MILLIS);
-            world.later(Math.min(fault.millis(), 1500), () -> replaceLeader(fault));
+            cell.newestLeader().getStore().getOwnFaults().makeUnavailable(CUT_OFF_MILLIS);
+            world.schedule(Math.min(fault.durationMillis(), 1500), () -> replaceLeader(fault));
         }
     }
 
-    private void crashLeader(Fault fault) {
+    private void crashLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
             cell.crashLeader();
-            world.later(
-                    Math.min(fault.millis(), 3000),
+            world.schedule(
+                    Math.min(fault.durationMillis(), 3000),
                     () -> {
                         if (cell.isLeaderless()) {
-                            cell.lead();
+                            cell.startLeader();
                             announce(fault);
                         }
                     });
         }
     }
 
-    private void announce(Fault fault) {
-        long longest = fault.choice() % 4 == 0 ? 8000 : 1500;
-        longest = fault.kind() == Fault.Kind.LEADER_CUT_OFF ? CUT_OFF_MILLIS : longest;
+    private void announce(SimulatedFault fault) {
+        long longest = fault.variant() % 4 == 0 ? 8000 : 1500;
+        longest = fault.kind() == SimulatedFault.Kind.LEADER_PARTITIONED ? CUT_OFF_MILLIS : longest;
         for (SimulatedMachine machine : cell.getMachines()) {
             long pause = world.draw(0, longest);
-            cell.getReferee().impaired(pause);
-            world.later(pause, () -> machine.tell(cell.newestNotice()));
+            cell.getInvariantChecker().recordImpairment(pause);
+            world.schedule(pause, () -> machine.notifyOfLeader(cell.newestLeaderNotice()));
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/FaultPlan.java
+++ b/src/test/java/org/standlink/simulation/FaultPlan.java
@@ -44,7 +44,7 @@
     private final Random random;
     private final int form;
     private final int machines;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<SimulatedFault> faults = new ArrayList<>();
 
     private FaultPlan(long seed, int machines) {
         this.random = new Random(seed * 31 + 7);
@@ -53,7 +53,7 @@
     }
 
     /** Draws the faults of a day on so many machines, which begin between two times. */
-    static List<Fault> draw(long seed, int machines, long from, long until) {
+    static List<SimulatedFault> draw(long seed, int machines, long from, long until) {
         FaultPlan plan = new FaultPlan(seed, machines);
         plan.draw(from, until);
         return plan.faults;
@@ -77,7 +77,7 @@
 
     private void addAnywhere(int count, long from, long until) {
         for (int i = 0; i < count; i++) {
-            add(Fault.Kind.values(), random.nextInt(machines), from, until);
+            add(SimulatedFault.Kind.values(), random.nextInt(machines), from, until);
         }
     }
 
@@ -85,13 +85,13 @@
         int count = 2 + random.nextInt(MOST_IN_CLUSTER - 1);
         int machine = random.nextInt(machines);
         for (int i = 0; i < count; i++) {
-            add(Fault.Kind.ofMachines(), machine, from, from + TOGETHER_MILLIS);
+            add(SimulatedFault.Kind.listMachineKinds(), machine, from, from + TOGETHER_MILLIS);
         }
     }
 
-    private void add(Fault.Kind[] kinds, int machine, long from, long until) {
+    private void add(SimulatedFault.Kind[] kinds, int machine, long from, long until) {
         long at = from + random.nextInt((int) (until - from));
-        Fault.Kind kind = kinds[random.nextInt(kinds.length)];
+        SimulatedFault.Kind kind = kinds[random.nextInt(kinds.length)];
         long millis = 300 + random.nextInt((int) LONGEST_MILLIS - 300);
         if (random.nextInt(4) == 0) {
             long span = LAST_LAPSE_MILLIS - FIRST_LAPSE_MILLIS;
@@ -99,6 +99,6 @@
         } else if (random.nextBoolean()) {
             millis /= 4;
         }
-        faults.add(new Fault(at, kind, machine, millis, random.nextInt(1000)));
+        faults.add(new SimulatedFault(at, kind, machine, millis, random.nextInt(1000)));
     }
 }
--- a/src/test/java/org/standlink/simulation/InvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/InvariantChecker.java
@@ -94,15 +94,21 @@
 
     InvariantChecker(SimulationEnvironment world) {
         this.world = world;
-        world.every(50, this::lookForCancelled);
+        world.scheduleRepeating(50, this::lookForCancelled);
     }
 
     // -----------------------------------------------------------------------
-    void begun(SimulatedWorker life, RunId run, boolean late) {
-        world.note("BEGINS " + run + " on " + life.getId() + (late ? ", late" : ""));
+    void recordStart(SimulatedWorker life, RunId run, boolean late) {
+        world.trace("BEGINS " + run + " on " + life.getIncarnation() + (late ? ", late" : ""));
         for (Map.Entry<RunId, Map<SimulatedWorker, Present>> other : present.entrySet()) {
             if (other.getKey().task().equals(run.task()) && !other.getValue().isEmpty()) {
-                blame("TWICE " + run + " on " + life.getId() + " beside " + other.getKey());
+                addViolation(
+                        "TWICE "
+                                + run
+                                + " on "
+                                + life.getIncarnation()
+                                + " beside "
+                                + other.getKey());
             }
         }
         starts.computeIfAbsent(run.task(), key -> new ArrayList<>())
@@ -112,11 +118,13 @@
         }
         Long evacuatedAt = evacuated.get(life.getHall());
         if (!late && evacuatedAt != null && world.now() > evacuatedAt + EVACUATE_MILLIS) {
-            blame("EVAC " + run + " begins " + (world.now() - evacuatedAt) + " ms after the ack");
+            addViolation(
+                    "EVAC " + run + " begins " + (world.now() - evacuatedAt) + " ms after the ack");
         }
         Long ack = cancelled.get(run.task().job());
         if (ack != null && !late && world.now() > ack + CANCEL_MILLIS && isCalm()) {
-            blame("UNASKED " + run + " begins " + (world.now() - ack) + " ms after the cancel");
+            addViolation(
+                    "UNASKED " + run + " begins " + (world.now() - ack) + " ms after the cancel");
         }
         present.computeIfAbsent(run, key -> new LinkedHashMap<>())
                 .put(life, new Present(world.now(), late));
@@ -124,12 +132,13 @@
 
     private void countStartAfterCrashes(RunId run) {
         if (startsAfterCrashes.merge(run.task(), 1, Integer::sum) == TOO_MANY_STARTS) {
-            blame("CRASHES " + run + " begins after its task has crashed " + COUNTED_CRASHES);
+            addViolation(
+                    "CRASHES " + run + " begins after its task has crashed " + COUNTED_CRASHES);
         }
     }
 
     /** Takes note that a task crashes its worker. */
-    void crashedUnder(TaskName task) {
+    void recordCrash(TaskName task) {
         crashes.merge(task, 1, Integer::sum);
     }
 
@@ -138,26 +147,26 @@
         return crashes.getOrDefault(task, 0);
     }
 
-    void room(SimulatedWorker life, Resources taken, Resources capacity, RunId run) {
+    void checkCapacity(SimulatedWorker life, Resources taken, Resources capacity, RunId run) {
         if (!taken.fitsIn(capacity)) {
-            blame("ROOM " + run + " on " + life.getId() + " with " + taken);
+            addViolation("ROOM " + run + " on " + life.getIncarnation() + " with " + taken);
         }
     }
 
-    void over(SimulatedWorker life, RunId run, RunEndKind kind, long number) {
-        world.note("ends " + run + " on " + life.getId() + " " + kind);
+    void recordEnd(SimulatedWorker life, RunId run, RunEndKind kind, long number) {
+        world.trace("ends " + run + " on " + life.getIncarnation() + " " + kind);
         remove(life, run);
         if (kind == RunEndKind.DONE) {
             goods.add(new Good(life, number, run.task(), world.now()));
         }
     }
 
-    void died(SimulatedWorker life, RunId run) {
-        world.note("dies " + run + " on " + life.getId());
+    void recordLostRun(SimulatedWorker life, RunId run) {
+        world.trace("dies " + run + " on " + life.getIncarnation());
         remove(life, run);
     }
 
-    void recorded(SimulatedWorker life, long number) {
+    void recordPersistedEnds(SimulatedWorker life, long number) {
         for (Good good : goods) {
             if (good.life == life && good.number <= number && !good.lapsed) {
                 good.recorded = true;
@@ -165,14 +174,14 @@
         }
     }
 
-    void lapsed(SimulatedWorker life) {
+    void recordLapse(SimulatedWorker life) {
         for (Good good : goods) {
             good.lapsed |= good.life == life && !good.recorded;
         }
     }
 
     void cancelAcknowledged(JobId job) {
-        world.note("cancel acknowledged of " + job);
+        world.trace("cancel acknowledged of " + job);
         cancelled.putIfAbsent(job, world.now());
     }
 
@@ -185,7 +194,7 @@
     }
 
     /** Takes note of an impairment from now on. */
-    void impaired(long millis) {
+    void recordImpairment(long millis) {
         impairments.add(new long[] {world.now(), world.now() + millis});
     }
 
@@ -194,12 +203,12 @@
         return cancelled.containsKey(job);
     }
 
-    boolean isAtWork(TaskName task) {
+    boolean isRunning(TaskName task) {
         return present.entrySet().stream()
                 .anyMatch(e -> e.getKey().task().equals(task) && !e.getValue().isEmpty());
     }
 
-    boolean isWellEnded(TaskName task) {
+    boolean hasSucceeded(TaskName task) {
         return goods.stream().anyMatch(good -> good.task.equals(task));
     }
 
@@ -213,15 +222,16 @@
         for (Good good : goods) {
             for (long[] start : starts.getOrDefault(good.task, List.of())) {
                 if (good.recorded && start[0] > good.at) {
-                    blame("AGAIN " + good.task + "#" + start[1] + " began after a recorded end");
+                    addViolation(
+                            "AGAIN " + good.task + "#" + start[1] + " began after a recorded end");
                 }
             }
         }
         return violations;
     }
 
-    void blame(String what) {
-        world.note("!!! " + what);
+    void addViolation(String what) {
+        world.trace("!!! " + what);
         violations.add(String.format("%.3f %s", world.elapsed() / 1000.0, what));
     }
 
@@ -256,7 +266,8 @@
         }
         if (world.now() > bound) {
             one.blamed = true;
-            blame("UNASKED " + run + " at work " + (world.now() - ack) + " ms after the cancel");
+            addViolation(
+                    "UNASKED " + run + " at work " + (world.now() - ack) + " ms after the cancel");
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/OperatorView.java
+++ b/src/test/java/org/standlink/simulation/ObservedEvacuations.java
@@ -18,19 +18,19 @@
 import org.standlink.job.EvacuatedHalls;
 
 /** What a process has read of the operator's requests: the newest that has come so far. */
-final class OperatorView {
+final class ObservedEvacuations {
 
     private long newest;
     private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
 
-    void read(long number, EvacuatedHalls halls) {
+    void receive(long number, EvacuatedHalls halls) {
         if (number > newest) {
             newest = number;
             evacuated = halls;
         }
     }
 
-    EvacuatedHalls getEvacuated() {
+    EvacuatedHalls getEvacuatedHalls() {
         return evacuated;
     }
 }
--- a/src/test/java/org/standlink/simulation/Pipe.java
+++ b/src/test/java/org/standlink/simulation/OneWayChannel.java
@@ -18,10 +18,10 @@
 /**
  * One direction of a channel: keeps the order, may hold messages up, and may go silent for good.
  */
-final class Pipe {
+final class OneWayChannel {
 
     private final SimulationEnvironment world;
-    private final Direction direction;
+    private final NetworkPath direction;
 
     /** How much later a channel that was held up may go on than new ones work. */
     private static final long LONGEST_BACKOFF_MILLIS = 5000;
@@ -31,23 +31,23 @@
     private long backoffMillis = -1;
 
     /** The state of the way between two machines in one direction. */
-    static final class Direction {
+    static final class NetworkPath {
 
         private final SimulationEnvironment world;
         private long heldUntil;
         private long losesUntil;
 
-        Direction(SimulationEnvironment world) {
+        NetworkPath(SimulationEnvironment world) {
             this.world = world;
         }
 
         /** Holds messages up for a while; those of one channel come in order, some time after. */
-        void hold(long millis) {
+        void delay(long millis) {
             heldUntil = Math.max(heldUntil, world.now() + millis);
         }
 
         /** Loses messages for a while; a channel that lost one says nothing more. */
-        void lose(long millis) {
+        void loseMessages(long millis) {
             losesUntil = Math.max(losesUntil, world.now() + millis);
         }
 
@@ -61,18 +61,18 @@
         }
     }
 
-    Pipe(SimulationEnvironment world, Direction direction) {
+    OneWayChannel(SimulationEnvironment world, NetworkPath direction) {
         this.world = world;
         this.direction = direction;
     }
 
     /** Lets nothing through any more. */
-    void kill() {
+    void dropMessages() {
         dead = true;
     }
 
     /** Holds up what is sent from now on; other channels are not concerned. */
-    void holdUp(long millis) {
+    void delay(long millis) {
         lastDue = Math.max(lastDue, world.now() + millis);
     }
 
@@ -91,6 +91,6 @@
             due += backoffMillis;
         }
         lastDue = Math.max(lastDue, due);
-        world.later(lastDue - world.now(), arrival);
+        world.schedule(lastDue - world.now(), arrival);
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedCallers.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCallers.java
@@ -56,11 +56,11 @@
     }
 
     /** Makes a job of one step; its tasks take so long, 0 for ever. */
-    static JobDefinition job(String id, int tasks, long millis) {
+    static JobDefinition createJob(String id, int tasks, long millis) {
         StepDefinition step =
                 new StepDefinition(
                         tasks,
-                        SimulatedWorker.ROOM,
+                        SimulatedWorker.TASK_RESOURCES,
                         millis,
                         List.of(),
                         false,
@@ -75,14 +75,14 @@
                         0,
                         false,
                         0);
-        String work = millis == 0 ? SimulatedWorker.FOR_EVER : Long.toString(millis);
+        String work = millis == 0 ? SimulatedWorker.RUNS_UNTIL_STOPPED : Long.toString(millis);
         return new JobDefinition(
                 JobId.parse(id), SimulatedCell.QUEUE, work, List.of(step), 0, 0, 0);
     }
 
     /** Makes a job of one task that crashes each worker that starts it. */
-    static JobDefinition crashingJob(String id, boolean late) {
-        List<StepDefinition> steps = job(id, 1, 1000).steps();
+    static JobDefinition createCrashingJob(String id, boolean late) {
+        List<StepDefinition> steps = createJob(id, 1, 1000).steps();
         String work = late ? SimulatedWorker.CRASHES_LATE : SimulatedWorker.CRASHES;
         return new JobDefinition(JobId.parse(id), SimulatedCell.QUEUE, work, steps, 0, 0, 0);
     }
@@ -94,7 +94,7 @@
                 answer -> {
                     boolean taken = answer.result() == JobAnswer.Result.DONE;
                     if (taken) {
-                        world.note("accepted " + job.id());
+                        world.trace("accepted " + job.id());
                         accepted.put(job.id(), job);
                     }
                     return taken;
@@ -102,7 +102,7 @@
     }
 
     void cancel(JobId job) {
-        world.note("cancel sent of " + job);
+        world.trace("cancel sent of " + job);
         ask(
                 new CancelJob(job, SimulatedCell.QUEUE),
                 answer -> {
@@ -115,7 +115,7 @@
     }
 
     /** Lists the jobs that were accepted. */
-    List<JobDefinition> getAccepted() {
+    List<JobDefinition> getAcceptedJobs() {
         return List.copyOf(accepted.values());
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** Asks for the state of a job that was accepted; none is told of one that is forgotten. */
-    void askState(JobId job, Consumer<Optional<JobState>> then) {
+    void queryState(JobId job, Consumer<Optional<JobState>> then) {
         ask(
                 new JobQuery(job, SimulatedCell.QUEUE),
                 answer -> {
@@ -139,7 +139,7 @@
     }
 
     /** Names the tasks of a job of one step. */
-    static List<TaskName> tasks(JobDefinition job) {
+    static List<TaskName> listTasks(JobDefinition job) {
         List<TaskName> names = new ArrayList<>();
         for (int i = 0; i < job.steps().get(0).count(); i++) {
             names.add(new TaskName(job.id(), 0, 0, i));
@@ -157,8 +157,8 @@
     private void ask(Message message, Taker taker) {
         Question question = new Question(message, taker);
         SimulatedLeader asked = leader.get();
-        world.later(world.draw(1, 4), () -> asked.receive(question, 1, message));
-        world.later(ANSWER_MILLIS, question::again);
+        world.schedule(world.draw(1, 4), () -> asked.receive(question, 1, message));
+        world.schedule(ANSWER_MILLIS, question::again);
     }
 
     /** One question to one leader. */
@@ -178,12 +178,12 @@
 
         @Override
         public void answer(long call, Message answer) {
-            world.later(world.draw(1, 4), () -> take(answer));
+            world.schedule(world.draw(1, 4), () -> take(answer));
         }
 
         private void take(Message answer) {
             if (!(answer instanceof JobAnswer told) || !taker.take(told)) {
-                world.later(AGAIN_MILLIS, this::again);
+                world.schedule(AGAIN_MILLIS, this::again);
             } else {
                 over = true;
             }
--- a/src/test/java/org/standlink/simulation/SimulatedCell.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCell.java
@@ -62,7 +62,7 @@
     private final List<SimulatedMachine> machines = new ArrayList<>();
     private final SimulatedCallers callers;
     private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
-    private final OperatorView leadersOperator = new OperatorView();
+    private final ObservedEvacuations leadersOperator = new ObservedEvacuations();
     private long changes;
 
     /** A cell of so many machines that forgets no jobs. */
@@ -77,7 +77,7 @@
         this.referee = new InvariantChecker(world);
         this.weather = new StoreFaults(world);
         this.callers = new SimulatedCallers(world, referee, this::newestLeader);
-        lead();
+        startLeader();
         for (int i = 0; i < count; i++) {
             addMachine(guarded);
         }
@@ -89,20 +89,20 @@
         SimulatedMachine made =
                 new SimulatedMachine(world, referee, name, CORES, guarded, this::find);
         machines.add(made);
-        made.startAgent(newestNotice());
+        made.startAgent(newestLeaderNotice());
         return made;
     }
 
-    SimulationEnvironment getWorld() {
+    SimulationEnvironment getEnvironment() {
         return world;
     }
 
     /** Gets what hinders calls of the store for all. */
-    StoreFaults getWeather() {
+    StoreFaults getStoreFaults() {
         return weather;
     }
 
-    InvariantChecker getReferee() {
+    InvariantChecker getInvariantChecker() {
         return referee;
     }
 
@@ -118,12 +118,12 @@
         return leaders.get(leaders.size() - 1);
     }
 
-    LeaderNotice newestNotice() {
+    LeaderNotice newestLeaderNotice() {
         return newestLeader().toNotice();
     }
 
     /** Another process takes over; agents are to be told. */
-    SimulatedLeader lead() {
+    SimulatedLeader startLeader() {
         SimulatedLeader made =
                 new SimulatedLeader(
                         world,
@@ -132,8 +132,8 @@
                         weather,
                         times,
                         CONFIGURATION,
-                        leadersOperator::getEvacuated,
-                        this::newestNotice);
+                        leadersOperator::getEvacuatedHalls,
+                        this::newestLeaderNotice);
         leaders.add(made);
         return made;
     }
@@ -144,33 +144,33 @@
     }
 
     /** The operator evacuates a hall or takes it back; each process reads it a little later. */
-    void change(EvacuationChange change) {
-        world.note(change.toString());
+    void applyEvacuationChange(EvacuationChange change) {
+        world.trace(change.toString());
         evacuated = evacuated.with(change);
         referee.evacuationAcknowledged(change);
         EvacuatedHalls told = evacuated;
         long number = ++changes;
         for (SimulatedMachine machine : machines) {
             long after = world.draw(0, LONGEST_READ_MILLIS);
-            world.later(after, () -> machine.getOperator().read(number, told));
+            world.schedule(after, () -> machine.getObservedEvacuations().receive(number, told));
         }
         long after = world.draw(0, LONGEST_READ_MILLIS);
-        world.later(after, () -> leadersOperator.read(number, told));
+        world.schedule(after, () -> leadersOperator.receive(number, told));
     }
 
     /** Ends all that hinders; agents and a leader run again. */
     void heal() {
         weather.heal();
-        leaders.forEach(leader -> leader.getStore().getOwn().heal());
+        leaders.forEach(leader -> leader.getStore().getOwnFaults().heal());
         if (isLeaderless()) {
-            lead();
+            startLeader();
         }
         for (SimulatedMachine machine : machines) {
             machine.heal();
             if (!machine.hasAgent()) {
-                machine.startAgent(newestNotice());
+                machine.startAgent(newestLeaderNotice());
             }
-            machine.tell(newestNotice());
+            machine.notifyOfLeader(newestLeaderNotice());
         }
     }
 
@@ -183,7 +183,7 @@
     void crash(SimulatedLeader leader) {
         leader.crash();
         gone.add(leader);
-        machines.forEach(machine -> machine.lost(leader));
+        machines.forEach(machine -> machine.closeChannelTo(leader));
     }
 
     private SimulatedLeader find(String address) {
--- a/src/test/java/org/standlink/simulation/Channel.java
+++ b/src/test/java/org/standlink/simulation/SimulatedChannel.java
@@ -29,7 +29,7 @@
  *
  * <p>As the real one, it is closed by the agent's side if it goes silent while calls wait.
  */
-final class Channel implements MessageChannel {
+final class SimulatedChannel implements MessageChannel {
 
     private static final long QUIET_MILLIS = 250;
     private static final long SIGN_MILLIS = 500;
@@ -38,10 +38,10 @@
     private static final long HANDOVER_MILLIS = 300;
 
     private final SimulationEnvironment world;
-    private final Pipe up;
-    private final Pipe down;
+    private final OneWayChannel up;
+    private final OneWayChannel down;
     private final SimulatedLeader leader;
-    private final AgentSide agent;
+    private final MessageReceiver agent;
     private final Map<Long, CompletableFuture<Message>> calls = new LinkedHashMap<>();
     private long lastCall;
     private long heardAt;
@@ -50,18 +50,18 @@
     private boolean watched;
 
     /** What takes the leader's messages. */
-    interface AgentSide {
+    interface MessageReceiver {
 
         /** Takes a message that is not an answer; the agent may have ended. */
         void receive(Message message);
     }
 
-    Channel(
+    SimulatedChannel(
             SimulationEnvironment world,
-            Pipe up,
-            Pipe down,
+            OneWayChannel up,
+            OneWayChannel down,
             SimulatedLeader leader,
-            AgentSide agent) {
+            MessageReceiver agent) {
         this.world = world;
         this.up = up;
         this.down = down;
@@ -99,7 +99,7 @@
         long number = ++lastCall;
         CompletableFuture<Message> answer = new CompletableFuture<>();
         calls.put(number, answer);
-        world.later(
+        world.schedule(
                 timeoutMillis,
                 () -> {
                     if (calls.remove(number) != null) {
@@ -109,7 +109,7 @@
         up.send(() -> leader.receive(this, number, message));
         if (!watched) {
             watched = true;
-            world.later(QUIET_MILLIS, this::look);
+            world.schedule(QUIET_MILLIS, this::look);
         }
         return answer;
     }
@@ -127,17 +127,17 @@
     }
 
     /** Holds up what the agent sends over this channel from now on. */
-    void holdUp(long millis) {
-        up.holdUp(millis);
+    void delay(long millis) {
+        up.delay(millis);
     }
 
     /** Lets nothing through any more, without a word to either side. */
-    void goSilent(boolean upwards, boolean downwards) {
+    void dropMessages(boolean upwards, boolean downwards) {
         if (upwards) {
-            up.kill();
+            up.dropMessages();
         }
         if (downwards) {
-            down.kill();
+            down.dropMessages();
         }
     }
 
@@ -163,16 +163,16 @@
             return;
         }
         if (world.now() - heardAt < QUIET_MILLIS) {
-            world.later(QUIET_MILLIS, this::look);
+            world.schedule(QUIET_MILLIS, this::look);
             return;
         }
         up.send(
                 () -> {
-                    if (leader.givesSignOfLife()) {
+                    if (leader.isResponsive()) {
                         down.send(() -> heardAt = world.now());
                     }
                 });
-        world.later(SIGN_MILLIS, this::judge);
+        world.schedule(SIGN_MILLIS, this::judge);
     }
 
     private void judge() {
--- a/src/test/java/org/standlink/simulation/SimulatedDay.java
+++ b/src/test/java/org/standlink/simulation/SimulatedDay.java
@@ -55,7 +55,7 @@
 
     private final SimulationEnvironment world;
     private final SimulatedCell cell;
-    private final List<Fault> faults;
+    private final List<SimulatedFault> faults;
     private final Random suspensions;
     private Random thrown;
     private Random evacuations;
@@ -65,12 +65,12 @@
         this(seed, FaultPlan.draw(seed, MACHINES, BEGIN_MILLIS + 1000, FAULTS_MILLIS));
     }
 
-    SimulatedDay(long seed, List<Fault> faults) {
+    SimulatedDay(long seed, List<SimulatedFault> faults) {
         this(seed, faults, null);
     }
 
     /** A day on which machines are suspended besides, as is drawn, if anything draws it. */
-    SimulatedDay(long seed, List<Fault> faults, Random suspensions) {
+    SimulatedDay(long seed, List<SimulatedFault> faults, Random suspensions) {
         this.world = new SimulationEnvironment(seed);
         this.faults = faults;
         this.suspensions = suspensions;
@@ -79,7 +79,7 @@
     }
 
     /** Lets leaders throw besides, as is drawn. */
-    SimulatedDay withThrows(Random drawn) {
+    SimulatedDay withThrowingLeaders(Random drawn) {
         thrown = drawn;
         return this;
     }
@@ -91,26 +91,26 @@
     }
 
     /** Lets each worker that starts again have the id that it had. */
-    SimulatedDay withKeptIds() {
-        cell.getMachines().forEach(SimulatedMachine::keepId);
+    SimulatedDay withKeptWorkerIds() {
+        cell.getMachines().forEach(SimulatedMachine::keepWorkerId);
         return this;
     }
 
-    List<Fault> getFaults() {
+    List<SimulatedFault> getFaults() {
         return faults;
     }
 
-    List<String> getNotes() {
-        return world.getNotes();
+    List<String> getTrace() {
+        return world.getTrace();
     }
 
     int countStarts() {
-        return cell.getReferee().countStarts();
+        return cell.getInvariantChecker().countStarts();
     }
 
     /** Plays the day, and lists what was found. */
-    List<String> play() {
-        world.playUntil(BEGIN_MILLIS);
+    List<String> run() {
+        world.runUntil(BEGIN_MILLIS);
         new FaultInjector(cell).schedule(faults);
         if (suspensions != null) {
             planSuspensions();
@@ -122,15 +122,16 @@
             planEvacuations();
         }
         planJobs();
-        world.playUntil(FAULTS_MILLIS);
-        world.note("calm");
+        world.runUntil(FAULTS_MILLIS);
+        world.trace("calm");
         cell.heal();
-        world.playUntil(FAULTS_MILLIS + CALM_MILLIS);
-        List<JobDefinition> accepted = cell.getCallers().getAccepted();
-        accepted.forEach(job -> cell.getCallers().askState(job.id(), s -> states.put(job.id(), s)));
+        world.runUntil(FAULTS_MILLIS + CALM_MILLIS);
+        List<JobDefinition> accepted = cell.getCallers().getAcceptedJobs();
+        accepted.forEach(
+                job -> cell.getCallers().queryState(job.id(), s -> states.put(job.id(), s)));
         List<TaskName> idle = idleTasks();
         List<JobDefinition> unfinished = accepted.stream().filter(job -> !isDone(job)).toList();
-        world.playUntil(FAULTS_MILLIS + CALM_MILLIS + AGAIN_MILLIS);
+        world.runUntil(FAULTS_MILLIS + CALM_MILLIS + AGAIN_MILLIS);
         idle.retainAll(idleTasks());
         for (JobDefinition job : accepted) {
             // A job that waited for room may end meanwhile, and its tasks are idle before and
@@ -138,7 +139,7 @@
             boolean ended = unfinished.contains(job) && isDone(job);
             judge(job, ended ? List.of() : idle);
         }
-        return cell.getReferee().finish();
+        return cell.getInvariantChecker().finish();
     }
 
     // -----------------------------------------------------------------------
@@ -148,7 +149,7 @@
             long at = suspensions.nextInt((int) (FAULTS_MILLIS - LONGEST_SUSPENSION_MILLIS));
             long millis = 100 + suspensions.nextInt((int) LONGEST_SUSPENSION_MILLIS - 100);
             int which = suspensions.nextInt(MACHINES + 1);
-            world.later(at, () -> suspend(which, millis));
+            world.schedule(at, () -> suspend(which, millis));
         }
     }
 
@@ -162,7 +163,7 @@
                             ? new IllegalStateException("on purpose")
                             : new NoClassDefFoundError("on purpose");
             long after = 100 + thrown.nextInt(NEXT_LEADER_MILLIS);
-            world.later(at, () -> letLeaderThrow(reading, cause, after));
+            world.schedule(at, () -> letLeaderThrow(reading, cause, after));
         }
     }
 
@@ -176,8 +177,11 @@
             for (SimulatedMachine machine : cell.getMachines()) {
                 if (all || machine == cell.getMachines().get(which)) {
                     HallId hall = machine.getHall();
-                    world.later(at, () -> cell.change(new EvacuationChange(hall, true)));
-                    world.later(at + millis, () -> cell.change(new EvacuationChange(hall, false)));
+                    world.schedule(
+                            at, () -> cell.applyEvacuationChange(new EvacuationChange(hall, true)));
+                    world.schedule(
+                            at + millis,
+                            () -> cell.applyEvacuationChange(new EvacuationChange(hall, false)));
                 }
             }
         }
@@ -185,20 +189,21 @@
 
     /** The leader throws, and another one begins after a while. */
     private void letLeaderThrow(long reading, Throwable cause, long after) {
-        cell.getReferee().impaired(NEXT_LEADER_MILLIS * 2);
-        cell.newestLeader().throwAt(reading, cause);
-        world.later(
+        cell.getInvariantChecker().recordImpairment(NEXT_LEADER_MILLIS * 2);
+        cell.newestLeader().throwOnClockRead(reading, cause);
+        world.schedule(
                 after,
                 () -> {
-                    cell.lead();
-                    cell.getMachines().forEach(machine -> machine.tell(cell.newestNotice()));
+                    cell.startLeader();
+                    cell.getMachines()
+                            .forEach(machine -> machine.notifyOfLeader(cell.newestLeaderNotice()));
                 });
     }
 
     /** Suspends the machine of an agent, or that of the leader. */
     private void suspend(int which, long millis) {
-        world.note("SUSPENDED " + which + " for " + millis);
-        cell.getReferee().impaired(millis);
+        world.trace("SUSPENDED " + which + " for " + millis);
+        cell.getInvariantChecker().recordImpairment(millis);
         if (which == MACHINES) {
             cell.newestLeader().suspend(millis);
         } else if (cell.getMachines().get(which).hasAgent()) {
@@ -214,13 +219,13 @@
             boolean lasts = world.chance(30) && lasting + tasks <= MOST_LASTING;
             lasting += lasts ? tasks : 0;
             JobDefinition job =
-                    SimulatedCallers.job(
+                    SimulatedCallers.createJob(
                             String.format("%016x", i + 1), tasks, lasts ? 0 : drawWork());
             long at = world.draw(0, FAULTS_MILLIS - BEGIN_MILLIS - 1);
-            world.later(at, () -> cell.getCallers().submit(job));
+            world.schedule(at, () -> cell.getCallers().submit(job));
             if (world.chance(lasts ? 60 : 40)) {
                 long after = world.draw(10, lasts ? 15_000 : 5000);
-                world.later(at + after, () -> cell.getCallers().cancel(job.id()));
+                world.schedule(at + after, () -> cell.getCallers().cancel(job.id()));
             }
         }
     }
@@ -230,14 +235,15 @@
     }
 
     private boolean isDone(JobDefinition job) {
-        return SimulatedCallers.tasks(job).stream().allMatch(cell.getReferee()::isWellEnded);
+        return SimulatedCallers.listTasks(job).stream()
+                .allMatch(cell.getInvariantChecker()::hasSucceeded);
     }
 
     private List<TaskName> idleTasks() {
         List<TaskName> idle = new ArrayList<>();
-        for (JobDefinition job : cell.getCallers().getAccepted()) {
-            SimulatedCallers.tasks(job).stream()
-                    .filter(task -> !cell.getReferee().isAtWork(task))
+        for (JobDefinition job : cell.getCallers().getAcceptedJobs()) {
+            SimulatedCallers.listTasks(job).stream()
+                    .filter(task -> !cell.getInvariantChecker().isRunning(task))
                     .forEach(idle::add);
         }
         return idle;
@@ -245,24 +251,27 @@
 
     private void judge(JobDefinition job, List<TaskName> idle) {
         Optional<JobState> told = states.get(job.id());
-        List<TaskName> tasks = SimulatedCallers.tasks(job);
-        boolean cancelled = cell.getReferee().isCancelled(job.id());
+        List<TaskName> tasks = SimulatedCallers.listTasks(job);
+        boolean cancelled = cell.getInvariantChecker().isCancelled(job.id());
         boolean done = isDone(job);
-        boolean atWork = tasks.stream().anyMatch(cell.getReferee()::isAtWork);
+        boolean atWork = tasks.stream().anyMatch(cell.getInvariantChecker()::isRunning);
         if (told == null) {
-            cell.getReferee().blame("STUCK the state of " + job.id() + " is not told");
+            cell.getInvariantChecker()
+                    .addViolation("STUCK the state of " + job.id() + " is not told");
             return;
         }
         JobState state = told.orElse(null);
         boolean open = state != null && !state.isFinal();
         if (open && cancelled) {
-            cell.getReferee().blame("STUCK " + job.id() + " is " + state + " though cancelled");
+            cell.getInvariantChecker()
+                    .addViolation("STUCK " + job.id() + " is " + state + " though cancelled");
         } else if (open && isIdle(job, tasks, idle)) {
-            cell.getReferee().blame("STUCK " + job.id() + " is " + state);
+            cell.getInvariantChecker().addViolation("STUCK " + job.id() + " is " + state);
         } else if (state == JobState.COMPLETED && !done) {
-            cell.getReferee().blame("UNDONE " + job.id() + " is " + state);
+            cell.getInvariantChecker().addViolation("UNDONE " + job.id() + " is " + state);
         } else if (!open && atWork) {
-            cell.getReferee().blame("STRAY " + job.id() + " is " + state + " and at work");
+            cell.getInvariantChecker()
+                    .addViolation("STRAY " + job.id() + " is " + state + " and at work");
         }
     }
 
--- a/src/test/java/org/standlink/simulation/Fault.java
+++ b/src/test/java/org/standlink/simulation/SimulatedFault.java
@@ -18,40 +18,40 @@
 /**
  * One fault of a simulated day.
  *
- * @param at when it begins, since the start of the day
+ * @param startMillis when it begins, since the start of the day
  * @param kind what it is
  * @param machine the number of the machine, if it is about one
- * @param millis how long it lasts
- * @param choice picks among its forms
+ * @param durationMillis how long it lasts
+ * @param variant picks among its forms
  */
-record Fault(long at, Kind kind, int machine, long millis, int choice) {
+record SimulatedFault(long startMillis, Kind kind, int machine, long durationMillis, int variant) {
 
     /** What may happen. */
     enum Kind {
         /** The store answers nobody. */
-        STORE_AWAY,
+        STORE_UNAVAILABLE,
         /** The store refuses all. */
         STORE_REFUSES,
         /** The store is slow. */
         STORE_SLOW,
         /** The store's answers are lost. */
-        STORE_UNHEARD,
+        STORE_ANSWERS_LOST,
         /** The newest leader alone has no store. */
-        STORE_CUT,
+        LEADER_STORE_UNAVAILABLE,
         /** Calls of an agent to its worker stay without an answer. */
-        WORKER_UNSURE,
+        WORKER_UNRELIABLE,
         /** A worker cannot be reached. */
-        WORKER_SILENT,
+        WORKER_UNRESPONSIVE,
         /** A worker crashes, and another life begins. */
         WORKER_CRASH,
         /** A worker says that it leaves, and another life begins later. */
-        WORKER_LEAVES,
+        WORKER_DRAINS,
         /** Messages between an agent and the leader are held up. */
-        LINK_HELD,
+        LINK_DELAYED,
         /** Messages between an agent and the leader are lost. */
         LINK_LOST,
         /** The open channel goes silent, while new ones work. */
-        CHANNEL_SILENT,
+        CHANNEL_MESSAGES_DROPPED,
         /** An agent process is started anew. */
         AGENT_RESTART,
         /** An agent's process stands still. */
@@ -59,7 +59,7 @@
         /** The leader stands still, and another one begins meanwhile. */
         LEADER_OVERTAKEN,
         /** The leader is cut off from the store for long, and another one begins. */
-        LEADER_CUT_OFF,
+        LEADER_PARTITIONED,
         /** Another leader begins; the one before believes that it still leads. */
         LEADER_REPLACED,
         /** The leader's process ends, and another leader begins. */
@@ -68,14 +68,14 @@
         LEADER_FROZEN;
 
         /** Lists those that are about one machine. */
-        static Kind[] ofMachines() {
+        static Kind[] listMachineKinds() {
             return new Kind[] {
-                WORKER_UNSURE,
-                WORKER_SILENT,
+                WORKER_UNRELIABLE,
+                WORKER_UNRESPONSIVE,
                 WORKER_CRASH,
-                LINK_HELD,
+                LINK_DELAYED,
                 LINK_LOST,
-                CHANNEL_SILENT,
+                CHANNEL_MESSAGES_DROPPED,
                 AGENT_RESTART,
                 AGENT_FROZEN
             };
--- a/src/test/java/org/standlink/simulation/SimulatedLeader.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeader.java
@@ -32,7 +32,7 @@
     private final SimulationEnvironment world;
     private final Epoch epoch;
     private final SimulationEnvironment.ProcessLoop process;
-    private final StoreView store;
+    private final SimulatedStoreClient store;
     private final JobCellLeader leader;
     private final Supplier<LeaderNotice> newest;
     private boolean deposed;
@@ -51,7 +51,7 @@
         this.epoch = epoch;
         this.newest = newest;
         this.process = world.newProcess();
-        this.store = new StoreView(world, kept, weather);
+        this.store = new SimulatedStoreClient(world, kept, weather);
         this.leader =
                 new JobCellLeader(
                         epoch,
@@ -63,7 +63,7 @@
                         evacuated,
                         process.getLoop(),
                         this::depose);
-        world.note("leader of epoch " + epoch + " begins");
+        world.trace("leader of epoch " + epoch + " begins");
         leader.start();
     }
 
@@ -71,7 +71,7 @@
         return epoch;
     }
 
-    StoreView getStore() {
+    SimulatedStoreClient getStore() {
         return store;
     }
 
@@ -95,8 +95,8 @@
     }
 
     /** Lets the leader throw wherever it reads its clock for the n-th time from now on. */
-    void throwAt(long reading, Throwable thrown) {
-        process.throwAt(reading, thrown);
+    void throwOnClockRead(long reading, Throwable thrown) {
+        process.throwOnClockRead(reading, thrown);
     }
 
     /** Suspends the machine. */
@@ -105,18 +105,18 @@
         wholeFrozen = true;
     }
 
-    boolean givesSignOfLife() {
+    boolean isResponsive() {
         return !(wholeFrozen && process.isFrozen());
     }
 
     /** Ends the process at once. */
     void crash() {
-        world.note("leader of epoch " + epoch + " crashes");
+        world.trace("leader of epoch " + epoch + " crashes");
         process.end();
     }
 
     private void depose() {
-        world.note("leader of epoch " + epoch + " is deposed");
+        world.trace("leader of epoch " + epoch + " is deposed");
         deposed = true;
         leader.close();
     }
--- a/src/test/java/org/standlink/simulation/SimulatedLink.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeaderClient.java
@@ -24,17 +24,17 @@
 import org.standlink.wire.Message;
 
 /** The leader as one agent process knows it, over channels in memory. */
-final class SimulatedLink implements LeaderClient {
+final class SimulatedLeaderClient implements LeaderClient {
 
     private static final long CONNECT_MILLIS = 1000;
 
     private final SimulationEnvironment world;
-    private final Pipe.Direction up;
-    private final Pipe.Direction down;
+    private final OneWayChannel.NetworkPath up;
+    private final OneWayChannel.NetworkPath down;
     private final LeaderDirectory directory;
-    private final Channel.AgentSide agent;
+    private final SimulatedChannel.MessageReceiver agent;
     private LeaderNotice leader = new LeaderNotice(Epoch.NONE, "");
-    private Channel channel;
+    private SimulatedChannel channel;
     private boolean connecting;
 
     /** Finds leaders by their addresses. */
@@ -44,12 +44,12 @@
         SimulatedLeader find(String address);
     }
 
-    SimulatedLink(
+    SimulatedLeaderClient(
             SimulationEnvironment world,
-            Pipe.Direction up,
-            Pipe.Direction down,
+            OneWayChannel.NetworkPath up,
+            OneWayChannel.NetworkPath down,
             LeaderDirectory directory,
-            Channel.AgentSide agent) {
+            SimulatedChannel.MessageReceiver agent) {
         this.world = world;
         this.up = up;
         this.down = down;
@@ -83,7 +83,7 @@
     }
 
     /** Gets the open channel, null if there is none. */
-    Channel getChannel() {
+    SimulatedChannel getOpenChannel() {
         return channel == null || channel.isClosed() ? null : channel;
     }
 
@@ -103,14 +103,20 @@
         connecting = true;
         LeaderNotice target = leader;
         boolean open = up.isOpen() && down.isOpen();
-        world.later(open ? world.draw(1, 4) : CONNECT_MILLIS, () -> connected(target, open));
+        world.schedule(open ? world.draw(1, 4) : CONNECT_MILLIS, () -> connected(target, open));
     }
 
     private void connected(LeaderNotice target, boolean open) {
         connecting = false;
         SimulatedLeader found = directory.find(target.address());
         if (open && found != null && target.equals(leader)) {
-            channel = new Channel(world, new Pipe(world, up), new Pipe(world, down), found, agent);
+            channel =
+                    new SimulatedChannel(
+                            world,
+                            new OneWayChannel(world, up),
+                            new OneWayChannel(world, down),
+                            found,
+                            agent);
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedMachine.java
+++ b/src/test/java/org/standlink/simulation/SimulatedMachine.java
@@ -44,13 +44,13 @@
     private final String name;
     private final Resources capacity;
     private final boolean guarded;
-    private final SimulatedLink.LeaderDirectory directory;
-    private final Pipe.Direction up;
-    private final Pipe.Direction down;
-    private final WorkerPath path;
+    private final SimulatedLeaderClient.LeaderDirectory directory;
+    private final OneWayChannel.NetworkPath up;
+    private final OneWayChannel.NetworkPath down;
+    private final UnreliableWorkerClient path;
     private SimulationEnvironment.ProcessLoop process;
     private AgentNode agent;
-    private SimulatedLink link;
+    private SimulatedLeaderClient link;
     private int lives;
     private int processes;
     private int births;
@@ -58,7 +58,7 @@
     private boolean draining;
     private long backMillis = 1000;
     private boolean idKept;
-    private final OperatorView operator = new OperatorView();
+    private final ObservedEvacuations operator = new ObservedEvacuations();
 
     SimulatedMachine(
             SimulationEnvironment world,
@@ -66,18 +66,18 @@
             String name,
             int cores,
             boolean guarded,
-            SimulatedLink.LeaderDirectory directory) {
+            SimulatedLeaderClient.LeaderDirectory directory) {
         this.world = world;
         this.referee = referee;
         this.name = name;
         this.capacity = new Resources(cores * 1000L, 10_000, 0);
         this.guarded = guarded;
         this.directory = directory;
-        this.up = new Pipe.Direction(world);
-        this.down = new Pipe.Direction(world);
-        this.path = new WorkerPath(world);
-        beginLife();
-        world.every(HEARTBEAT_MILLIS, this::heartbeat);
+        this.up = new OneWayChannel.NetworkPath(world);
+        this.down = new OneWayChannel.NetworkPath(world);
+        this.path = new UnreliableWorkerClient(world);
+        startWorker();
+        world.scheduleRepeating(HEARTBEAT_MILLIS, this::heartbeat);
     }
 
     HallId getHall() {
@@ -85,19 +85,19 @@
     }
 
     /** What the agent has read, and later processes of it have again at once. */
-    OperatorView getOperator() {
+    ObservedEvacuations getObservedEvacuations() {
         return operator;
     }
 
-    Pipe.Direction getUp() {
+    OneWayChannel.NetworkPath getUplink() {
         return up;
     }
 
-    Pipe.Direction getDown() {
+    OneWayChannel.NetworkPath getDownlink() {
         return down;
     }
 
-    WorkerPath getPath() {
+    UnreliableWorkerClient getWorkerClient() {
         return path;
     }
 
@@ -107,7 +107,9 @@
         process = world.newProcess();
         SimulationEnvironment.ProcessLoop own = process;
         // What arrives after the end of the process finds its loop standing still.
-        link = new SimulatedLink(world, up, down, directory, message -> deliver(own, message));
+        link =
+                new SimulatedLeaderClient(
+                        world, up, down, directory, message -> deliver(own, message));
         agent =
                 new AgentNode(
                         name,
@@ -118,7 +120,7 @@
                         process.getClock(),
                         process.getLoop(),
                         new NoObserver(),
-                        operator::getEvacuated);
+                        operator::getEvacuatedHalls);
         link.offer(leader, "simulated");
         agent.start();
         heartbeat();
@@ -131,13 +133,13 @@
 
     /** Ends the agent process; its memory is lost. */
     void endAgent() {
-        world.note("agent of " + name + " ends");
+        world.trace("agent of " + name + " ends");
         process.end();
         process = null;
         link.close();
     }
 
-    void tell(LeaderNotice leader) {
+    void notifyOfLeader(LeaderNotice leader) {
         if (process != null) {
             link.offer(leader, "simulated");
         }
@@ -145,12 +147,12 @@
 
     /** Ends the worker's life without a word. */
     void crashWorker() {
-        world.note("CRASH of " + path.getLife().getId());
+        world.trace("CRASH of " + path.getWorker().getIncarnation());
         WorkerDescription last = describe(false);
         long lastSequence = sequence;
-        path.getLife().crash();
+        path.getWorker().crash();
         // A heartbeat of the life that is over may come after those of the next one.
-        world.later(
+        world.schedule(
                 world.draw(0, 5000),
                 () -> {
                     if (process != null) {
@@ -160,43 +162,43 @@
     }
 
     /** Lets all further lives of the worker have the id of the present one. */
-    void keepId() {
+    void keepWorkerId() {
         idKept = true;
     }
 
     /** Sets after how long at least a worker is back that has crashed. */
-    void setBackMillis(long millis) {
+    void setRestartDelayMillis(long millis) {
         backMillis = millis;
     }
 
     /** Ends the worker's life without a word; another one begins after some seconds. */
-    void crashForAWhile() {
-        if (!path.getLife().isUp()) {
+    void crashAndRestartWorker() {
+        if (!path.getWorker().isUp()) {
             return;
         }
         crashWorker();
-        world.later(
+        world.schedule(
                 world.draw(backMillis, backMillis + BACK_SPREAD_MILLIS),
                 () -> {
-                    if (!path.getLife().isUp()) {
-                        beginLife();
+                    if (!path.getWorker().isUp()) {
+                        startWorker();
                     }
                 });
     }
 
     /** The worker says that it leaves, and ends after a while. */
-    void leave() {
-        SimulatedWorker leaving = path.getLife();
-        world.note("leaves " + leaving.getId());
+    void drainWorker() {
+        SimulatedWorker leaving = path.getWorker();
+        world.trace("leaves " + leaving.getIncarnation());
         draining = true;
         heartbeat();
-        world.later(
+        world.schedule(
                 DRAIN_MILLIS,
                 () -> {
-                    if (path.getLife() == leaving && leaving.isUp()) {
+                    if (path.getWorker() == leaving && leaving.isUp()) {
                         leaving.crash();
                         if (process != null) {
-                            agent.workerLeft(leaving.getId().getId());
+                            agent.workerLeft(leaving.getIncarnation().getId());
                         }
                     }
                 });
@@ -219,13 +221,13 @@
         up.heal();
         down.heal();
         path.heal();
-        if (!path.getLife().isUp()) {
-            beginLife();
+        if (!path.getWorker().isUp()) {
+            startWorker();
         }
     }
 
     /** Begins another life of the worker, at the same address. */
-    void beginLife() {
+    void startWorker() {
         lives += idKept ? 0 : 1;
         draining = false;
         sequence = 0;
@@ -233,8 +235,8 @@
                 WorkerIncarnation.of(WorkerId.parse(name + "-" + lives), drawBirth());
         SimulatedWorker life =
                 new SimulatedWorker(world, referee, id, getHall(), capacity, guarded);
-        life.onCrash(this::crashForAWhile);
-        path.setLife(life);
+        life.setCrashHandler(this::crashAndRestartWorker);
+        path.setWorker(life);
     }
 
     /** Births do not rise where ids are kept, as the time of day may be set back; none is equal. */
@@ -244,24 +246,24 @@
     }
 
     /** The open channel to the leader goes silent for good. */
-    void silenceChannel(boolean upwards, boolean downwards) {
-        Channel open = process == null ? null : link.getChannel();
+    void dropChannelMessages(boolean upwards, boolean downwards) {
+        SimulatedChannel open = process == null ? null : link.getOpenChannel();
         if (open != null) {
-            open.goSilent(upwards, downwards);
+            open.dropMessages(upwards, downwards);
         }
     }
 
     /** What the agent sends over its open channel comes later, while new channels work. */
-    void holdUpChannel(long millis) {
-        Channel open = process == null ? null : link.getChannel();
+    void delayChannel(long millis) {
+        SimulatedChannel open = process == null ? null : link.getOpenChannel();
         if (open != null) {
-            open.holdUp(millis);
+            open.delay(millis);
         }
     }
 
     /** A leader's process has ended, and with it its channels. */
-    void lost(SimulatedLeader leader) {
-        Channel open = process == null ? null : link.getChannel();
+    void closeChannelTo(SimulatedLeader leader) {
+        SimulatedChannel open = process == null ? null : link.getOpenChannel();
         if (open != null && open.getLeader() == leader) {
             open.close();
         }
@@ -269,13 +271,13 @@
 
     // -----------------------------------------------------------------------
     private void heartbeat() {
-        if (process != null && path.getLife().isUp()) {
+        if (process != null && path.getWorker().isUp()) {
             agent.heartbeatReceived(describe(draining), ++sequence);
         }
     }
 
     private WorkerDescription describe(boolean leaves) {
-        WorkerIncarnation id = path.getLife().getId();
+        WorkerIncarnation id = path.getWorker().getIncarnation();
         long rest = leaves ? DRAIN_MILLIS : 0;
         return new WorkerDescription(
                 id, SERVICE, name + ":1", capacity, HallId.parse(name), List.of(), leaves, rest);
@@ -287,7 +289,7 @@
         }
         if (message instanceof RunOrders orders
                 && !(orders.starts().isEmpty() && orders.stops().isEmpty())) {
-            world.note(
+            world.trace(
                     "orders of epoch "
                             + orders.epoch()
                             + " for "
--- a/src/test/java/org/standlink/simulation/StoreView.java
+++ b/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
@@ -29,7 +29,7 @@
 import org.standlink.store.Writer;
 
 /** The store as one process sees it: at times away, slow, or with its answers lost. */
-final class StoreView implements KeyedStore {
+final class SimulatedStoreClient implements KeyedStore {
 
     private static final long CALL_MILLIS = 1000;
     private static final int LOST_PERCENT = 60;
@@ -42,7 +42,7 @@
     private final StoreFaults own;
 
     /** A view that is hindered by what hinders all, and by what hinders only this process. */
-    StoreView(SimulationEnvironment world, FakeKeyedStore store, StoreFaults shared) {
+    SimulatedStoreClient(SimulationEnvironment world, FakeKeyedStore store, StoreFaults shared) {
         this.world = world;
         this.store = store;
         this.shared = shared;
@@ -50,7 +50,7 @@
     }
 
     /** Gets what hinders only this process. */
-    StoreFaults getOwn() {
+    StoreFaults getOwnFaults() {
         return own;
     }
 
@@ -88,20 +88,20 @@
     // -----------------------------------------------------------------------
     private <T> CompletableFuture<T> call(Supplier<CompletableFuture<T>> effect) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        world.later(
+        world.schedule(
                 CALL_MILLIS,
                 () -> answer.completeExceptionally(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN)));
-        long away = Math.max(shared.awayMillis(), own.awayMillis());
-        if (shared.refuses() || own.refuses()) {
+        long away = Math.max(shared.getUnavailableMillis(), own.getUnavailableMillis());
+        if (shared.isRefusing() || own.isRefusing()) {
             refuse(answer);
         } else if (away > 0) {
             callAway(away, effect, answer);
         } else {
             boolean slow = shared.isSlow() || own.isSlow();
-            boolean loses = shared.losesAnswers() || own.losesAnswers();
+            boolean loses = shared.isLosingAnswers() || own.isLosingAnswers();
             long pause = slow ? world.draw(150, 950) : world.draw(1, 4);
             boolean lost = loses && world.chance(LOST_PERCENT);
-            world.later(pause, () -> act(effect, lost ? new CompletableFuture<>() : answer));
+            world.schedule(pause, () -> act(effect, lost ? new CompletableFuture<>() : answer));
         }
         return answer;
     }
@@ -110,7 +110,7 @@
             long away, Supplier<CompletableFuture<T>> effect, CompletableFuture<T> answer) {
         if (world.chance(LATE_PERCENT)) {
             long pause = away + world.draw(0, 2000);
-            world.later(pause, () -> act(effect, new CompletableFuture<>()));
+            world.schedule(pause, () -> act(effect, new CompletableFuture<>()));
         } else if (world.chance(REFUSED_PERCENT)) {
             refuse(answer);
         }
@@ -118,14 +118,14 @@
 
     private void refuse(CompletableFuture<?> answer) {
         StandlinkException refused = failure(ErrorCode.PLATFORM_UNAVAILABLE);
-        world.later(world.draw(1, 4), () -> answer.completeExceptionally(refused));
+        world.schedule(world.draw(1, 4), () -> answer.completeExceptionally(refused));
     }
 
     private <T> void act(Supplier<CompletableFuture<T>> effect, CompletableFuture<T> answer) {
         effect.get()
                 .whenComplete(
                         (value, failure) ->
-                                world.later(
+                                world.schedule(
                                         world.draw(1, 4),
                                         () -> {
                                             if (failure == null) {
--- a/src/test/java/org/standlink/simulation/SimulatedWorker.java
+++ b/src/test/java/org/standlink/simulation/SimulatedWorker.java
@@ -37,10 +37,10 @@
 final class SimulatedWorker {
 
     /** What each task takes. */
-    static final Resources ROOM = new Resources(1000, 100, 0);
+    static final Resources TASK_RESOURCES = new Resources(1000, 100, 0);
 
     /** The specification of a task that runs until it is stopped. */
-    static final String FOR_EVER = "for ever";
+    static final String RUNS_UNTIL_STOPPED = "for ever";
 
     /** The specification of a task that crashes each worker that starts it. */
     static final String CRASHES = "crashes";
@@ -95,7 +95,7 @@
         this.rate = 1 - world.draw(0, 20) / 1000.0;
     }
 
-    WorkerIncarnation getId() {
+    WorkerIncarnation getIncarnation() {
         return id;
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** Sets what happens when a task crashes this worker. */
-    void onCrash(Runnable effect) {
+    void setCrashHandler(Runnable effect) {
         whenCrashing = effect;
     }
 
@@ -119,7 +119,7 @@
     /** Ends this life without a word. */
     void crash() {
         up = false;
-        running.keySet().forEach(run -> referee.died(this, run));
+        running.keySet().forEach(run -> referee.recordLostRun(this, run));
         running.clear();
     }
 
@@ -142,14 +142,14 @@
         }
         Resources taken =
                 new Resources(
-                        ROOM.milliCores() * (running.size() + 1),
-                        ROOM.memoryMegabytes() * (running.size() + 1),
+                        TASK_RESOURCES.milliCores() * (running.size() + 1),
+                        TASK_RESOURCES.memoryMegabytes() * (running.size() + 1),
                         0);
         if (guarded && !taken.fitsIn(capacity)) {
             return result(CallResult.Kind.NO_ROOM);
         }
-        referee.begun(this, run, late);
-        referee.room(this, taken, capacity, run);
+        referee.recordStart(this, run, late);
+        referee.checkCapacity(this, taken, capacity, run);
         begin(run, order.specification());
         return result(CallResult.Kind.DONE);
     }
@@ -158,24 +158,24 @@
         if (specification.equals(CRASHES) || specification.equals(CRASHES_LATE)) {
             long most = specification.equals(CRASHES) ? CRASH_MILLIS : LATE_CRASH_MILLIS;
             running.put(run, new Work(world.now(), 2 * LATE_CRASH_MILLIS));
-            world.later(world.draw(most / 2, most), () -> crashUnder(run));
+            world.schedule(world.draw(most / 2, most), () -> crashUnder(run));
             return;
         }
-        boolean lasts = specification.equals(FOR_EVER);
+        boolean lasts = specification.equals(RUNS_UNTIL_STOPPED);
         long millis = lasts ? 0 : Long.parseLong(specification);
         boolean fails = world.chance(FAILING_PERCENT);
         running.put(run, new Work(world.now(), millis));
         if (fails) {
             long after = lasts ? world.draw(500, 9000) : world.draw(1, millis);
-            world.later(after, () -> end(run, RunEndKind.FAILED));
+            world.schedule(after, () -> end(run, RunEndKind.FAILED));
         } else if (!lasts) {
-            world.later(millis, () -> end(run, RunEndKind.DONE));
+            world.schedule(millis, () -> end(run, RunEndKind.DONE));
         }
     }
 
     private void crashUnder(RunId run) {
         if (up && running.containsKey(run)) {
-            referee.crashedUnder(run.task());
+            referee.recordCrash(run.task());
             whenCrashing.run();
         }
     }
@@ -185,7 +185,7 @@
             return result(CallResult.Kind.FENCED);
         }
         barred.merge(run.task(), run.number(), Math::max);
-        world.later(world.draw(1, STOP_MILLIS), () -> end(run, RunEndKind.STOPPED));
+        world.schedule(world.draw(1, STOP_MILLIS), () -> end(run, RunEndKind.STOPPED));
         return result(CallResult.Kind.DONE);
     }
 
@@ -199,7 +199,7 @@
         if (until >= 0) {
             hold(until);
         }
-        referee.recorded(this, recordedEnd);
+        referee.recordPersistedEnds(this, recordedEnd);
         ended.removeIf(end -> end.number() <= recordedEnd);
         CompletableFuture<RenewalResult> answer = new CompletableFuture<>();
         Runnable tell = () -> answer.complete(lists());
@@ -207,7 +207,7 @@
             tell.run();
         } else {
             waiting.add(tell);
-            world.later(waitMillis, tell);
+            world.schedule(waitMillis, tell);
         }
         return answer;
     }
@@ -228,7 +228,7 @@
 
     private void lapseWhenDue() {
         long rest = holdUntil - clockMillis();
-        world.later(Math.max(1, (long) Math.ceil(rest / rate)), this::lapseIfDue);
+        world.schedule(Math.max(1, (long) Math.ceil(rest / rate)), this::lapseIfDue);
     }
 
     /** The hold runs out also where nothing runs, which matters for ends not recorded yet. */
@@ -236,8 +236,8 @@
         if (!up || clockMillis() < holdUntil) {
             return;
         }
-        world.note("LAPSES " + id + " with " + running.size());
-        referee.lapsed(this);
+        world.trace("LAPSES " + id + " with " + running.size());
+        referee.recordLapse(this);
         List.copyOf(running.keySet()).forEach(run -> end(run, RunEndKind.LAPSED));
     }
 
@@ -248,7 +248,7 @@
         barred.merge(run.task(), run.number(), Math::max);
         ended.add(new RunEnd(lastNumber + 1, run, kind, ""));
         lastNumber++;
-        referee.over(this, run, kind, lastNumber);
+        referee.recordEnd(this, run, kind, lastNumber);
         List<Runnable> told = List.copyOf(waiting);
         waiting.clear();
         told.forEach(Runnable::run);
--- a/src/test/java/org/standlink/simulation/SimulationEnvironment.java
+++ b/src/test/java/org/standlink/simulation/SimulationEnvironment.java
@@ -71,7 +71,7 @@
         }
 
         /** Lets the clock throw when it is read for the n-th time from now on, once. */
-        void throwAt(long reading, Throwable thrown) {
+        void throwOnClockRead(long reading, Throwable thrown) {
             readingsLeft = reading;
             toBeThrown = thrown;
         }
@@ -79,7 +79,7 @@
         private long readClock() {
             readingsLeft--;
             if (readingsLeft == 0) {
-                note("THROWN " + toBeThrown);
+                trace("THROWN " + toBeThrown);
                 if (toBeThrown instanceof Error error) {
                     throw error;
                 }
@@ -106,7 +106,7 @@
         /** Suspends the machine: nothing runs, and the clock does not count that time. */
         void suspend(long millis) {
             freeze(millis);
-            later(millis, () -> asleepMillis += millis);
+            schedule(millis, () -> asleepMillis += millis);
         }
 
         boolean isFrozen() {
@@ -149,24 +149,24 @@
         return random != null && random.nextInt(100) < percent;
     }
 
-    void later(long millis, Runnable work) {
+    void schedule(long millis, Runnable work) {
         loop.schedule(work, millis, TimeUnit.MILLISECONDS);
     }
 
-    void every(long millis, Runnable work) {
+    void scheduleRepeating(long millis, Runnable work) {
         loop.scheduleWithFixedDelay(work, millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    void note(String what) {
+    void trace(String what) {
         notes.add(String.format("%7.3f %s", elapsed() / 1000.0, what));
     }
 
-    List<String> getNotes() {
+    List<String> getTrace() {
         return notes;
     }
 
     /** Lets time pass until so long after the start. */
-    void playUntil(long millis) {
+    void runUntil(long millis) {
         long end = startedAt + millis;
         while (true) {
             loop.runDue();
--- a/src/test/java/org/standlink/simulation/StoreFaults.java
+++ b/src/test/java/org/standlink/simulation/StoreFaults.java
@@ -29,17 +29,17 @@
     }
 
     /** No call is answered for a while; some of them are done once the store is back. */
-    void away(long millis) {
+    void makeUnavailable(long millis) {
         awayUntil = Math.max(awayUntil, world.now() + millis);
     }
 
     /** Every call is refused at once for a while. */
-    void refuse(long millis) {
+    void refuseCalls(long millis) {
         refusesUntil = Math.max(refusesUntil, world.now() + millis);
     }
 
     /** Calls take long for a while. */
-    void slow(long millis) {
+    void slowDown(long millis) {
         slowUntil = Math.max(slowUntil, world.now() + millis);
     }
 
@@ -56,11 +56,11 @@
         losesUntil = 0;
     }
 
-    long awayMillis() {
+    long getUnavailableMillis() {
         return Math.max(0, awayUntil - world.now());
     }
 
-    boolean refuses() {
+    boolean isRefusing() {
         return refusesUntil > world.now();
     }
 
@@ -68,7 +68,7 @@
         return slowUntil > world.now();
     }
 
-    boolean losesAnswers() {
+    boolean isLosingAnswers() {
         return losesUntil > world.now();
     }
 }
--- a/src/test/java/org/standlink/simulation/TestCellSimulation.java
+++ b/src/test/java/org/standlink/simulation/TestCellSimulation.java
@@ -60,7 +60,7 @@
         TreeMap<Long, List<String>> red = new TreeMap<>();
         for (long seed = first; seed < first + count; seed++) {
             SimulatedDay day = new SimulatedDay(seed);
-            List<String> found = day.play();
+            List<String> found = day.run();
             if (!found.isEmpty()) {
                 red.put(seed, found);
             }
@@ -76,7 +76,7 @@
     public void noDayOnWhichMachinesAreSuspendedBreaksARule() {
         playSeeds(
                 seed -> {
-                    List<Fault> faults = new SimulatedDay(seed).getFaults();
+                    List<SimulatedFault> faults = new SimulatedDay(seed).getFaults();
                     return new SimulatedDay(seed, faults, new Random(seed * 17));
                 });
     }
@@ -87,7 +87,7 @@
      */
     @Test
     public void noDayOnWhichLeadersThrowBreaksARule() {
-        playSeeds(seed -> new SimulatedDay(seed).withThrows(new Random(seed * 13)));
+        playSeeds(seed -> new SimulatedDay(seed).withThrowingLeaders(new Random(seed * 13)));
     }
 
     /**
@@ -96,7 +96,7 @@
      */
     @Test
     public void noDayOnWhichWorkersKeepTheirIdsBreaksARule() {
-        playSeeds(seed -> new SimulatedDay(seed).withKeptIds());
+        playSeeds(seed -> new SimulatedDay(seed).withKeptWorkerIds());
     }
 
     /**
@@ -105,7 +105,7 @@
      */
     @Test
     public void jobsThatWaitForRoomAndThenEndAreNotStuck() {
-        assertEquals(List.of(), new SimulatedDay(WAITING_SEED).withKeptIds().play());
+        assertEquals(List.of(), new SimulatedDay(WAITING_SEED).withKeptWorkerIds().run());
     }
 
     /**
@@ -122,10 +122,10 @@
     public void noDayWithAllOfTheseBreaksARule() {
         playSeeds(
                 seed -> {
-                    List<Fault> faults = new SimulatedDay(seed).getFaults();
+                    List<SimulatedFault> faults = new SimulatedDay(seed).getFaults();
                     return new SimulatedDay(seed, faults, new Random(seed * 17))
-                            .withThrows(new Random(seed * 13))
-                            .withKeptIds();
+                            .withThrowingLeaders(new Random(seed * 13))
+                            .withKeptWorkerIds();
                 });
     }
 
@@ -133,9 +133,9 @@
     public void aDayIsTheSameEachTime() {
         SimulatedDay first = new SimulatedDay(REPEATED_SEED);
         SimulatedDay second = new SimulatedDay(REPEATED_SEED);
-        first.play();
-        second.play();
-        assertEquals(first.getNotes(), second.getNotes());
+        first.run();
+        second.run();
+        assertEquals(first.getTrace(), second.getTrace());
     }
 
     private static void playSeeds(LongFunction<SimulatedDay> days) {
@@ -143,7 +143,7 @@
         int count = Integer.getInteger("standlink.simulation.seeds", USUAL_SEEDS);
         List<String> red = new ArrayList<>();
         for (long seed = first; seed < first + count; seed++) {
-            List<String> found = days.apply(seed).play();
+            List<String> found = days.apply(seed).run();
             if (!found.isEmpty()) {
                 red.add("seed " + seed + ": " + found);
             }
@@ -153,16 +153,16 @@
 
     /** Leaves out one fault after the other as long as the day still shows what it showed. */
     private static void trace(long seed) throws IOException {
-        List<Fault> faults = new ArrayList<>(new SimulatedDay(seed).getFaults());
+        List<SimulatedFault> faults = new ArrayList<>(new SimulatedDay(seed).getFaults());
         SimulatedDay last = traced(seed, faults);
-        List<String> found = last.play();
+        List<String> found = last.run();
         String kind = found.isEmpty() ? "" : kindOf(found.get(0));
         int next = found.isEmpty() ? faults.size() : 0;
         while (next < faults.size()) {
-            List<Fault> fewer = new ArrayList<>(faults);
+            List<SimulatedFault> fewer = new ArrayList<>(faults);
             fewer.remove(next);
             SimulatedDay trial = traced(seed, fewer);
-            List<String> still = trial.play();
+            List<String> still = trial.run();
             if (still.stream().anyMatch(one -> kindOf(one).equals(kind))) {
                 faults = fewer;
                 last = trial;
@@ -172,16 +172,16 @@
                 next++;
             }
         }
-        List<String> lines = new ArrayList<>(last.getNotes());
+        List<String> lines = new ArrayList<>(last.getTrace());
         lines.add("faults " + faults);
         lines.add("found " + found);
         Files.write(Path.of("target", "simulation-" + seed + ".txt"), lines);
     }
 
-    private static SimulatedDay traced(long seed, List<Fault> faults) {
+    private static SimulatedDay traced(long seed, List<SimulatedFault> faults) {
         SimulatedDay day = new SimulatedDay(seed, faults);
         return "kept".equals(System.getProperty("standlink.simulation.ids"))
-                ? day.withKeptIds()
+                ? day.withKeptWorkerIds()
                 : day;
     }
 
--- a/src/test/java/org/standlink/simulation/TestStartsCarriedOutLate.java
+++ b/src/test/java/org/standlink/simulation/TestDelayedStarts.java
@@ -39,7 +39,7 @@
  * <p>Proof: a real leader and two real agents; the call to start is carried out at every half
  * second from the worker's return to the longest time that such a call takes.
  */
-public class TestStartsCarriedOutLate {
+public class TestDelayedStarts {
 
     private static final long SILENT_MILLIS = 7300;
     private static final long LONGEST_LATE_MILLIS = 12_000;
@@ -47,13 +47,13 @@
     private static List<String> play(long lateMillis, long workMillis) {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.playUntil(1500);
+        world.runUntil(1500);
         SimulatedMachine first = cell.getMachines().get(0);
-        first.getPath().silence(SILENT_MILLIS, lateMillis);
-        world.playUntil(1550);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 2, workMillis));
-        world.playUntil(1550 + LONGEST_LATE_MILLIS + 3000);
-        return cell.getReferee().finish();
+        first.getWorkerClient().makeUnresponsive(SILENT_MILLIS, lateMillis);
+        world.runUntil(1550);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, workMillis));
+        world.runUntil(1550 + LONGEST_LATE_MILLIS + 3000);
+        return cell.getInvariantChecker().finish();
     }
 
     private static List<String> playAll(long workMillis) {
@@ -67,12 +67,12 @@
     }
 
     @Test
-    public void aTaskThatIsDoneElsewhereDoesNotBeginAgain() {
+    public void aTaskCompletedElsewhereIsNotStartedAgain() {
         assertEquals(List.of(), playAll(500));
     }
 
     @Test
-    public void aTaskThatRunsElsewhereDoesNotRunTwice() {
+    public void aTaskRunningElsewhereIsNotStartedTwice() {
         assertEquals(List.of(), playAll(0));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestAgentThatStoodStill.java
+++ b/src/test/java/org/standlink/simulation/TestFrozenAgent.java
@@ -32,12 +32,13 @@
  * and the task was done elsewhere. Then the agent went on: its first call was too late for the
  * worker, it took its next lease and called again.
  *
- * <p>Cause: as in {@link TestOrdersAfterALease}; neither the store nor the leader is hindered here.
+ * <p>Cause: as in {@link TestOrdersAfterLeaseExpiry}; neither the store nor the leader is hindered
+ * here.
  *
  * <p>Proof: a real leader and two real agents, one of which stands still for different times; its
  * messages and timers then run all at once.
  */
-public class TestAgentThatStoodStill {
+public class TestFrozenAgent {
 
     private static final long FIRST_MILLIS = 5500;
     private static final long LAST_MILLIS = 11_000;
@@ -46,12 +47,12 @@
     private static List<String> play(long millis, long workMillis) {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.playUntil(4000);
+        world.runUntil(4000);
         cell.getMachines().get(0).freezeAgent(millis);
-        world.playUntil(4500);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 2, workMillis));
-        world.playUntil(4000 + millis + 3000);
-        return cell.getReferee().finish();
+        world.runUntil(4500);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, workMillis));
+        world.runUntil(4000 + millis + 3000);
+        return cell.getInvariantChecker().finish();
     }
 
     private static List<String> playAll(long workMillis) {
@@ -65,12 +66,12 @@
     }
 
     @Test
-    public void aTaskThatIsDoneElsewhereDoesNotBeginAgain() {
+    public void aTaskCompletedElsewhereIsNotStartedAgain() {
         assertEquals(List.of(), playAll(500));
     }
 
     @Test
-    public void aTaskThatRunsElsewhereDoesNotRunTwice() {
+    public void aTaskRunningElsewhereIsNotStartedTwice() {
         assertEquals(List.of(), playAll(0));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestLeaderThatStoodStill.java
+++ b/src/test/java/org/standlink/simulation/TestFrozenLeader.java
@@ -33,13 +33,13 @@
  * the store for so long, gave the workers runs, and took these for over with its next look at
  * leases. The agents kept the orders and started them with their next lease.
  *
- * <p>Cause: as in {@link TestOrdersAfterALease}; here the store is never away.
+ * <p>Cause: as in {@link TestOrdersAfterLeaseExpiry}; here the store is never away.
  *
  * <p>Proof: a real leader that stands still for every time, in tenths of a second, from its
  * authority to somewhat more than authority and a lease together; its messages and timers then run
  * all at once.
  */
-public class TestLeaderThatStoodStill {
+public class TestFrozenLeader {
 
     private static final long FIRST_MILLIS = 3000;
     private static final long LAST_MILLIS = 10_000;
@@ -48,13 +48,13 @@
     private static List<String> play(long millis, boolean whole) {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
-        world.playUntil(250);
+        world.runUntil(250);
         cell.addMachine(false);
-        world.playUntil(4000);
+        world.runUntil(4000);
         cell.newestLeader().freeze(millis, whole);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 3, 0));
-        world.playUntil(4000 + millis + 3000);
-        return cell.getReferee().finish();
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 3, 0));
+        world.runUntil(4000 + millis + 3000);
+        return cell.getInvariantChecker().finish();
     }
 
     private static List<String> playAll(boolean whole) {
@@ -68,12 +68,12 @@
     }
 
     @Test
-    public void aLeaderWhoseProcessStoodStillBringsNoTwoRunsOfOneTask() {
+    public void aLeaderWhoseProcessWasFrozenCausesNoTwoRunsOfOneTask() {
         assertEquals(List.of(), playAll(true));
     }
 
     @Test
-    public void aLeaderWhoseLoopStoodStillBringsNoTwoRunsOfOneTask() {
+    public void aLeaderWhoseLoopWasFrozenCausesNoTwoRunsOfOneTask() {
         assertEquals(List.of(), playAll(false));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestLivesUnderOneId.java
+++ b/src/test/java/org/standlink/simulation/TestIncarnationsUnderOneId.java
@@ -44,7 +44,7 @@
  * <p>Proof: with 17 ends recorded before the crash, the first end of the new life that the leader
  * heard of was its 18th, and the worker's clock seemed to jump ahead by 1,641 s.
  */
-public class TestLivesUnderOneId {
+public class TestIncarnationsUnderOneId {
 
     private static final long CRASH_AT_MILLIS = 5000;
     private static final long FIRST_BACK_MILLIS = 50;
@@ -57,20 +57,21 @@
     private static SimulatedCell cell() {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
-        cell.getMachines().forEach(SimulatedMachine::keepId);
-        world.playUntil(1500);
+        cell.getMachines().forEach(SimulatedMachine::keepWorkerId);
+        world.runUntil(1500);
         return cell;
     }
 
     private static void startAgain(SimulatedCell cell, long backMillis) {
-        cell.getWorld().playUntil(CRASH_AT_MILLIS);
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS);
         cell.getMachines().forEach(SimulatedMachine::crashWorker);
-        cell.getWorld().playUntil(CRASH_AT_MILLIS + backMillis);
-        cell.getMachines().forEach(SimulatedMachine::beginLife);
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + backMillis);
+        cell.getMachines().forEach(SimulatedMachine::startWorker);
     }
 
     private static JobDefinition submit(SimulatedCell cell, int number, int tasks, long millis) {
-        JobDefinition job = SimulatedCallers.job(String.format("%016x", number), tasks, millis);
+        JobDefinition job =
+                SimulatedCallers.createJob(String.format("%016x", number), tasks, millis);
         cell.getCallers().submit(job);
         return job;
     }
@@ -78,22 +79,22 @@
     /** Several jobs end before the crash, so that numbers of ends are recorded of both workers. */
     private static List<String> playShortJobs(long backMillis) {
         SimulatedCell cell = cell();
-        SimulationEnvironment world = cell.getWorld();
+        SimulationEnvironment world = cell.getEnvironment();
         List<JobDefinition> jobs = new ArrayList<>();
         for (int i = 0; i < BEFORE; i++) {
             jobs.add(submit(cell, i + 1, 4, 200));
-            world.playUntil(1500 + 600 * (i + 1));
+            world.runUntil(1500 + 600 * (i + 1));
         }
         startAgain(cell, backMillis);
         for (int i = 0; i < AFTER; i++) {
             jobs.add(submit(cell, BEFORE + i + 1, 2, 300));
-            world.playUntil(CRASH_AT_MILLIS + backMillis + 500 * (i + 1));
+            world.runUntil(CRASH_AT_MILLIS + backMillis + 500 * (i + 1));
         }
-        world.playUntil(CRASH_AT_MILLIS + backMillis + 10_000);
+        world.runUntil(CRASH_AT_MILLIS + backMillis + 10_000);
         List<Optional<JobState>> states = new ArrayList<>();
-        jobs.forEach(job -> cell.getCallers().askState(job.id(), states::add));
-        world.playUntil(world.elapsed() + 1000);
-        List<String> found = new ArrayList<>(cell.getReferee().finish());
+        jobs.forEach(job -> cell.getCallers().queryState(job.id(), states::add));
+        world.runUntil(world.elapsed() + 1000);
+        List<String> found = new ArrayList<>(cell.getInvariantChecker().finish());
         if (!states.stream().allMatch(Optional.of(JobState.COMPLETED)::equals)) {
             found.add("states " + states);
         }
@@ -103,17 +104,18 @@
     private static List<TaskName> idleAfter(long backMillis) {
         SimulatedCell cell = cell();
         JobDefinition job = submit(cell, 1, 6, 0);
-        cell.getWorld().playUntil(CRASH_AT_MILLIS - 100);
-        List<TaskName> tasks = SimulatedCallers.tasks(job);
-        assertTrue(tasks.stream().allMatch(cell.getReferee()::isAtWork), "all are at work");
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS - 100);
+        List<TaskName> tasks = SimulatedCallers.listTasks(job);
+        assertTrue(
+                tasks.stream().allMatch(cell.getInvariantChecker()::isRunning), "all are at work");
         startAgain(cell, backMillis);
-        cell.getWorld().playUntil(CRASH_AT_MILLIS + backMillis + BOUND_MILLIS);
-        assertEquals(List.of(), cell.getReferee().finish());
-        return tasks.stream().filter(task -> !cell.getReferee().isAtWork(task)).toList();
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + backMillis + BOUND_MILLIS);
+        assertEquals(List.of(), cell.getInvariantChecker().finish());
+        return tasks.stream().filter(task -> !cell.getInvariantChecker().isRunning(task)).toList();
     }
 
     @Test
-    public void whatIsDoneAfterAWorkerHasStartedAgainDoesNotBeginAgain() {
+    public void tasksCompletedAfterAWorkerRestartAreNotStartedAgain() {
         List<String> found = new ArrayList<>();
         for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
             for (String one : playShortJobs(back)) {
@@ -124,7 +126,7 @@
     }
 
     @Test
-    public void whatIsToLastRunsAgainAfterItsWorkerHasStartedAgain() {
+    public void longRunningTasksRunAgainAfterAWorkerRestart() {
         for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
             assertEquals(List.of(), idleAfter(back), "back after " + back);
         }
--- a/src/test/java/org/standlink/simulation/TestLivesWithoutALease.java
+++ b/src/test/java/org/standlink/simulation/TestIncarnationsWithoutALease.java
@@ -42,7 +42,7 @@
  * <p>Proof: a real leader and two real agents; the store goes away and comes back at many moments,
  * among them some at which it comes back between a report and the leader's next look at leases.
  */
-public class TestLivesWithoutALease {
+public class TestIncarnationsWithoutALease {
 
     private static final JobId JOB = JobId.parse("aaaaaaaaaaaaaaaa");
     private static final long ASK_MILLIS = 5;
@@ -58,35 +58,35 @@
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 0, false);
         // Reports are to come half-way between the leader's looks at leases.
-        world.playUntil(50);
+        world.runUntil(50);
         cell.addMachine(false);
         cell.addMachine(false);
         // The job fills both workers, so that what runs on the first can only go on there.
-        world.playUntil(1500);
-        cell.getCallers().submit(SimulatedCallers.job(JOB.toString(), TASKS, 0));
-        world.playUntil(awayMillis);
-        cell.getWeather().refuse(backMillis - awayMillis);
-        world.playUntil(CRASH_AT_MILLIS);
+        world.runUntil(1500);
+        cell.getCallers().submit(SimulatedCallers.createJob(JOB.toString(), TASKS, 0));
+        world.runUntil(awayMillis);
+        cell.getStoreFaults().refuseCalls(backMillis - awayMillis);
+        world.runUntil(CRASH_AT_MILLIS);
         SimulatedMachine first = cell.getMachines().get(0);
         first.crashWorker();
-        world.playUntil(CRASH_AT_MILLIS + 300);
-        first.beginLife();
+        world.runUntil(CRASH_AT_MILLIS + 300);
+        first.startWorker();
         // The leader decides whenever somebody asks, not only with its looks at leases.
-        world.every(ASK_MILLIS, () -> cell.getCallers().askState(JOB, state -> {}));
-        world.playUntil(backMillis + 1500);
+        world.scheduleRepeating(ASK_MILLIS, () -> cell.getCallers().queryState(JOB, state -> {}));
+        world.runUntil(backMillis + 1500);
         return cell;
     }
 
     @Test
-    public void aLifeThatCameWhileNothingWasGrantedIsGivenNoRunThatIsTakenForOver() {
+    public void noRunIsAssignedToAnIncarnationWithoutALease() {
         List<String> found = new ArrayList<>();
         for (long away = FIRST_AWAY_MILLIS; away <= LAST_AWAY_MILLIS; away += STEP_MILLIS) {
             for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
                 SimulatedCell cell = play(away, back);
-                for (String one : cell.getReferee().finish()) {
+                for (String one : cell.getInvariantChecker().finish()) {
                     found.add("away at " + away + ", back at " + back + ": " + one);
                 }
-                assertTrue(cell.getReferee().countStarts() > TASKS, "tasks ran again");
+                assertTrue(cell.getInvariantChecker().countStarts() > TASKS, "tasks ran again");
             }
         }
         assertEquals(List.of(), found);
--- a/src/test/java/org/standlink/simulation/TestInvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/TestInvariantChecker.java
@@ -60,23 +60,23 @@
 
     @Test
     public void twoRunsOfATaskAtOnceAreFound() {
-        referee.begun(one, FIRST, false);
-        referee.begun(two, SECOND, false);
+        referee.recordStart(one, FIRST, false);
+        referee.recordStart(two, SECOND, false);
         assertFound("TWICE");
     }
 
     @Test
     public void oneRunOnTwoWorkersIsFound() {
-        referee.begun(one, FIRST, false);
-        referee.begun(two, FIRST, false);
+        referee.recordStart(one, FIRST, false);
+        referee.recordStart(two, FIRST, false);
         assertFound("TWICE");
     }
 
     @Test
-    public void aRunAfterOneThatDiedWithItsWorkerIsRight() {
-        referee.begun(one, FIRST, false);
-        referee.died(one, FIRST);
-        referee.begun(two, SECOND, false);
+    public void aRunAfterOneLostWithItsWorkerIsAllowed() {
+        referee.recordStart(one, FIRST, false);
+        referee.recordLostRun(one, FIRST);
+        referee.recordStart(two, SECOND, false);
         assertFound();
     }
 
@@ -92,113 +92,115 @@
 
     private void begunAndCrashed(int number) {
         RunId run = new RunId(TASK, number);
-        referee.begun(one, run, false);
-        referee.crashedUnder(TASK);
-        referee.died(one, run);
+        referee.recordStart(one, run, false);
+        referee.recordCrash(TASK);
+        referee.recordLostRun(one, run);
     }
 
     @Test
-    public void aStartInAnEvacuatedHallIsFoundAfterTheTimeToReadOfItUntilItIsTakenBack() {
+    public void aStartInAnEvacuatedHallIsFoundAfterTheTimeToReadTheRequest() {
         referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), true));
-        world.playUntil(2500);
-        referee.begun(one, FIRST, false);
+        world.runUntil(2500);
+        referee.recordStart(one, FIRST, false);
         assertFound();
-        referee.died(one, FIRST);
-        world.playUntil(2600);
-        referee.begun(one, SECOND, true);
+        referee.recordLostRun(one, FIRST);
+        world.runUntil(2600);
+        referee.recordStart(one, SECOND, true);
         assertFound();
-        referee.died(one, SECOND);
-        referee.begun(one, new RunId(TASK, 3), false);
+        referee.recordLostRun(one, SECOND);
+        referee.recordStart(one, new RunId(TASK, 3), false);
         assertFound("EVAC");
-        referee.died(one, new RunId(TASK, 3));
+        referee.recordLostRun(one, new RunId(TASK, 3));
         referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), false));
-        referee.begun(one, new RunId(TASK, 4), false);
+        referee.recordStart(one, new RunId(TASK, 4), false);
         assertFound("EVAC");
     }
 
     @Test
-    public void aStartAfterAGoodEndThatIsRecordedLaterIsFound() {
+    public void aStartAfterASuccessfulEndThatIsRecordedLaterIsFound() {
         endWellAndBeginAgain();
-        referee.recorded(one, 1);
+        referee.recordPersistedEnds(one, 1);
         assertFound("AGAIN");
     }
 
     @Test
-    public void aStartAfterAGoodEndThatIsNeverRecordedIsRight() {
+    public void aStartAfterASuccessfulEndThatIsNeverRecordedIsAllowed() {
         endWellAndBeginAgain();
         assertFound();
     }
 
     @Test
-    public void aGoodEndCountsForNothingOnceTheHoldHasRunOut() {
+    public void aSuccessfulEndIsIgnoredOnceTheLeaseHasExpired() {
         endWellAndBeginAgain();
-        referee.lapsed(one);
-        referee.recorded(one, 1);
+        referee.recordLapse(one);
+        referee.recordPersistedEnds(one, 1);
         assertFound();
     }
 
     private void endWellAndBeginAgain() {
-        referee.begun(one, FIRST, false);
-        world.playUntil(100);
-        referee.over(one, FIRST, RunEndKind.DONE, 1);
-        world.playUntil(200);
-        referee.begun(two, SECOND, false);
+        referee.recordStart(one, FIRST, false);
+        world.runUntil(100);
+        referee.recordEnd(one, FIRST, RunEndKind.DONE, 1);
+        world.runUntil(200);
+        referee.recordStart(two, SECOND, false);
     }
 
     @Test
-    public void aRunThatBeginsLongAfterTheCancelIsFound() {
+    public void aRunStartedLongAfterTheCancelIsFound() {
         referee.cancelAcknowledged(TASK.job());
-        world.playUntil(3200);
-        referee.begun(one, FIRST, false);
+        world.runUntil(3200);
+        referee.recordStart(one, FIRST, false);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aRunThatBeginsSoonAfterTheCancelIsRight() {
+    public void aRunStartedSoonAfterTheCancelIsAllowed() {
         referee.cancelAcknowledged(TASK.job());
-        world.playUntil(2900);
-        referee.begun(one, FIRST, false);
-        world.playUntil(3300);
-        referee.over(one, FIRST, RunEndKind.STOPPED, 1);
-        world.playUntil(9000);
+        world.runUntil(2900);
+        referee.recordStart(one, FIRST, false);
+        world.runUntil(3300);
+        referee.recordEnd(one, FIRST, RunEndKind.STOPPED, 1);
+        world.runUntil(9000);
         assertFound();
     }
 
     @Test
-    public void aRunAtWorkLongAfterTheCancelIsFoundOnce() {
-        referee.begun(one, FIRST, false);
+    public void aRunStillRunningLongAfterTheCancelIsFoundOnce() {
+        referee.recordStart(one, FIRST, false);
         referee.cancelAcknowledged(TASK.job());
-        world.playUntil(9000);
+        world.runUntil(9000);
         assertFound("UNASKED");
     }
 
     @Test
-    public void anImpairmentExcusesARunOfACancelledJobForAWhile() {
-        referee.begun(one, FIRST, false);
+    public void anImpairmentExtendsTheTimeToStopACancelledJob() {
+        referee.recordStart(one, FIRST, false);
         referee.cancelAcknowledged(TASK.job());
-        referee.impaired(4000);
-        world.playUntil(6900);
+        referee.recordImpairment(4000);
+        world.runUntil(6900);
         assertFound();
-        world.playUntil(7200);
+        world.runUntil(7200);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aRunThatIsBegunLateCountsFromItsBeginning() {
+    public void aDelayedStartExtendsTheTimeToStopACancelledJob() {
         referee.cancelAcknowledged(TASK.job());
-        world.playUntil(5000);
-        referee.begun(one, FIRST, true);
-        world.playUntil(7900);
+        world.runUntil(5000);
+        referee.recordStart(one, FIRST, true);
+        world.runUntil(7900);
         assertFound();
-        world.playUntil(8200);
+        world.runUntil(8200);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aWorkerOverItsRoomIsFound() {
-        referee.room(one, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
+    public void aWorkerOverItsCapacityIsFound() {
+        referee.checkCapacity(
+                one, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
         assertFound();
-        referee.room(one, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
+        referee.checkCapacity(
+                one, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
         assertFound("ROOM");
     }
 }
--- a/src/test/java/org/standlink/simulation/TestLeaseOfAnUnnamedWorker.java
+++ b/src/test/java/org/standlink/simulation/TestLeaseOfUnreportedWorker.java
@@ -32,7 +32,7 @@
  * <p>Cause: an agent has one lease for all of its workers, whether the report that it was granted
  * for named them or not.
  */
-public class TestLeaseOfAnUnnamedWorker {
+public class TestLeaseOfUnreportedWorker {
 
     private static final long END_MILLIS = 4000;
     private static final long RESTART_MILLIS = 5500;
@@ -40,24 +40,24 @@
     private static final long CUT_MILLIS = 800;
 
     @Test
-    public void aLeaseDoesNotHoldForAWorkerThatNoReportHasNamed() {
+    public void aLeaseDoesNotCoverAWorkerThatNoReportHasNamed() {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
-        world.playUntil(1000);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 1, 0));
-        world.playUntil(2000);
+        world.runUntil(1000);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 1, 0));
+        world.runUntil(2000);
         cell.addMachine(false);
-        world.playUntil(END_MILLIS);
+        world.runUntil(END_MILLIS);
         SimulatedMachine machine = cell.getMachines().get(0);
         machine.endAgent();
-        world.playUntil(RESTART_MILLIS);
-        machine.getPath().silence(UNHEARD_MILLIS);
-        machine.startAgent(cell.newestNotice());
-        world.playUntil(RESTART_MILLIS + CUT_MILLIS);
-        machine.getUp().lose(20_000);
-        machine.getDown().lose(20_000);
-        world.playUntil(RESTART_MILLIS + 15_000);
-        List<String> found = cell.getReferee().finish();
-        assertEquals(List.of(), found, () -> String.join("\n", world.getNotes()));
+        world.runUntil(RESTART_MILLIS);
+        machine.getWorkerClient().makeUnresponsive(UNHEARD_MILLIS);
+        machine.startAgent(cell.newestLeaderNotice());
+        world.runUntil(RESTART_MILLIS + CUT_MILLIS);
+        machine.getUplink().loseMessages(20_000);
+        machine.getDownlink().loseMessages(20_000);
+        world.runUntil(RESTART_MILLIS + 15_000);
+        List<String> found = cell.getInvariantChecker().finish();
+        assertEquals(List.of(), found, () -> String.join("\n", world.getTrace()));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestOrdersAfterALease.java
+++ b/src/test/java/org/standlink/simulation/TestOrdersAfterLeaseExpiry.java
@@ -41,7 +41,7 @@
  * <p>Proof: a real leader and two real agents with simulated workers. In the sweep, the store comes
  * back at every tenth of a heartbeat around the end of the leases.
  */
-public class TestOrdersAfterALease {
+public class TestOrdersAfterLeaseExpiry {
 
     private static final long FIRST_AWAY_MILLIS = 8400;
     private static final long LAST_AWAY_MILLIS = 9600;
@@ -53,33 +53,33 @@
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 1, false);
         // The agents' heartbeats are to be half a period apart.
-        world.playUntil(250);
+        world.runUntil(250);
         cell.addMachine(false);
-        world.playUntil(1500);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 2, 0));
-        world.playUntil(4000 + phaseMillis);
-        cell.getWeather().refuse(awayMillis);
-        world.playUntil(4000 + phaseMillis + awayMillis + 3000);
+        world.runUntil(1500);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, 0));
+        world.runUntil(4000 + phaseMillis);
+        cell.getStoreFaults().refuseCalls(awayMillis);
+        world.runUntil(4000 + phaseMillis + awayMillis + 3000);
         return cell;
     }
 
     @Test
     public void aRunReleasedWithItsLeaseIsNotStartedUnderTheNextOne() {
         SimulatedCell cell = play(0, 8700);
-        List<String> found = cell.getReferee().finish();
-        assertEquals(List.of(), found, () -> String.join("\n", cell.getWorld().getNotes()));
+        List<String> found = cell.getInvariantChecker().finish();
+        assertEquals(List.of(), found, () -> String.join("\n", cell.getEnvironment().getTrace()));
     }
 
     @Test
-    public void noMomentOfTheStoresReturnBringsTwoRunsOfOneTask() {
+    public void noRecoveryTimeOfTheStoreCausesTwoRunsOfOneTask() {
         List<String> found = new ArrayList<>();
         for (long phase = 0; phase < HEARTBEAT_MILLIS; phase += 2 * STEP_MILLIS) {
             for (long away = FIRST_AWAY_MILLIS; away <= LAST_AWAY_MILLIS; away += STEP_MILLIS) {
                 SimulatedCell cell = play(phase, away);
-                for (String one : cell.getReferee().finish()) {
+                for (String one : cell.getInvariantChecker().finish()) {
                     found.add("away for " + away + " from " + phase + ": " + one);
                 }
-                assertTrue(cell.getReferee().countStarts() >= 2, "the job ran");
+                assertTrue(cell.getInvariantChecker().countStarts() >= 2, "the job ran");
             }
         }
         assertEquals(List.of(), found);
--- a/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
+++ b/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
@@ -51,21 +51,21 @@
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
         SimulatedMachine first = cell.getMachines().get(0);
-        world.playUntil(4000);
-        first.holdUpChannel(heldMillis);
+        world.runUntil(4000);
+        first.delayChannel(heldMillis);
         // Time for one report, and too little for the agent to find its channel silent.
-        world.playUntil(4600);
+        world.runUntil(4600);
         first.crashWorker();
         if (restarts) {
             first.endAgent();
         }
-        first.beginLife();
+        first.startWorker();
         if (restarts) {
-            first.startAgent(cell.newestNotice());
+            first.startAgent(cell.newestLeaderNotice());
         }
-        world.playUntil(5500);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", TASKS, 0));
-        world.playUntil(4000 + heldMillis + 3000);
+        world.runUntil(5500);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", TASKS, 0));
+        world.runUntil(4000 + heldMillis + 3000);
         return cell;
     }
 
@@ -73,21 +73,21 @@
         List<String> found = new ArrayList<>();
         for (long held = FIRST_HELD_MILLIS; held <= LAST_HELD_MILLIS; held += STEP_MILLIS) {
             SimulatedCell cell = play(held, restarts);
-            for (String one : cell.getReferee().finish()) {
+            for (String one : cell.getInvariantChecker().finish()) {
                 found.add("held up by " + held + ": " + one);
             }
-            assertTrue(cell.getReferee().countStarts() >= TASKS, "all tasks began");
+            assertTrue(cell.getInvariantChecker().countStarts() >= TASKS, "all tasks began");
         }
         return found;
     }
 
     @Test
-    public void aLifeThatIsOverDoesNotReplaceThePresentOne() {
+    public void anEndedIncarnationDoesNotReplaceTheCurrentOne() {
         assertEquals(List.of(), playAll(true));
     }
 
     @Test
-    public void aReportThatALaterOneHasOvertakenDoesNotEither() {
+    public void anOvertakenReportDoesNotReplaceTheCurrentIncarnation() {
         assertEquals(List.of(), playAll(false));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
+++ b/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
@@ -43,18 +43,18 @@
     private static SimulatedCell cellWithWork() {
         SimulationEnvironment world = new SimulationEnvironment();
         SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.playUntil(1500);
-        cell.getCallers().submit(SimulatedCallers.job("aaaaaaaaaaaaaaaa", 2, 0));
-        cell.getCallers().submit(SimulatedCallers.job("bbbbbbbbbbbbbbbb", 2, 9000));
-        world.playUntil(AT_MILLIS);
-        assertTrue(cell.getReferee().countStarts() >= 4, "the jobs run");
+        world.runUntil(1500);
+        cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, 0));
+        cell.getCallers().submit(SimulatedCallers.createJob("bbbbbbbbbbbbbbbb", 2, 9000));
+        world.runUntil(AT_MILLIS);
+        assertTrue(cell.getInvariantChecker().countStarts() >= 4, "the jobs run");
         return cell;
     }
 
     private static List<String> end(SimulatedCell cell, long suspended) {
-        cell.getWorld().playUntil(AT_MILLIS + suspended + AFTER_MILLIS);
+        cell.getEnvironment().runUntil(AT_MILLIS + suspended + AFTER_MILLIS);
         List<String> found = new ArrayList<>();
-        for (String one : cell.getReferee().finish()) {
+        for (String one : cell.getInvariantChecker().finish()) {
             found.add("suspended for " + suspended + ": " + one);
         }
         return found;
@@ -64,7 +64,7 @@
         SimulatedCell cell = cellWithWork();
         SimulatedMachine machine = cell.getMachines().get(0);
         if (linkLost) {
-            machine.getUp().lose(millis + AFTER_MILLIS / 2);
+            machine.getUplink().loseMessages(millis + AFTER_MILLIS / 2);
         }
         machine.suspendAgent(millis);
         return end(cell, millis);
@@ -75,14 +75,14 @@
         SimulatedLeader first = cell.newestLeader();
         first.suspend(millis);
         // It goes on for long enough to answer the reports that have come meanwhile.
-        cell.getWorld().later(millis + 100, () -> cell.crash(first));
-        cell.getWorld()
-                .later(
+        cell.getEnvironment().schedule(millis + 100, () -> cell.crash(first));
+        cell.getEnvironment()
+                .schedule(
                         nextAfterMillis,
                         () -> {
-                            cell.lead();
+                            cell.startLeader();
                             // The other agent is cut off from all news but those of its leader.
-                            cell.getMachines().get(1).tell(cell.newestNotice());
+                            cell.getMachines().get(1).notifyOfLeader(cell.newestLeaderNotice());
                         });
         return end(cell, millis);
     }
--- a/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
+++ b/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
@@ -93,11 +93,11 @@
         }
 
         private int countCrashes(JobDefinition job) {
-            return cell.getReferee().countCrashes(new TaskName(job.id(), 0, 0, 0));
+            return cell.getInvariantChecker().countCrashes(new TaskName(job.id(), 0, 0, 0));
         }
 
         List<String> judge() {
-            List<String> found = new ArrayList<>(cell.getReferee().finish());
+            List<String> found = new ArrayList<>(cell.getInvariantChecker().finish());
             crashing.forEach(job -> expect(job, JobState.FAILED, found));
             for (JobDefinition job : innocent) {
                 boolean lasts = job.steps().get(0).longRunning();
@@ -121,26 +121,26 @@
     private Outcome play(SimulationEnvironment world, Day day) {
         SimulatedCell cell = new SimulatedCell(world, MACHINES, false);
         Outcome outcome = new Outcome(cell);
-        cell.getMachines().forEach(machine -> machine.setBackMillis(day.backMillis()));
+        cell.getMachines().forEach(machine -> machine.setRestartDelayMillis(day.backMillis()));
         submitAll(world, cell, day, outcome);
         if (day.restarts()) {
             for (long at = 3500; at <= BUSY_MILLIS; at += 4000) {
-                world.later(at, () -> replaceLeader(cell));
-                world.later(at + 2000, () -> restartAgent(world, cell));
+                world.schedule(at, () -> replaceLeader(cell));
+                world.schedule(at + 2000, () -> restartAgent(world, cell));
             }
         }
         if (day.crashEvery() > 0) {
             for (long at = 2000; at <= BUSY_MILLIS; at += day.crashEvery()) {
                 int machine = (int) (at / day.crashEvery() % MACHINES);
-                world.later(at, () -> cell.getMachines().get(machine).crashForAWhile());
+                world.schedule(at, () -> cell.getMachines().get(machine).crashAndRestartWorker());
             }
         }
-        world.playUntil(END_MILLIS);
-        for (JobDefinition job : cell.getCallers().getAccepted()) {
+        world.runUntil(END_MILLIS);
+        for (JobDefinition job : cell.getCallers().getAcceptedJobs()) {
             cell.getCallers()
-                    .askState(job.id(), state -> outcome.states.put(job.id(), state.get()));
+                    .queryState(job.id(), state -> outcome.states.put(job.id(), state.get()));
         }
-        world.playUntil(END_MILLIS + 3000);
+        world.runUntil(END_MILLIS + 3000);
         return outcome;
     }
 
@@ -148,11 +148,12 @@
             SimulationEnvironment world, SimulatedCell cell, Day day, Outcome outcome) {
         for (int i = 0; i < INNOCENT_JOBS; i++) {
             long millis = i == 0 ? 0 : 400 + 700L * (i % 9);
-            outcome.innocent.add(SimulatedCallers.job(String.format("%016x", i + 1), 2, millis));
+            outcome.innocent.add(
+                    SimulatedCallers.createJob(String.format("%016x", i + 1), 2, millis));
         }
         for (int i = 0; i < day.crashingJobs(); i++) {
             String id = String.format("c%015x", i + 1);
-            outcome.crashing.add(SimulatedCallers.crashingJob(id, day.late()));
+            outcome.crashing.add(SimulatedCallers.createCrashingJob(id, day.late()));
         }
         submitInTurn(world, cell, outcome.innocent, 500);
         submitInTurn(world, cell, outcome.crashing, 900);
@@ -162,27 +163,27 @@
             SimulationEnvironment world, SimulatedCell cell, List<JobDefinition> jobs, long pause) {
         long at = FIRST_MILLIS;
         for (JobDefinition job : jobs) {
-            world.later(at, () -> cell.getCallers().submit(job));
+            world.schedule(at, () -> cell.getCallers().submit(job));
             at += pause;
         }
     }
 
     private static void replaceLeader(SimulatedCell cell) {
         cell.crashLeader();
-        cell.lead();
-        cell.getMachines().forEach(machine -> machine.tell(cell.newestNotice()));
+        cell.startLeader();
+        cell.getMachines().forEach(machine -> machine.notifyOfLeader(cell.newestLeaderNotice()));
     }
 
     private static void restartAgent(SimulationEnvironment world, SimulatedCell cell) {
         SimulatedMachine machine =
                 cell.getMachines().get((int) (world.elapsed() / 1000 % MACHINES));
         machine.endAgent();
-        world.later(1000, () -> machine.startAgent(cell.newestNotice()));
+        world.schedule(1000, () -> machine.startAgent(cell.newestLeaderNotice()));
     }
 
     private void assertClean(Day day) {
         Outcome outcome = play(new SimulationEnvironment(), day);
-        List<String> notes = outcome.cell.getWorld().getNotes();
+        List<String> notes = outcome.cell.getEnvironment().getTrace();
         assertEquals(List.of(), outcome.judge(), () -> String.join("\n", notes));
     }
 
@@ -210,17 +211,17 @@
     }
 
     @Test
-    public void aTaskThatCrashesItsWorkersIsGivenUpAndNoOther() {
+    public void onlyTheTaskThatCrashesItsWorkersFailsPermanently() {
         assertClean(Day.ONE_TASK);
     }
 
     @Test
-    public void itIsGivenUpAlsoWhenLeadersAndAgentsAreReplaced() {
+    public void onlyTheCrashingTaskFailsWhenLeadersAndAgentsAreReplaced() {
         assertClean(Day.ONE_TASK.withRestarts());
     }
 
     @Test
-    public void noCourseOfEventsGivesUpAnotherOne() {
+    public void onlyTheCrashingTaskFailsOnEverySeed() {
         List<Outcome> outcomes = playSeeds(Day.ONE_TASK);
         assertEquals(List.of(), findAll(outcomes));
         int crashes = outcomes.stream().mapToInt(Outcome::countCrashes).sum();
@@ -228,7 +229,7 @@
     }
 
     @Test
-    public void noCourseOfEventsWithRestartsGivesUpAnotherOne() {
+    public void onlyTheCrashingTaskFailsOnEverySeedWithRestarts() {
         assertCleanFor(Day.ONE_TASK.withRestarts());
     }
 
@@ -236,7 +237,7 @@
      * With so many, few are given up though they could have ended, and no start is one too many.
      */
     @Test
-    public void manySuchTasksAreToldFromMostOfThoseBesideThem() {
+    public void manyCrashingTasksAreDistinguishedFromMostOthers() {
         List<String> found = findAll(playSeeds(new Day(8, false, 1000, false, 0)));
         List<String> innocent = found.stream().filter(one -> one.contains("STATE of 0")).toList();
         found.removeAll(innocent);
@@ -246,17 +247,17 @@
     }
 
     @Test
-    public void aWorkerThatComesBackAfterItsLeaseCountsAsWell() {
+    public void aCrashOfAWorkerThatRestartsAfterItsLeaseIsCounted() {
         assertCleanFor(new Day(2, false, 7000, false, 0));
     }
 
     @Test
-    public void aTaskThatCrashesItsWorkerLateIsGivenUpAsWell() {
+    public void aTaskThatCrashesItsWorkerLateFailsPermanently() {
         assertCleanFor(new Day(2, true, 1000, false, 0));
     }
 
     @Test
-    public void workersThatCrashForOtherReasonsGiveNoTaskUp() {
+    public void workerCrashesWithOtherCausesFailNoTask() {
         assertCleanFor(new Day(0, false, 1000, false, 2000));
     }
 }
--- a/src/test/java/org/standlink/simulation/WorkerPath.java
+++ b/src/test/java/org/standlink/simulation/UnreliableWorkerClient.java
@@ -26,7 +26,7 @@
 import org.standlink.wire.StartOrder;
 
 /** The way from an agent to the worker beside it, on which calls stay without an answer. */
-final class WorkerPath implements WorkerClient {
+final class UnreliableWorkerClient implements WorkerClient {
 
     private static final long CALL_MILLIS = 500;
     private static final int UNWELL_PERCENT = 25;
@@ -40,26 +40,26 @@
     private int unsurePercent;
     private long doneAfterMillis = -1;
 
-    WorkerPath(SimulationEnvironment world) {
+    UnreliableWorkerClient(SimulationEnvironment world) {
         this.world = world;
     }
 
-    SimulatedWorker getLife() {
+    SimulatedWorker getWorker() {
         return life;
     }
 
-    void setLife(SimulatedWorker present) {
+    void setWorker(SimulatedWorker present) {
         life = present;
     }
 
     /** No call is done or answered for a while. */
-    void silence(long millis) {
+    void makeUnresponsive(long millis) {
         silentUntil = Math.max(silentUntil, world.now() + millis);
     }
 
     /** No call is answered for a while, and each one is done so long after it was made. */
-    void silence(long millis, long lateMillis) {
-        silence(millis);
+    void makeUnresponsive(long millis, long lateMillis) {
+        makeUnresponsive(millis);
         doneAfterMillis = lateMillis;
     }
 
@@ -67,7 +67,7 @@
      * Calls may stay without an answer for a while, and be done at once, late or not at all; or the
      * worker says that it is unwell, and does nothing.
      */
-    void unsure(long millis, int percent) {
+    void makeUnreliable(long millis, int percent) {
         unsureUntil = Math.max(unsureUntil, world.now() + millis);
         unsurePercent = percent;
     }
@@ -109,7 +109,7 @@
                         isOther(to)
                                 ? CompletableFuture.completedFuture(unheard(otherLife()))
                                 : life.renew(until, fence.toToken(), recordedEnd, waitMillis),
-                WorkerPath::unheard,
+                UnreliableWorkerClient::unheard,
                 CALL_MILLIS + waitMillis);
     }
 
@@ -132,29 +132,29 @@
             long timeoutMillis) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         T unheard = failed.apply(unknown());
-        world.later(timeoutMillis, () -> answer.complete(unheard));
+        world.schedule(timeoutMillis, () -> answer.complete(unheard));
         boolean silent = silentUntil > world.now();
         boolean unsure = unsureUntil > world.now() && world.chance(unsurePercent);
         if (!silent && !unsure) {
-            world.later(world.draw(1, 4), () -> doNow(name, effect, unheard, answer));
+            world.schedule(world.draw(1, 4), () -> doNow(name, effect, unheard, answer));
             return answer;
         }
         if (unsure && !silent && world.chance(UNWELL_PERCENT)) {
             T unwell = failed.apply(new CallResult(CallResult.Kind.UNWELL, -1, "simulated"));
-            world.later(world.draw(2, 8), () -> answer.complete(unwell));
+            world.schedule(world.draw(2, 8), () -> answer.complete(unwell));
             return answer;
         }
         long fate = world.draw(0, 3);
         if (silent && doneAfterMillis >= 0) {
-            world.later(doneAfterMillis, () -> doLate(name, effect, true));
+            world.schedule(doneAfterMillis, () -> doLate(name, effect, true));
         } else if (fate == 0 && !silent) {
-            world.later(world.draw(1, 4), () -> doLate(name, effect, false));
+            world.schedule(world.draw(1, 4), () -> doLate(name, effect, false));
         } else if (fate <= 2) {
             long late = world.draw(FIRST_LATE_MILLIS, LAST_LATE_MILLIS);
-            world.later(late, () -> doLate(name, effect, true));
+            world.schedule(late, () -> doLate(name, effect, true));
         }
         if (!name.isEmpty()) {
-            world.note("call without answer: " + name);
+            world.trace("call without answer: " + name);
         }
         return answer;
     }
@@ -172,9 +172,9 @@
                 .thenAccept(
                         value -> {
                             if (value instanceof CallResult result) {
-                                world.note("call: " + name + " " + result.kind());
+                                world.trace("call: " + name + " " + result.kind());
                             }
-                            world.later(world.draw(1, 4), () -> answer.complete(value));
+                            world.schedule(world.draw(1, 4), () -> answer.complete(value));
                         });
     }
 
@@ -185,14 +185,14 @@
                     .thenAccept(
                             value -> {
                                 if (value instanceof CallResult result) {
-                                    world.note("unheard call: " + name + " " + result.kind());
+                                    world.trace("unheard call: " + name + " " + result.kind());
                                 }
                             });
         }
     }
 
     private boolean isOther(WorkerDescription to) {
-        return !to.incarnation().getId().equals(life.getId().getId());
+        return !to.incarnation().getId().equals(life.getIncarnation().getId());
     }
 
     private static CallResult otherLife() {
--- a/src/test/java/org/standlink/wire/TestWireServer.java
+++ b/src/test/java/org/standlink/wire/TestWireServer.java
@@ -78,14 +78,14 @@
 
     private static void await(WireServer server) {
         try {
-            server.awaitAccepted(LONG_MILLIS);
+            server.awaitPendingAccepts(LONG_MILLIS);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Test
-    public void aConnectionThatWaitsToBeAcceptedIsWaitedFor() throws Exception {
+    public void waitsForConnectionsThatAreNotYetAccepted() throws Exception {
         HeldWork work = new HeldWork();
         try (WireServer server =
                         new WireServer(
@@ -98,13 +98,13 @@
             waiting.start();
             waiting.join(SHORT_MILLIS);
             assertTrue(waiting.isAlive(), "nothing has been accepted yet");
-            assertTrue(server.isEmpty());
+            assertTrue(server.hasNoConnections());
             Thread accepting = new Thread(work.held.take());
             accepting.setDaemon(true);
             accepting.start();
             waiting.join(LONG_MILLIS);
             assertFalse(waiting.isAlive());
-            assertFalse(server.isEmpty(), "the peer is known, " + peer);
+            assertFalse(server.hasNoConnections(), "the peer is known, " + peer);
         }
     }
 }
