--- a/src/main/java/org/standlink/leader/AgentEntry.java
+++ b/src/main/java/org/standlink/leader/AgentEntry.java
@@ -28,44 +28,46 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * What a leader knows of one agent.
+ * The leader's state of one agent.
  *
- * <p>{@code AgentEntry} is mutable and not thread-safe; its leader guards it.
+ * <p>{@code AgentEntry} is mutable and not thread-safe; {@link LeaderService} synchronises access.
  */
 final class AgentEntry {
 
-    /** The run of the agent, null until heard. */
+    /** The incarnation of the agent, null until its first heartbeat. */
     private Incarnation incarnation;
 
-    /** The generation of its node lease. */
+    /** The generation of the agent's node lease. */
     private LeaseGeneration generation = LeaseGeneration.NONE;
 
-    /** When it was last granted a lease, in milliseconds. */
+    /** When the agent was last granted a node lease, in milliseconds. */
     private long grantedMillis;
 
-    /** A time after which the last heartbeat was surely sent, in milliseconds. */
+    /** A time after which the last heartbeat was certainly sent, in milliseconds. */
     private long sentAfterMillis = Long.MIN_VALUE;
 
-    /** The last heartbeat, null until heard. */
-    private Heartbeat last;
+    /** The last heartbeat, null until the first one. */
+    private Heartbeat lastHeartbeat;
 
-    /** Whether it has acknowledged the epoch of this leader, so that it refuses older ones. */
+    /**
+     * Whether the agent has acknowledged the epoch of this leader, so that it rejects older ones.
+     */
     private boolean acknowledged;
 
-    /** Whether it has been silent past its leases. */
+    /** Whether the agent's leases have expired without a heartbeat. */
     private boolean lost;
 
-    /** The revision of the assignments last sent. */
+    /** The revision of the assignments, 0 until they are first set. */
     private long revision;
 
-    /** The assignments last sent. */
+    /** The assignments that the agent is to have. */
     private List<Assignment> assignments = List.of();
 
     /** The last report of each task. */
     private final Map<TaskId, TaskReport> reports = new HashMap<>();
 
     /**
-     * Notes a heartbeat that will be answered with a lease.
+     * Records a heartbeat that will be answered with a lease.
      *
      * @param heartbeat the heartbeat
      * @param epoch the epoch of this leader
@@ -77,12 +79,12 @@
             generation = generation.next();
         }
         acknowledged |= heartbeat.epoch().equals(epoch);
-        // One that leaves out what the last one told was sent after the last one's answer was had.
-        // Nothing else is known of when it was sent: it may have been on its way for long.
+        // A heartbeat that omits what the previous one reported was sent after the answer to the
+        // previous one arrived. Otherwise its sending time is unknown, as it may have been delayed.
         if (!heartbeat.full()) {
             sentAfterMillis = grantedMillis;
         }
-        last = heartbeat;
+        lastHeartbeat = heartbeat;
         grantedMillis = nowMillis;
         lost = false;
         if (heartbeat.full()) {
@@ -93,35 +95,36 @@
     }
 
     /**
-     * Checks whether a heartbeat can be taken: it goes on from the last one, or tells everything.
+     * Checks whether a heartbeat continues the last one or is complete.
      *
      * @param heartbeat the heartbeat
-     * @return false if it is older than the last one or leaves out what is not known here
+     * @return false if it is older than the last one or omits reports that are not known here
      */
     boolean isAcceptable(Heartbeat heartbeat) {
-        boolean sameRun = heartbeat.incarnation().equals(incarnation);
-        if (sameRun && heartbeat.number() <= last.number()) {
+        boolean sameIncarnation = heartbeat.incarnation().equals(incarnation);
+        if (sameIncarnation && heartbeat.number() <= lastHeartbeat.number()) {
             return false;
         }
-        return heartbeat.full() || sameRun && !lost && heartbeat.number() == last.number() + 1;
+        return heartbeat.full()
+                || sameIncarnation && !lost && heartbeat.number() == lastHeartbeat.number() + 1;
     }
 
     /**
-     * Checks whether the reports can be believed to end attempts: they tell of work under the lease
-     * in force, carried out with a live worker lease. A heartbeat of an earlier run, or from before
-     * a silence, names another generation, as it was given none since.
+     * Checks whether attempts may be ended on the basis of the reports, as they describe work under
+     * the current node lease and a valid worker lease. A heartbeat of an earlier incarnation, or
+     * one sent before the leases expired, names another generation.
      *
      * @param epoch the epoch of this leader
-     * @return true if so
+     * @return true if the reports are current
      */
     boolean isReportCurrent(Epoch epoch) {
-        return last.epoch().equals(epoch)
-                && last.generation().equals(generation)
-                && last.workerReady();
+        return lastHeartbeat.epoch().equals(epoch)
+                && lastHeartbeat.generation().equals(generation)
+                && lastHeartbeat.workerReady();
     }
 
     /**
-     * Gets the reports, which the last heartbeat alone does not tell.
+     * Gets the reports, of which the last heartbeat may contain only the changes.
      *
      * @return the last report of each task
      */
@@ -129,7 +132,10 @@
         return reports.values();
     }
 
-    /** Notes that the agent was silent past its leases; its old starts are void from now. */
+    /**
+     * Marks the agent as lost, because its leases have expired without a heartbeat; starts ordered
+     * under the former generation are superseded.
+     */
     void markLost() {
         if (!lost) {
             lost = true;
@@ -139,21 +145,21 @@
     }
 
     /**
-     * Notes the assignments that it shall have.
+     * Sets the assignments that the agent is to have, under a new revision if they have changed.
      *
-     * @param wanted the assignments
+     * @param newAssignments the assignments
      * @param firstRevision the revision to use for the first list of this leader
      */
-    void updateAssignments(List<Assignment> wanted, long firstRevision) {
-        if (revision == 0 || !wanted.equals(assignments)) {
+    void updateAssignments(List<Assignment> newAssignments, long firstRevision) {
+        if (revision == 0 || !newAssignments.equals(assignments)) {
             revision = Math.max(firstRevision, revision + 1);
-            assignments = wanted;
+            assignments = newAssignments;
         }
     }
 
     // -----------------------------------------------------------------------
     boolean hasReported() {
-        return last != null;
+        return lastHeartbeat != null;
     }
 
     boolean isAcknowledged() {
@@ -165,7 +171,7 @@
     }
 
     Heartbeat getLastHeartbeat() {
-        return last;
+        return lastHeartbeat;
     }
 
     long getGrantedMillis() {
@@ -173,15 +179,15 @@
     }
 
     /**
-     * Checks whether the agent surely followed this leader within a time.
+     * Checks whether the agent certainly followed this leader within a period up to now.
      *
      * @param epoch the epoch of this leader
-     * @param spanMillis how long ago at most, in milliseconds
+     * @param periodMillis the length of the period, in milliseconds
      * @param nowMillis the time, in milliseconds
-     * @return true if its last heartbeat names the epoch and is not older than that
+     * @return true if its last heartbeat names the epoch and was sent within the period
      */
-    boolean hasFollowedWithin(Epoch epoch, long spanMillis, long nowMillis) {
-        return last.epoch().equals(epoch) && sentAfterMillis > nowMillis - spanMillis;
+    boolean hasFollowedWithin(Epoch epoch, long periodMillis, long nowMillis) {
+        return lastHeartbeat.epoch().equals(epoch) && sentAfterMillis > nowMillis - periodMillis;
     }
 
     LeaseGeneration getGeneration() {
--- a/src/main/java/org/standlink/leader/BundleCellLeader.java
+++ b/src/main/java/org/standlink/leader/BundleCellLeader.java
@@ -38,62 +38,60 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * The leader of one cell under one epoch: grants node leases and decides which attempts have ended.
+ * Leads one cell under one epoch: grants node leases and decides which attempts have ended.
  *
- * <p>The leader acts only on what the fold of the log shows. What it has decided but not yet seen
- * in the fold it proposes again and again, and never takes back: an attempt whose end was proposed
- * is not handed to its agent any more, even if the agent comes back or the job is added again
- * first.
+ * <p>The leader acts only on the folded state of the log. It proposes an end of an attempt
+ * repeatedly until the folded state shows it, and never revokes it: once an end has been proposed,
+ * the agent may only stop the attempt, even if the agent reconnects or the job is added again in
+ * the meantime.
  *
- * <p>{@code BundleCellLeader} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code BundleCellLeader} is mutable and not thread-safe; its owner synchronises access.
  */
 public final class BundleCellLeader {
 
-    /** How far apart the first revisions of two epochs are. */
+    /** The distance between the first revisions of successive epochs. */
     private static final long REVISIONS_PER_EPOCH = 1L << 32;
 
-    /** The epoch led under. */
     private final Epoch epoch;
 
-    /** The run of this process. */
+    /** The incarnation of this process. */
     private final Incarnation incarnation;
 
-    /** The lengths of leases. */
     private final LeaseTimes times;
-
-    /** Decides on new work. */
     private final CellPlanner planner;
 
     /**
-     * When the claim had been seen in the log, in milliseconds. The old leader may have confirmed
-     * its epoch until the claim landed, which was while it was read at the latest.
+     * When the claim had been read from the log, in milliseconds. The old leader may have confirmed
+     * its epoch until the claim was appended, which may have happened as late as during that read.
      */
     private final long claimedMillis;
 
-    /** When the last read of the log that showed this epoch in force began, in milliseconds. */
+    /**
+     * When the last read of the log that showed this epoch in force was started, in milliseconds.
+     */
     private long confirmedMillis;
 
-    /** The agents. */
     private final Map<VmId, AgentEntry> agents = new TreeMap<>();
 
-    /** The old leader, once it can no longer grant leases to itself; null until then. */
-    private VmId excluded;
+    /** The old leader, once it can no longer grant leases to its own agent; null until then. */
+    private VmId excludedLeader;
 
-    /** When that was noted, in milliseconds. */
+    /** When {@link #excludedLeader} was set, in milliseconds. */
     private long excludedMillis;
 
-    /** Ends of attempts that the fold does not show yet. */
+    /** Ends of attempts that the folded state does not show yet. */
     private final Map<TaskId, TaskEvent> endings = new HashMap<>();
 
     /**
-     * Constructor.
+     * Creates the leader of an epoch that has been claimed.
      *
-     * @param epoch the epoch led under
-     * @param incarnation the run of this process
-     * @param times the lengths of leases
-     * @param planner decides on new work
-     * @param claimedMillis when the claim had been seen in the log, in milliseconds
-     * @param confirmedMillis when the read of the log that showed the claim began, in milliseconds
+     * @param epoch the epoch
+     * @param incarnation the incarnation of this process
+     * @param times the lengths of the leases
+     * @param planner decides on assignments, throttles and stops
+     * @param claimedMillis when the claim had been read from the log, in milliseconds
+     * @param confirmedMillis when the read of the log that showed the claim was started, in
+     *     milliseconds
      */
     public BundleCellLeader(
             Epoch epoch,
@@ -112,9 +110,9 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Notes a read of the log that showed this epoch in force.
+     * Records a read of the log that showed this epoch in force.
      *
-     * @param readStartMillis when the read began, in milliseconds
+     * @param readStartMillis when the read was started, in milliseconds
      */
     public void confirmEpoch(long readStartMillis) {
         confirmedMillis = Math.max(confirmedMillis, readStartMillis);
@@ -125,7 +123,7 @@
      *
      * @param state the folded state of the cell
      * @param nowMillis the time, in milliseconds
-     * @return true while the epoch is in force as far as known and the authority has not lapsed
+     * @return true while the epoch is in force as far as known and the authority has not expired
      */
     public boolean isLeading(CellState state, long nowMillis) {
         return state.getEpoch().equals(epoch)
@@ -139,7 +137,7 @@
      * @param heartbeat the heartbeat
      * @param state the folded state of the cell
      * @param bundle the bundle in force, null if none
-     * @param signedText its signed text, null if none
+     * @param signedText the signed text of the bundle, null if none
      * @param nowMillis the time, in milliseconds
      * @return the answer
      * @throws StandlinkException with code LEASE_LAPSED if this process may not act as leader
@@ -153,40 +151,41 @@
         if (!isLeading(state, nowMillis) || heartbeat.epoch().isAfter(epoch)) {
             throw notLeading();
         }
-        if (heartbeat.vm().equals(state.getLeader()) && !mayServeItself(state, bundle, nowMillis)) {
+        if (heartbeat.vm().equals(state.getLeader())
+                && !mayGrantOwnLease(state, bundle, nowMillis)) {
             throw notLeading();
         }
         AgentEntry agent = agents.getOrDefault(heartbeat.vm(), new AgentEntry());
         if (!agent.isAcceptable(heartbeat)) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
-                    "heartbeat " + heartbeat.number() + " does not follow the last one",
-                    "tell everything in the next one");
+                    "heartbeat " + heartbeat.number() + " does not follow the last one received",
+                    "send a full heartbeat");
         }
-        // Only now: an agent whose heartbeat was refused is as unheard as before.
+        // The agent is added only here, as a rejected heartbeat does not count as a report of it.
         agents.put(heartbeat.vm(), agent);
         agent.receiveHeartbeat(heartbeat, epoch, nowMillis);
         if (bundle != null) {
             planner.processHeartbeat(heartbeat, agent.getReports(), state, bundle);
         }
         agent.updateAssignments(
-                assignments(heartbeat.vm(), state, bundle),
+                createAssignments(heartbeat.vm(), state, bundle),
                 epoch.getValue() * REVISIONS_PER_EPOCH + 1);
-        boolean newer = bundle != null && bundle.version().isAfter(heartbeat.bundle());
-        boolean same = heartbeat.revision() == agent.getRevision();
+        boolean bundleOutdated = bundle != null && bundle.version().isAfter(heartbeat.bundle());
+        boolean assignmentsCurrent = heartbeat.revision() == agent.getRevision();
         return new HeartbeatAnswer(
                 epoch,
                 agent.getGeneration(),
                 times.nodeMillis(),
                 bundle == null ? heartbeat.bundle() : bundle.version(),
-                newer ? signedText : null,
+                bundleOutdated ? signedText : null,
                 agent.getRevision(),
-                same ? null : agent.getAssignments(),
+                assignmentsCurrent ? null : agent.getAssignments(),
                 nowMillis - confirmedMillis);
     }
 
     /**
-     * Decides what has ended and what is assigned anew.
+     * Decides which attempts have ended and which tasks are assigned.
      *
      * @param state the folded state of the cell
      * @param bundle the bundle in force
@@ -198,11 +197,11 @@
         if (!isLeading(state, nowMillis)) {
             throw notLeading();
         }
-        dropFolded(state);
-        noteExclusion(state, bundle, nowMillis);
+        removeFoldedEndings(state);
+        detectExclusion(state, bundle, nowMillis);
         agents.forEach(
                 (vm, agent) -> {
-                    if (agent.hasReported() && isSilent(vm, agent, nowMillis)) {
+                    if (agent.hasReported() && isUnresponsive(vm, agent, nowMillis)) {
                         agent.markLost();
                     }
                 });
@@ -217,16 +216,16 @@
     }
 
     /**
-     * Gets what the leader knows of the agents.
+     * Gets the leader's state of the agents.
      *
-     * @return the records by VM
+     * @return the agents by VM
      */
     Map<VmId, AgentEntry> getAgents() {
         return agents;
     }
 
     /**
-     * Gets the epoch led under.
+     * Gets the epoch under which this process leads.
      *
      * @return the epoch
      */
@@ -234,17 +233,12 @@
         return epoch;
     }
 
-    /**
-     * Gets the planner.
-     *
-     * @return the planner
-     */
     CellPlanner getPlanner() {
         return planner;
     }
 
     // -----------------------------------------------------------------------
-    private void dropFolded(CellState state) {
+    private void removeFoldedEndings(CellState state) {
         endings.values().removeIf(event -> !isPending(event, state));
     }
 
@@ -256,13 +250,13 @@
     private void decideEnd(TaskState task, Bundle bundle, long nowMillis) {
         AgentEntry agent = agents.get(task.worker());
         if (agent == null) {
-            if (nowMillis >= endOfOldLeases(task.worker())) {
-                end(TaskEvent.Kind.RELEASE, task, null);
+            if (nowMillis >= getEndOfOldLeases(task.worker())) {
+                endAttempt(TaskEvent.Kind.RELEASE, task, null);
             }
             return;
         }
         if (agent.isLost()) {
-            end(TaskEvent.Kind.RELEASE, task, null);
+            endAttempt(TaskEvent.Kind.RELEASE, task, null);
             return;
         }
         if (agent.isReportCurrent(epoch)) {
@@ -274,73 +268,76 @@
         TaskReport report = agent.getReport(task.task());
         boolean reported = report != null && report.attempt().equals(task.attempt());
         if (!reported) {
-            boolean knows = agent.getLastHeartbeat().revision() == agent.getRevision();
-            if (knows && !CellPlanner.isManaged(bundle, task.task())) {
-                end(TaskEvent.Kind.RELEASE, task, null);
+            boolean assignmentsKnown = agent.getLastHeartbeat().revision() == agent.getRevision();
+            if (assignmentsKnown && !CellPlanner.isManaged(bundle, task.task())) {
+                endAttempt(TaskEvent.Kind.RELEASE, task, null);
             }
             return;
         }
         switch (report.state()) {
-            case FINISHED -> end(TaskEvent.Kind.FINISH, task, null);
-            case FAILED -> fail(task, report.checkpoint(), nowMillis);
-            case STOPPED -> end(TaskEvent.Kind.RELEASE, task, report.checkpoint());
+            case FINISHED -> endAttempt(TaskEvent.Kind.FINISH, task, null);
+            case FAILED -> failAttempt(task, report.checkpoint(), nowMillis);
+            case STOPPED -> endAttempt(TaskEvent.Kind.RELEASE, task, report.checkpoint());
             default -> {
-                // Queued and running attempts go on.
+                // Queued and running attempts continue.
             }
         }
     }
 
-    private void fail(TaskState task, String checkpoint, long nowMillis) {
-        TaskEvent event = end(TaskEvent.Kind.FAIL, task, checkpoint);
+    private void failAttempt(TaskState task, String checkpoint, long nowMillis) {
+        TaskEvent event = endAttempt(TaskEvent.Kind.FAIL, task, checkpoint);
         planner.recordFailure(event, task.worker(), nowMillis);
     }
 
-    private TaskEvent end(TaskEvent.Kind kind, TaskState task, String checkpoint) {
+    private TaskEvent endAttempt(TaskEvent.Kind kind, TaskState task, String checkpoint) {
         TaskEvent event = TaskEvent.ofEnd(kind, task.task(), task.attempt(), checkpoint);
         endings.put(task.task(), event);
         planner.recordEnd(event, task.worker());
         return event;
     }
 
-    private boolean isSilent(VmId vm, AgentEntry agent, long nowMillis) {
-        long end = agent.getGrantedMillis() + times.nodeMillis() + times.unresponsiveAgentMillis();
-        // Until it has acknowledged this epoch it may still take leases of the old leader.
-        long old = agent.isAcknowledged() ? Long.MIN_VALUE : endOfOldLeases(vm);
-        return nowMillis >= Math.max(end, old);
+    private boolean isUnresponsive(VmId vm, AgentEntry agent, long nowMillis) {
+        long endOfLeases =
+                agent.getGrantedMillis() + times.nodeMillis() + times.unresponsiveAgentMillis();
+        // Until it has acknowledged this epoch, the agent may still accept leases of the old
+        // leader.
+        long endOfOldLeases = agent.isAcknowledged() ? Long.MIN_VALUE : getEndOfOldLeases(vm);
+        return nowMillis >= Math.max(endOfLeases, endOfOldLeases);
     }
 
-    /** When an agent that has not acknowledged this epoch has surely no tasks running. */
-    private long endOfOldLeases(VmId vm) {
+    /** Gets when an agent that has not acknowledged this epoch certainly runs no tasks any more. */
+    private long getEndOfOldLeases(VmId vm) {
         long end = claimedMillis + times.unacknowledgedAgentMillis();
-        if (!vm.equals(excluded)) {
+        if (!vm.equals(excludedLeader)) {
             return end;
         }
-        long sure = excludedMillis + 2 * times.nodeMillis() + times.unresponsiveAgentMillis();
-        return Math.min(end, sure);
+        long endAfterExclusion =
+                excludedMillis + 2 * times.nodeMillis() + times.unresponsiveAgentMillis();
+        return Math.min(end, endAfterExclusion);
     }
 
-    private void noteExclusion(CellState state, Bundle bundle, long nowMillis) {
-        VmId old = state.getPreviousLeader();
-        if (excluded == null
-                && old != null
-                && LocalAgentLease.hasLostMajority(old, vms(bundle), agents)) {
-            excluded = old;
+    private void detectExclusion(CellState state, Bundle bundle, long nowMillis) {
+        VmId oldLeader = state.getPreviousLeader();
+        if (excludedLeader == null
+                && oldLeader != null
+                && LocalAgentLease.hasLostMajority(oldLeader, listVms(bundle), agents)) {
+            excludedLeader = oldLeader;
             excludedMillis = nowMillis;
         }
     }
 
-    private boolean mayServeItself(CellState state, Bundle bundle, long nowMillis) {
+    private boolean mayGrantOwnLease(CellState state, Bundle bundle, long nowMillis) {
         return LocalAgentLease.isAllowed(
                 nowMillis - confirmedMillis,
                 state.getLeader(),
                 epoch,
-                vms(bundle),
+                listVms(bundle),
                 agents,
                 times,
                 nowMillis);
     }
 
-    private List<VmId> vms(Bundle bundle) {
+    private List<VmId> listVms(Bundle bundle) {
         if (bundle == null) {
             return List.of();
         }
@@ -349,16 +346,16 @@
                 .orElse(List.of());
     }
 
-    private List<Assignment> assignments(VmId vm, CellState state, Bundle bundle) {
+    private List<Assignment> createAssignments(VmId vm, CellState state, Bundle bundle) {
         List<Assignment> result = new ArrayList<>();
         for (TaskState task : state.getTasks()) {
-            boolean here = task.isAssigned() && task.worker().equals(vm);
-            if (here && CellPlanner.isManaged(bundle, task.task())) {
-                // Given up, whatever the reason, it may only be stopped until the fold shows its
-                // end. Stopped before its start, neither agent nor worker would refuse it; kept in
-                // the list, the agent goes on to remember how it ended.
-                boolean givenUp = endings.containsKey(task.task());
-                result.add(planner.createAssignment(task, bundle, givenUp));
+            boolean assignedHere = task.isAssigned() && task.worker().equals(vm);
+            if (assignedHere && CellPlanner.isManaged(bundle, task.task())) {
+                // An abandoned attempt may only be stopped until the folded state shows its end. If
+                // it was stopped before its start, neither agent nor worker would reject a start.
+                // While it stays in the list, the agent continues to remember how it ended.
+                boolean abandoned = endings.containsKey(task.task());
+                result.add(planner.createAssignment(task, bundle, abandoned));
             }
         }
         return result;
--- a/src/main/java/org/standlink/leader/CellPlanner.java
+++ b/src/main/java/org/standlink/leader/CellPlanner.java
@@ -59,52 +59,44 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Turns the state of a cell into the policies' terms and their decisions into task events.
+ * Translates the state of a cell into the input of the policies, and their decisions into task
+ * events.
  *
- * <p>What it has learned lives only in memory; a new leader learns anew.
+ * <p>Learned sizes and interference are held in memory only; a new leader learns them again.
  *
- * <p>{@code CellPlanner} is mutable and not thread-safe; its leader guards it.
+ * <p>{@code CellPlanner} is mutable and not thread-safe; {@link LeaderService} synchronises access.
  */
 public final class CellPlanner {
 
-    /** The most tasks assigned ahead to one worker. */
+    /** The maximum number of tasks assigned in advance to one worker. */
     private static final int BACKLOG_PER_WORKER = 2;
 
-    /** How much urgency weighs among the priorities at an agent. */
+    /** What urgency adds to the priority of a task at its agent. */
     private static final int URGENT_PRIORITY = 1000;
 
-    /** The cell. */
     private final CellId cell;
 
-    /** Tells the hour of the day, UTC. */
+    /** Supplies the hour of the day, UTC. */
     private final IntSupplier hourOfDay;
 
-    /** Learned sizes. */
     private final SizeEstimator sizes = new LearnedSizes();
-
-    /** Learned interference. */
     private final InterferenceModel interference = new LearnedInterference();
-
-    /** Protects services. */
     private final ReliefPolicy relief = new GradualRelief(interference);
-
-    /** Health of workers and jobs. */
     private final WorkerHealthPolicy health = new WorkerHealthPolicy();
 
     /** The load of the services on each VM, as last reported. */
     private final Map<VmId, List<ServiceLoad>> loads = new HashMap<>();
 
-    /** Throttles and stops. */
     private final TaskOrders orders = new TaskOrders();
 
-    /** Why tasks wait, as of the last round. */
-    private Map<TaskId, String> waiting = Map.of();
+    /** The reasons why tasks are waiting, as of the last round. */
+    private Map<TaskId, String> waitingReasons = Map.of();
 
     /**
-     * Constructor.
+     * Creates the planner of a cell.
      *
      * @param cell the cell
-     * @param hourOfDay tells the hour of the day, UTC
+     * @param hourOfDay supplies the hour of the day, UTC
      */
     public CellPlanner(CellId cell, IntSupplier hourOfDay) {
         this.cell = cell;
@@ -113,7 +105,7 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Checks whether a task is standlink's to run.
+     * Checks whether a task is managed by standlink.
      *
      * @param bundle the bundle in force, null if none
      * @param task the task
@@ -129,14 +121,15 @@
     }
 
     /**
-     * Makes the assignment that an agent is sent.
+     * Creates the assignment that is sent to an agent.
      *
      * @param task an assigned task of a managed job
      * @param bundle the bundle in force
-     * @param givenUp whether the end of the attempt is decided
+     * @param abandoned whether the end of the attempt has been decided, so that it may only be
+     *     stopped
      * @return the assignment
      */
-    Assignment createAssignment(TaskState task, Bundle bundle, boolean givenUp) {
+    Assignment createAssignment(TaskState task, Bundle bundle, boolean abandoned) {
         JobSpecification job = bundle.findJob(task.task().getJob()).orElseThrow();
         int urgency = job.urgency() == Urgency.URGENT ? URGENT_PRIORITY : 0;
         return new Assignment(
@@ -146,12 +139,12 @@
                 urgency + job.priority(),
                 job.runSeconds(),
                 task.checkpoint(),
-                givenUp || orders.isStopOrdered(task),
+                abandoned || orders.isStopOrdered(task),
                 orders.getThrottle(task.task()));
     }
 
     /**
-     * Learns from a heartbeat and relieves services at risk.
+     * Learns sizes and interference from a heartbeat and relieves services at risk.
      *
      * @param heartbeat the heartbeat
      * @param reports the last report of each of the agent's tasks
@@ -166,31 +159,33 @@
                         .ifPresent(job -> sizes.observe(job.batchClass(), report.usage()));
             }
         }
-        List<RunningTask> beside = views(bundle).listReportedTasks(heartbeat.vm(), reports, state);
+        List<RunningTask> colocatedTasks =
+                createViews(bundle).listReportedTasks(heartbeat.vm(), reports, state);
         List<String> classes =
-                beside.stream()
+                colocatedTasks.stream()
                         .filter(task -> !task.queued())
                         .map(RunningTask::batchClass)
                         .toList();
-        List<ServiceLoad> present = new ArrayList<>();
+        List<ServiceLoad> loadsOfVm = new ArrayList<>();
         for (ServiceReport report : heartbeat.services()) {
             ServiceLoad load = new ServiceLoad(report.service(), report.level());
-            present.add(load);
+            loadsOfVm.add(load);
             interference.observe(load, classes, report.latencyPercent());
             if (isManaged(bundle, report)) {
-                ServiceMeasurement measure =
+                ServiceMeasurement measurement =
                         new ServiceMeasurement(heartbeat.vm(), load, report.latencyPercent());
-                relief.relieve(measure, beside).forEach(action -> act(action, state));
+                relief.relieve(measurement, colocatedTasks)
+                        .forEach(action -> orderRelief(action, state));
             }
         }
-        loads.put(heartbeat.vm(), present);
+        loads.put(heartbeat.vm(), loadsOfVm);
     }
 
     /**
-     * Notes the end of an attempt.
+     * Records the end of an attempt.
      *
      * @param event the end
-     * @param worker where it was
+     * @param worker the worker that ran it
      */
     void recordEnd(TaskEvent event, VmId worker) {
         orders.remove(event.task());
@@ -200,10 +195,10 @@
     }
 
     /**
-     * Notes a failed attempt.
+     * Records a failed attempt.
      *
      * @param event the failure
-     * @param worker where it was
+     * @param worker the worker that ran it
      * @param nowMillis the time, in milliseconds
      */
     void recordFailure(TaskEvent event, VmId worker, long nowMillis) {
@@ -215,7 +210,7 @@
      *
      * @param state the folded state of the cell
      * @param bundle the bundle in force
-     * @param agents what the leader knows of the agents
+     * @param agents the leader's state of the agents
      * @param nowMillis the time, in milliseconds
      * @return the assignments to append
      */
@@ -225,55 +220,51 @@
         Map<TaskId, String> reasons = new HashMap<>();
         for (JobSpecification job : bundle.jobs()) {
             if (job.cell().equals(cell)) {
-                collect(job, state, bundle, demands, reasons);
+                collectDemands(job, state, bundle, demands, reasons);
             }
         }
-        CellViews views = views(bundle);
+        CellViews views = createViews(bundle);
         List<RunningTask> running = views.listAssignedTasks(state, agents);
         List<WorkerView> workers =
                 views.createWorkerViews(
                         agents, running, loads, vm -> health.isUsable(vm, nowMillis));
         PlanningResult plan =
-                planner(bundle).plan(demands, workers, running, views.computeQuotaUsage(running));
+                createTaskPlanner(bundle)
+                        .plan(demands, workers, running, views.computeQuotaUsage(running));
         plan.evictions().forEach(task -> orders.orderStop(task, state.get(task).attempt()));
         reasons.putAll(plan.waiting());
-        waiting = reasons;
-        return events(plan, state);
+        waitingReasons = reasons;
+        return createEvents(plan, state);
     }
 
-    /**
-     * Gets the cell.
-     *
-     * @return the cell
-     */
     CellId getCell() {
         return cell;
     }
 
     /**
-     * Gets why tasks wait.
+     * Gets the reasons why tasks are waiting.
      *
-     * @return the reasons as of the last round
+     * @return the reasons by task, as of the last round
      */
     Map<TaskId, String> getWaitingReasons() {
-        return waiting;
+        return waitingReasons;
     }
 
     // -----------------------------------------------------------------------
-    private List<TaskEvent> events(PlanningResult plan, CellState state) {
+    private List<TaskEvent> createEvents(PlanningResult plan, CellState state) {
         List<TaskEvent> events = new ArrayList<>();
-        for (Map.Entry<TaskId, PlacementDecision> placed : plan.placements().entrySet()) {
-            PlacementDecision decision = placed.getValue();
-            Attempt attempt = state.get(placed.getKey()).attempt().next();
+        for (Map.Entry<TaskId, PlacementDecision> placement : plan.placements().entrySet()) {
+            PlacementDecision decision = placement.getValue();
+            Attempt attempt = state.get(placement.getKey()).attempt().next();
             health.recordAssignment(decision.worker());
             events.add(
                     TaskEvent.ofAssign(
-                            placed.getKey(), attempt, decision.worker(), decision.resources()));
+                            placement.getKey(), attempt, decision.worker(), decision.resources()));
         }
         return events;
     }
 
-    private void collect(
+    private void collectDemands(
             JobSpecification job,
             CellState state,
             Bundle bundle,
@@ -289,12 +280,12 @@
             } else if (health.isSuspended(job.id())) {
                 reasons.put(task, WaitingReason.KEEPS_FAILING.toString());
             } else {
-                demands.add(demand(job, task, bundle));
+                demands.add(createDemand(job, task, bundle));
             }
         }
     }
 
-    private TaskDemand demand(JobSpecification job, TaskId task, Bundle bundle) {
+    private TaskDemand createDemand(JobSpecification job, TaskId task, Bundle bundle) {
         Optional<PlacementRule> rule =
                 bundle.rules().stream().filter(r -> r.job().equals(job.id())).findFirst();
         int hoursLeft =
@@ -314,11 +305,11 @@
                 health.getAvoidedWorkers(task));
     }
 
-    private CellViews views(Bundle bundle) {
+    private CellViews createViews(Bundle bundle) {
         return new CellViews(cell, bundle, orders);
     }
 
-    private TaskPlanner planner(Bundle bundle) {
+    private TaskPlanner createTaskPlanner(Bundle bundle) {
         InterferenceAwarePlacement placement =
                 new InterferenceAwarePlacement(
                         sizes,
@@ -334,7 +325,7 @@
                 .isPresent();
     }
 
-    private void act(ReliefAction action, CellState state) {
+    private void orderRelief(ReliefAction action, CellState state) {
         if (action.throttlePercent() == 0) {
             orders.orderStop(action.task(), state.get(action.task()).attempt());
         } else {
--- a/src/main/java/org/standlink/leader/CellStatus.java
+++ b/src/main/java/org/standlink/leader/CellStatus.java
@@ -32,22 +32,20 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Describes a cell for operators, as JSON.
+ * Formats the status of a cell for operators, as JSON.
  *
  * <p>{@code CellStatus} is thread-safe and immutable.
  */
 final class CellStatus {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** No instances. */
     private CellStatus() {}
 
     /**
      * Describes a cell.
      *
-     * @param leader the leader
+     * @param leader the leader of the cell
      * @param state the folded state of the cell
      * @param bundle the bundle in force, null if none
      * @param nowMillis the time, in milliseconds
@@ -55,42 +53,45 @@
      */
     static String describe(
             BundleCellLeader leader, CellState state, Bundle bundle, long nowMillis) {
-        ObjectNode top = MAPPER.createObjectNode();
-        top.put("cell", state.getCell().toString());
-        top.put("epoch", state.getEpoch().getValue());
-        top.put("leader", String.valueOf(state.getLeader()));
-        top.put("bundle", bundle == null ? 0 : bundle.version().getValue());
-        ArrayNode workers = top.putArray("workers");
-        ArrayNode tasks = top.putArray("tasks");
+        ObjectNode status = MAPPER.createObjectNode();
+        status.put("cell", state.getCell().toString());
+        status.put("epoch", state.getEpoch().getValue());
+        status.put("leader", String.valueOf(state.getLeader()));
+        status.put("bundle", bundle == null ? 0 : bundle.version().getValue());
+        ArrayNode workers = status.putArray("workers");
+        ArrayNode tasks = status.putArray("tasks");
         if (bundle != null && bundle.findCell(state.getCell()).isPresent()) {
             bundle.findCell(state.getCell())
                     .orElseThrow()
                     .workers()
-                    .forEach(worker -> workers.add(worker(worker, leader, nowMillis)));
+                    .forEach(worker -> workers.add(describeWorker(worker, leader, nowMillis)));
             bundle.jobs().stream()
                     .filter(job -> job.cell().equals(state.getCell()))
                     .forEach(job -> addTasks(tasks, job, leader, state));
         }
         try {
-            return MAPPER.writeValueAsString(top);
+            return MAPPER.writeValueAsString(status);
         } catch (JsonProcessingException impossible) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "status not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "status could not be encoded",
+                    "report a defect",
+                    impossible);
         }
     }
 
-    private static ObjectNode worker(
+    private static ObjectNode describeWorker(
             WorkerSpecification worker, BundleCellLeader leader, long nowMillis) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("vm", worker.vm().toString());
         node.put("hall", worker.hall().toString());
         node.put("rack", worker.rack().toString());
         AgentEntry agent = leader.getAgents().get(worker.vm());
-        boolean heard = agent != null && agent.hasReported();
+        boolean reported = agent != null && agent.hasReported();
         node.put("state", stateOf(agent));
-        node.put("bundle", heard ? agent.getLastHeartbeat().bundle().getValue() : 0);
-        node.put("silentMillis", heard ? nowMillis - agent.getGrantedMillis() : -1);
-        node.put("tasks", heard ? agent.getReports().size() : 0);
+        node.put("bundle", reported ? agent.getLastHeartbeat().bundle().getValue() : 0);
+        node.put("silentMillis", reported ? nowMillis - agent.getGrantedMillis() : -1);
+        node.put("tasks", reported ? agent.getReports().size() : 0);
         return node;
     }
 
--- a/src/main/java/org/standlink/leader/CellViews.java
+++ b/src/main/java/org/standlink/leader/CellViews.java
@@ -43,27 +43,22 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Shows the state of a cell in the terms of the policies.
+ * Creates the policies' views of the state of a cell.
  *
- * <p>{@code CellViews} is thread-safe and immutable, if its orders do not change meanwhile.
+ * <p>{@code CellViews} is immutable, and thread-safe as long as its orders do not change.
  */
 final class CellViews {
 
-    /** The cell. */
     private final CellId cell;
-
-    /** The bundle in force. */
     private final Bundle bundle;
-
-    /** Throttles and stops. */
     private final TaskOrders orders;
 
     /**
-     * Constructor.
+     * Creates the views of a cell.
      *
      * @param cell the cell
      * @param bundle the bundle in force
-     * @param orders throttles and stops
+     * @param orders the throttles and stops in force
      */
     CellViews(CellId cell, Bundle bundle, TaskOrders orders) {
         this.cell = cell;
@@ -72,28 +67,28 @@
     }
 
     /**
-     * Sums up what the teams hold.
+     * Computes the quota usage of the teams.
      *
-     * @param running the tasks that hold room
-     * @return the quotas with what is held of them
+     * @param running the tasks that hold capacity
+     * @return the quotas with their usage
      */
     QuotaUsage computeQuotaUsage(List<RunningTask> running) {
         Map<TeamId, Resources> quotas = new HashMap<>();
         for (TeamSpecification team : bundle.teams()) {
             quotas.put(team.id(), team.quota());
         }
-        QuotaUsage ledger = new QuotaUsage(quotas);
-        running.forEach(task -> ledger.add(task.team(), task.granted()));
-        return ledger;
+        QuotaUsage usage = new QuotaUsage(quotas);
+        running.forEach(task -> usage.add(task.team(), task.granted()));
+        return usage;
     }
 
     /**
-     * Makes the views of the workers.
+     * Creates the views of the workers.
      *
-     * @param agents what the leader knows of the agents
-     * @param running the tasks that hold room
+     * @param agents the leader's state of the agents
+     * @param running the tasks that hold capacity
      * @param loads the load of the services on each VM, as last reported
-     * @param isHealthy tells whether a worker may take new work
+     * @param isHealthy whether the health policy permits new tasks on a worker
      * @return the views
      */
     List<WorkerView> createWorkerViews(
@@ -107,7 +102,7 @@
         for (WorkerSpecification worker : specification.workers()) {
             AgentEntry agent = agents.get(worker.vm());
             boolean usable = isReady(agent) && isHealthy.test(worker.vm());
-            WorkerView view = view(worker, loads, usable);
+            WorkerView view = createWorkerView(worker, loads, usable);
             views.add(view);
             byVm.put(worker.vm(), view);
         }
@@ -130,14 +125,14 @@
                 && !agent.getLastHeartbeat().leaving();
     }
 
-    private WorkerView view(
+    private WorkerView createWorkerView(
             WorkerSpecification worker, Map<VmId, List<ServiceLoad>> loads, boolean usable) {
         Resources reserved = Resources.NONE;
-        List<ServiceLoad> present = new ArrayList<>();
+        List<ServiceLoad> serviceLoads = new ArrayList<>();
         for (ServiceSpecification service : bundle.services()) {
             if (service.upstreams().contains(worker.vm())) {
                 reserved = reserved.plus(service.reserved());
-                present.add(loadOf(loads.get(worker.vm()), service));
+                serviceLoads.add(loadOf(loads.get(worker.vm()), service));
             }
         }
         return new WorkerView(
@@ -146,23 +141,23 @@
                 worker.rack(),
                 worker.capacity(),
                 reserved,
-                present,
+                serviceLoads,
                 usable);
     }
 
     private static ServiceLoad loadOf(List<ServiceLoad> reported, ServiceSpecification service) {
-        List<ServiceLoad> known = reported == null ? List.of() : reported;
-        return known.stream()
+        List<ServiceLoad> loads = reported == null ? List.of() : reported;
+        return loads.stream()
                 .filter(load -> load.service().equals(service.id()))
                 .findFirst()
                 .orElse(new ServiceLoad(service.id(), 0));
     }
 
     /**
-     * Lists the tasks that hold room.
+     * Lists the tasks that hold capacity.
      *
      * @param state the folded state of the cell
-     * @param agents what the leader knows of the agents
+     * @param agents the leader's state of the agents
      * @return the tasks
      */
     List<RunningTask> listAssignedTasks(CellState state, Map<VmId, AgentEntry> agents) {
@@ -173,12 +168,12 @@
             }
             AgentEntry agent = agents.get(task.worker());
             TaskReport report = agent == null ? null : agent.getReport(task.task());
-            result.add(listAssignedTasks(task, report));
+            result.add(createRunningTask(task, report));
         }
         return result;
     }
 
-    private RunningTask listAssignedTasks(TaskState task, TaskReport report) {
+    private RunningTask createRunningTask(TaskState task, TaskReport report) {
         Optional<JobSpecification> job = bundle.findJob(task.task().getJob());
         boolean queued =
                 report != null
@@ -212,7 +207,7 @@
         for (TaskState task : state.getTasks()) {
             TaskReport report = reports.get(task.task());
             if (task.isAssigned() && task.worker().equals(vm) && report != null) {
-                result.add(listAssignedTasks(task, report));
+                result.add(createRunningTask(task, report));
             }
         }
         return result;
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -43,89 +43,82 @@
 import org.standlink.wire.HeartbeatAnswer;
 
 /**
- * Runs the leader role of one cell inside an agent: claims, reads and appends to the log.
+ * Runs the leader role of one cell inside an agent: claims the leadership, reads the log and
+ * appends decisions to it.
  *
  * <p>{@code LeaderService} is thread-safe. Heartbeats are answered without waiting for the log.
  */
 public final class LeaderService {
 
-    /** The log of changes of state. */
     private static final System.Logger LOGGER = System.getLogger(LeaderService.class.getName());
 
-    /** How many snapshots are taken within the time that the log keeps records. */
+    /** The number of snapshots taken within the retention period of the log. */
     private static final int SNAPSHOTS_PER_RETENTION = 4;
 
-    /** How long after a claim the agents are told of it, in milliseconds. */
+    /** How long a claim is announced to the agents, in milliseconds. */
     private static final long ANNOUNCE_MILLIS = 2_000;
 
-    /** The least time between two appends, in milliseconds. */
+    /** The minimum interval between two appends of decisions, in milliseconds. */
     private static final long APPEND_MILLIS = 900;
 
-    /** The cell. */
     private final CellId cell;
 
-    /** This VM. */
+    /** The VM of this process. */
     private final VmId self;
 
-    /** The run of this process. */
+    /** The incarnation of this process. */
     private final Incarnation incarnation;
 
-    /** The log. */
     private final LogPort log;
-
-    /** The fold of the log. */
     private final LogFollower follower;
 
     /** The bundle in force in this process. */
     private final BundleHolder holder;
 
-    /** The lengths of leases. */
     private final LeaseTimes times;
 
-    /** How long the log keeps records, in milliseconds. */
+    /** The retention period of the log, in milliseconds. */
     private final long retentionMillis;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** Tells the hour of the day, UTC. */
+    /** Supplies the hour of the day, UTC. */
     private final IntSupplier hourOfDay;
 
-    /** Records appended. */
     private final Counter appends;
 
-    /** Appends that failed or whose outcome is not known. */
+    /** Counts appends that failed or whose outcome is unknown. */
     private final Counter appendFailures;
 
     /** The leader, null while this process does not lead. */
     private BundleCellLeader leader;
 
-    /** The sequence of the last append. */
+    /** The sequence number of the last append. */
     private long sequence;
 
-    /** When the last append was made, in milliseconds. */
+    /** When decisions were last appended, in milliseconds. */
     private long appendedMillis;
 
-    /** Until when the agents are told who leads, in milliseconds. */
+    /** When the announcements to the agents end, in milliseconds. */
     private long announceUntilMillis;
 
     /** When the last snapshot was taken, in milliseconds. */
     private long snapshotMillis;
 
     /**
-     * Constructor.
+     * Creates the service, which does not lead until {@link #claim} succeeds.
      *
      * @param cell the cell
-     * @param self this VM
-     * @param incarnation the run of this process
+     * @param self the VM of this process
+     * @param incarnation the incarnation of this process
      * @param log the log
-     * @param follower the fold of the log
+     * @param follower holds the folded state of the log
      * @param holder the bundle in force in this process
-     * @param times the lengths of leases
-     * @param retentionMillis how long the log keeps records, in milliseconds
+     * @param times the lengths of the leases
+     * @param retentionMillis the retention period of the log, in milliseconds
      * @param clock the clock
-     * @param hourOfDay tells the hour of the day, UTC
-     * @param registry where counters go
+     * @param hourOfDay supplies the hour of the day, UTC
+     * @param registry the registry of the counters
      */
     public LeaderService(
             CellId cell,
@@ -158,8 +151,8 @@
      * Claims the leadership of the cell, if the log can be read and its state is known.
      *
      * @throws StandlinkException with code PLATFORM_UNAVAILABLE, PLATFORM_OUTCOME_UNKNOWN or
-     *     LOG_GAP; a claim whose outcome is not known may still hold and is found by {@link
-     *     #runOnce}
+     *     LOG_GAP; a claim whose outcome is unknown may still take effect, which {@link #runOnce}
+     *     detects
      */
     public void claim() {
         follower.poll();
@@ -171,7 +164,7 @@
     }
 
     /**
-     * Reads the log, takes up or lays down the role as the log says, and appends what is decided.
+     * Reads the log, assumes or relinquishes the leadership accordingly, and appends new decisions.
      *
      * @throws StandlinkException with code PLATFORM_UNAVAILABLE or PLATFORM_OUTCOME_UNKNOWN
      */
@@ -179,7 +172,7 @@
         long readStart = clock.nowMillis();
         follower.poll();
         follower.read(fold -> holder.offer(fold.getBundles().getSignedText(), versionOf(fold)));
-        follow(readStart);
+        updateRole(readStart);
         BundleTaskRecord record = decide();
         if (record != null) {
             append(record);
@@ -230,9 +223,10 @@
     }
 
     /**
-     * Checks whether the agents should be told who leads, which is due for a while after a claim.
+     * Checks whether the leadership should be announced to the agents, which is the case for some
+     * time after a claim.
      *
-     * @return true if so
+     * @return true if an announcement is due
      */
     public synchronized boolean isAnnouncementDue() {
         return leader != null && clock.nowMillis() < announceUntilMillis;
@@ -273,21 +267,21 @@
         return fold.getCell(cell).getEpoch().next();
     }
 
-    private synchronized void follow(long readStart) {
+    private synchronized void updateRole(long readStart) {
         CellState state = follower.read(fold -> fold.getCell(cell));
-        boolean mine = incarnation.equals(state.getIncarnation());
-        if (!mine || leader != null && !leader.getEpoch().equals(state.getEpoch())) {
-            layDown();
+        boolean claimedHere = incarnation.equals(state.getIncarnation());
+        if (!claimedHere || leader != null && !leader.getEpoch().equals(state.getEpoch())) {
+            relinquishLeadership();
         }
-        if (mine && leader == null) {
-            takeUp(state, readStart);
+        if (claimedHere && leader == null) {
+            assumeLeadership(state, readStart);
         }
         if (leader != null) {
             leader.confirmEpoch(readStart);
         }
     }
 
-    private void takeUp(CellState state, long readStart) {
+    private void assumeLeadership(CellState state, long readStart) {
         CellPlanner planner = new CellPlanner(cell, hourOfDay);
         long claimed = clock.nowMillis();
         leader =
@@ -303,7 +297,7 @@
                 state.getEpoch());
     }
 
-    private void layDown() {
+    private void relinquishLeadership() {
         if (leader != null) {
             LOGGER.log(
                     System.Logger.Level.INFO,
@@ -342,18 +336,18 @@
                 return;
             }
             snapshotMillis = now;
-            snapshot = follower.read(this::snapshot);
+            snapshot = follower.read(this::createSnapshot);
         }
         append(snapshot);
     }
 
-    private LogRecord snapshot(LogFold fold) {
+    private LogRecord createSnapshot(LogFold fold) {
         Bundle bundle = fold.getBundles().getBundle();
-        boolean carries =
+        boolean withBundle =
                 bundle != null
                         && !bundle.cells().isEmpty()
                         && bundle.cells().get(0).id().equals(cell);
-        String text = carries ? fold.getBundles().getSignedText() : null;
+        String text = withBundle ? fold.getBundles().getSignedText() : null;
         return fold.getCell(cell).snapshot(fold.getNext() - 1, text);
     }
 
@@ -362,7 +356,8 @@
             log.append(RecordCodec.encode(record));
             appends.increment();
         } catch (StandlinkException failure) {
-            // The fold shows whether it landed; what is still due is proposed again.
+            // The folded state shows whether the append took effect; pending decisions are proposed
+            // again.
             appendFailures.increment();
             throw failure;
         }
--- a/src/main/java/org/standlink/leader/LocalAgentLease.java
+++ b/src/main/java/org/standlink/leader/LocalAgentLease.java
@@ -22,35 +22,34 @@
 import org.standlink.lease.LeaseTimes;
 
 /**
- * Decides whether a leader may grant a lease to the agent of its own process, and when its
- * successor may be sure that it no longer does.
+ * Decides whether a leader may grant a node lease to the agent of its own process, and when its
+ * successor can be certain that it no longer does.
  *
- * <p>A leader that has lost touch with everything must not go on granting leases to itself until
- * its authority ends, or else each death of a leader's VM would hold up its tasks for that long. So
- * it does so only while it has read the log, or heard from more than half of the other agents,
- * within the length of a node lease. Once a successor has been acknowledged by so many of them that
- * no such half is left, the last lease that the old leader can have granted to itself ends two node
- * leases later. A heartbeat counts by when it was sent, as one that was long on its way says
- * nothing of whom its agent follows now.
+ * <p>A partitioned leader must not continue to grant leases to its own agent until its authority
+ * expires; otherwise each failure of a leader's VM would delay the tasks of that VM for as long. It
+ * therefore grants them only while it has read the log, or received heartbeats from more than half
+ * of the other agents, within the length of a node lease. Once so many of them have acknowledged a
+ * successor that no such majority is left, the last lease that the old leader can have granted to
+ * its own agent expires two node leases later. A heartbeat counts by the time at which it was sent,
+ * as a delayed one does not show which leader its agent follows now.
  *
  * <p>{@code LocalAgentLease} is thread-safe and immutable.
  */
 final class LocalAgentLease {
 
-    /** No instances. */
     private LocalAgentLease() {}
 
     /**
      * Checks whether a leader may grant a lease to its own agent.
      *
-     * @param logAgeMillis how long ago the log was last read, in milliseconds
+     * @param logAgeMillis the time since the log was last read, in milliseconds
      * @param self the VM of the leader
-     * @param epoch its epoch
+     * @param epoch the epoch of the leader
      * @param vms the VMs of the cell
-     * @param agents what it knows of the agents
-     * @param times the lengths of leases
+     * @param agents the leader's state of the agents
+     * @param times the lengths of the leases
      * @param nowMillis the time, in milliseconds
-     * @return true if it may
+     * @return true if it may grant the lease
      */
     static boolean isAllowed(
             long logAgeMillis,
@@ -64,7 +63,7 @@
             return true;
         }
         long others = countOthers(self, vms);
-        long heard =
+        long following =
                 vms.stream()
                         .filter(vm -> !vm.equals(self))
                         .map(agents::get)
@@ -74,23 +73,24 @@
                                         agent.hasFollowedWithin(
                                                 epoch, times.nodeMillis(), nowMillis))
                         .count();
-        return heard > others / 2;
+        return following > others / 2;
     }
 
     /**
-     * Checks whether enough agents have acknowledged a successor that the old leader can no longer
-     * hear from more than half of the others.
+     * Checks whether so many agents have acknowledged a successor that the old leader can no longer
+     * receive heartbeats from more than half of the other agents.
      *
-     * @param old the VM of the old leader
+     * @param oldLeader the VM of the old leader
      * @param vms the VMs of the cell
-     * @param agents what the successor knows of the agents
-     * @return true if so
+     * @param agents the successor's state of the agents
+     * @return true if the old leader has lost its majority
      */
-    static boolean hasLostMajority(VmId old, Collection<VmId> vms, Map<VmId, AgentEntry> agents) {
-        long others = countOthers(old, vms);
+    static boolean hasLostMajority(
+            VmId oldLeader, Collection<VmId> vms, Map<VmId, AgentEntry> agents) {
+        long others = countOthers(oldLeader, vms);
         long acknowledged =
                 vms.stream()
-                        .filter(vm -> !vm.equals(old))
+                        .filter(vm -> !vm.equals(oldLeader))
                         .map(agents::get)
                         .filter(agent -> agent != null && agent.isAcknowledged())
                         .count();
--- a/src/main/java/org/standlink/leader/TaskOrders.java
+++ b/src/main/java/org/standlink/leader/TaskOrders.java
@@ -22,33 +22,33 @@
 import org.standlink.log.TaskState;
 
 /**
- * What a leader has ordered for running attempts: throttles and stops.
+ * The throttles and stops that a leader has ordered for running attempts.
  *
- * <p>{@code TaskOrders} is mutable and not thread-safe; its leader guards it.
+ * <p>{@code TaskOrders} is mutable and not thread-safe; {@link LeaderService} synchronises access.
  */
 final class TaskOrders {
 
-    /** The share of its processors that a task may use when nothing is throttled, in percent. */
+    /** The share of its processors that an unthrottled task may use, in percent. */
     private static final int UNTHROTTLED = 100;
 
-    /** The throttle of each throttled task, in percent. */
+    /** The share of its processors that each throttled task may use, in percent. */
     private final Map<TaskId, Integer> throttles = new HashMap<>();
 
     /** The attempts to be stopped. */
     private final Map<TaskId, Attempt> stops = new HashMap<>();
 
     /**
-     * Orders a throttle.
+     * Orders that a task be throttled.
      *
      * @param task the task
-     * @param percent the share of its processors it may use, in percent
+     * @param percent the share of its processors that it may use, in percent
      */
     void orderThrottle(TaskId task, int percent) {
         throttles.put(task, percent);
     }
 
     /**
-     * Orders a stop.
+     * Orders that an attempt be stopped.
      *
      * @param task the task
      * @param attempt the attempt to stop
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Forgets the orders for a task, because its attempt has ended.
+     * Removes the orders for a task whose attempt has ended.
      *
      * @param task the task
      */
@@ -71,17 +71,17 @@
      * Gets the throttle of a task.
      *
      * @param task the task
-     * @return the share of its processors it may use, in percent
+     * @return the share of its processors that it may use, in percent
      */
     int getThrottle(TaskId task) {
         return throttles.getOrDefault(task, UNTHROTTLED);
     }
 
     /**
-     * Checks whether the attempt of a task is to be stopped.
+     * Checks whether a stop of the current attempt of a task has been ordered.
      *
      * @param task the task
-     * @return true if so
+     * @return true if a stop has been ordered
      */
     boolean isStopOrdered(TaskState task) {
         return task.attempt().equals(stops.get(task.task()));
