--- a/src/test/java/org/standlink/leader/CellHarness.java
+++ b/src/test/java/org/standlink/leader/CellHarness.java
@@ -37,7 +37,10 @@
 import org.standlink.standin.MemoryWorker;
 import org.standlink.wire.Heartbeat;
 
-/** Three agents, their workers and the leader role on a fake clock, one second a step. */
+/**
+ * A cell of three agents, their workers and their leader roles on a fake clock, which advances by
+ * one second per step.
+ */
 final class CellHarness {
 
     static final CellId CELL = CellId.parse("one");
@@ -46,11 +49,11 @@
 
     private final MemoryLog log = new MemoryLog(clock, 100, Long.MAX_VALUE / 4);
 
-    private final LogFollower watcher = new LogFollower(log, (id, refusal) -> {});
+    private final LogFollower follower = new LogFollower(log, (id, refusal) -> {});
 
     private final Map<String, CellNode> nodes = new TreeMap<>();
 
-    private final List<Runnable> late = new ArrayList<>();
+    private final List<Runnable> delayedHeartbeats = new ArrayList<>();
 
     private boolean logDown;
 
@@ -72,7 +75,7 @@
     }
 
     void publishBundle(String jobs, String upstreams) {
-        long version = follow().read(fold -> fold.getBundles().getVersion()).getValue() + 1;
+        long version = pollLog().read(fold -> fold.getBundles().getVersion()).getValue() + 1;
         String signed = Fixtures.signed(Fixtures.bundle(version, jobs, upstreams, ""));
         log.append(RecordCodec.encode(new BundleRecord(RecordCodec.newId(), signed)));
         clock.advance(20);
@@ -90,7 +93,6 @@
         }
     }
 
-    /** Lets time pass, one second a step. */
     void runForSeconds(int seconds) {
         for (int i = 0; i < seconds; i++) {
             step();
@@ -102,7 +104,7 @@
         try {
             leader.service.runOnce();
         } catch (StandlinkException unavailable) {
-            // The log is down; what is assigned goes on.
+            // The log is unavailable; assigned tasks continue.
         }
         for (CellNode node : nodes.values()) {
             if (node.reachable && node.alive) {
@@ -134,52 +136,55 @@
         sendHeartbeat(nodes.get(vm), leader);
     }
 
-    private void sendHeartbeat(CellNode node, CellNode to) {
+    private void sendHeartbeat(CellNode node, CellNode receiver) {
         try {
-            beatOrThrow(node, to);
+            sendHeartbeatOrThrow(node, receiver);
         } catch (StandlinkException refused) {
-            // The leader may not act; the agent goes on without a new lease.
+            // The leader may not act; the agent continues without a new lease.
         }
     }
 
     void sendHeartbeatOrThrow(String vm) {
-        beatOrThrow(nodes.get(vm), leader);
+        sendHeartbeatOrThrow(nodes.get(vm), leader);
     }
 
     void sendHeartbeatToOldLeader(String vm) {
-        beatOrThrow(nodes.get(vm), oldLeader);
+        sendHeartbeatOrThrow(nodes.get(vm), oldLeader);
     }
 
-    private void beatOrThrow(CellNode node, CellNode to) {
-        long asked = clock.nowMillis();
-        node.receiveAnswer(to.service.handleHeartbeat(node.createHeartbeat(to.service)), asked);
+    private void sendHeartbeatOrThrow(CellNode node, CellNode receiver) {
+        long sentMillis = clock.nowMillis();
+        node.receiveAnswer(
+                receiver.service.handleHeartbeat(node.createHeartbeat(receiver.service)),
+                sentMillis);
     }
 
     void checkInvariants() {
         Map<TaskId, Integer> places = new HashMap<>();
         for (CellNode node : nodes.values()) {
-            Resources sum = Resources.NONE;
-            for (TaskStart start : running(node)) {
+            Resources used = Resources.NONE;
+            for (TaskStart start : listRunning(node)) {
                 places.merge(start.task(), 1, Integer::sum);
-                sum = sum.plus(start.resources());
-                violations += holds(node, start) ? 0 : 1;
+                used = used.plus(start.resources());
+                violations += isAssignedHere(node, start) ? 0 : 1;
             }
-            violations += sum.fitsIn(CellNode.CAPACITY) ? 0 : 1;
+            violations += used.fitsIn(CellNode.CAPACITY) ? 0 : 1;
         }
         violations += (int) places.values().stream().filter(count -> count > 1).count();
     }
 
     /**
-     * Checks that the log gives an attempt to the worker that runs it: one given up runs nowhere.
+     * Checks that the log assigns a running attempt to the worker that runs it, as an abandoned
+     * attempt must run nowhere.
      */
-    private boolean holds(CellNode node, TaskStart start) {
+    private boolean isAssignedHere(CellNode node, TaskStart start) {
         TaskState task = getTask(start.task());
         return task.isAssigned()
                 && task.attempt().equals(start.attempt())
                 && task.worker().equals(node.vm);
     }
 
-    private static List<TaskStart> running(CellNode node) {
+    private static List<TaskStart> listRunning(CellNode node) {
         try {
             return node.worker.getRunning();
         } catch (StandlinkException down) {
@@ -192,7 +197,7 @@
         nodes.get(vm).reachable = reachable;
     }
 
-    /** Sends a heartbeat to the leader whose answer is lost. */
+    /** Sends the leader a heartbeat whose answer is lost. */
     void sendHeartbeatWithoutAnswer(String vm) {
         leader.service.handleHeartbeat(nodes.get(vm).createHeartbeat(leader.service));
     }
@@ -209,32 +214,35 @@
         nodes.get(vm).startAgent();
     }
 
-    /** Ends the agent of a VM for good, or for as long as nothing else is said. */
+    /** Stops the agent of a VM until {@link #restartAgent}. */
     void killAgent(String vm) {
         nodes.get(vm).alive = false;
     }
 
-    /** Sends a heartbeat that is on its way until {@link #deliverDelayedHeartbeat}. */
+    /** Sends a heartbeat that arrives only with {@link #deliverDelayedHeartbeat}. */
     Heartbeat sendDelayedHeartbeat(String vm) {
-        LeaderService to = leader.service;
-        Heartbeat heartbeat = nodes.get(vm).createHeartbeat(to);
-        late.add(() -> to.handleHeartbeat(heartbeat));
+        LeaderService receiver = leader.service;
+        Heartbeat heartbeat = nodes.get(vm).createHeartbeat(receiver);
+        delayedHeartbeats.add(() -> receiver.handleHeartbeat(heartbeat));
         return heartbeat;
     }
 
-    /** Lets the oldest late heartbeat arrive; its sender takes no answer any more. */
+    /** Delivers the oldest delayed heartbeat, whose sender no longer accepts an answer. */
     void deliverDelayedHeartbeat() {
-        if (!late.isEmpty()) {
-            late.remove(0).run();
+        if (!delayedHeartbeats.isEmpty()) {
+            delayedHeartbeats.remove(0).run();
         }
     }
 
-    /** Lets the leader read the log without deciding anything, as it waits between two appends. */
+    /**
+     * Has the leader read the log without deciding anything, as the interval between two appends
+     * has not passed.
+     */
     void readLog() {
         leader.service.runOnce();
     }
 
-    /** Checks whether the leader was restarted, so that nobody leads until the next claim. */
+    /** Checks whether there is no leader until the next claim, as the last one was restarted. */
     boolean isLeaderless() {
         return !leader.service.isLeading();
     }
@@ -262,7 +270,8 @@
 
     Map<TaskId, org.standlink.Attempt> getAttempts() {
         Map<TaskId, org.standlink.Attempt> result = new HashMap<>();
-        follow().read(
+        pollLog()
+                .read(
                         fold -> {
                             fold.getCell(CELL)
                                     .getTasks()
@@ -293,28 +302,29 @@
     }
 
     int countRunning(String vm) {
-        return running(nodes.get(vm)).size();
+        return listRunning(nodes.get(vm)).size();
     }
 
     boolean isRunning(String task) {
         return nodes.values().stream()
-                .flatMap(node -> running(node).stream())
+                .flatMap(node -> listRunning(node).stream())
                 .anyMatch(start -> start.task().equals(TaskId.parse(task)));
     }
 
     long getGrantedMilliCores(String vm) {
-        return running(nodes.get(vm)).stream()
+        return listRunning(nodes.get(vm)).stream()
                 .mapToLong(start -> start.resources().milliCores())
                 .sum();
     }
 
     TaskState getTask(TaskId task) {
-        return follow().read(fold -> fold.getCell(CELL).get(task));
+        return pollLog().read(fold -> fold.getCell(CELL).get(task));
     }
 
     TaskState findRunningTaskOn(String... vms) {
         List<String> wanted = List.of(vms);
-        return follow().read(
+        return pollLog()
+                .read(
                         fold ->
                                 fold.getCell(CELL).getTasks().stream()
                                         .filter(TaskState::isAssigned)
@@ -325,7 +335,8 @@
     }
 
     long countInPhase(TaskState.Phase phase) {
-        return follow().read(
+        return pollLog()
+                .read(
                         fold ->
                                 fold.getCell(CELL).getTasks().stream()
                                         .filter(t -> t.phase() == phase)
@@ -333,9 +344,10 @@
     }
 
     int countTasks() {
-        return follow().read(fold -> fold.getCell(CELL).getTasks().size());
+        return pollLog().read(fold -> fold.getCell(CELL).getTasks().size());
     }
 
+    /** Gets the part of the leader's status that describes a task, as a JSON text. */
     String getTaskStatus(String task) {
         String status = leader.service.getStatus();
         int at = status.indexOf("\"task\":\"" + task + "\"");
@@ -346,10 +358,11 @@
         return nodes.get(vm).holder.getVersion();
     }
 
-    private LogFollower follow() {
+    /** Reads the log, also while it is unavailable to the nodes. */
+    private LogFollower pollLog() {
         log.setDown(false);
-        watcher.poll();
+        follower.poll();
         log.setDown(logDown);
-        return watcher;
+        return follower;
     }
 }
--- a/src/test/java/org/standlink/leader/CellNode.java
+++ b/src/test/java/org/standlink/leader/CellNode.java
@@ -43,7 +43,7 @@
 
     final MemoryWorker worker;
 
-    /** The way from the agent to the worker. */
+    /** The port through which the agent calls the worker. */
     final DelayedWorkerPort workerPort;
 
     private final FakeClock clock;
@@ -52,12 +52,14 @@
 
     private LogFollower follower;
 
-    /** The highest epoch heard of; null until the log was read since the start of the agent. */
+    /**
+     * The highest epoch received; null until the log has been read since the start of the agent.
+     */
     private Epoch epoch;
 
     private Incarnation incarnation;
 
-    private long runs;
+    private long incarnationCount;
 
     TaskSupervisor supervisor;
 
@@ -84,10 +86,12 @@
         startAgent();
     }
 
-    /** Starts a new run of the agent, which knows nothing and is not leaving. */
+    /** Starts a new incarnation of the agent, which has no state and is not leaving. */
     void startAgent() {
-        runs++;
-        incarnation = Incarnation.of(1000L * Integer.parseInt(vm.toString().substring(3)) + runs);
+        incarnationCount++;
+        incarnation =
+                Incarnation.of(
+                        1000L * Integer.parseInt(vm.toString().substring(3)) + incarnationCount);
         alive = true;
         leaving = false;
         delta = new ReportDelta();
@@ -110,34 +114,40 @@
                         new io.micrometer.core.instrument.simple.SimpleMeterRegistry());
     }
 
-    /** Makes a heartbeat; as in the process, only once the log was read since the start. */
-    Heartbeat createHeartbeat(LeaderService to) {
+    /**
+     * Creates a heartbeat. As in the agent's process, the log is read before the first one after a
+     * start.
+     */
+    Heartbeat createHeartbeat(LeaderService leader) {
         if (epoch == null) {
             follower.poll();
             epoch = follower.read(fold -> fold.getCell(CellHarness.CELL).getEpoch());
         }
         SupervisorReport report = supervisor.getReport();
-        ReportDelta.Selection part = delta.selectNext(report.tasks(), to.getEpoch());
+        ReportDelta.Selection selection = delta.selectNext(report.tasks(), leader.getEpoch());
         return new Heartbeat(
                 vm,
                 incarnation,
-                part.number(),
-                part.full(),
+                selection.number(),
+                selection.full(),
                 report.epoch(),
                 report.generation(),
                 holder.getVersion(),
                 report.revision(),
                 leaving,
                 report.workerReady(),
-                part.tasks(),
-                part.gone(),
+                selection.tasks(),
+                selection.gone(),
                 List.of());
     }
 
-    /** Takes an answer; as in the process, one of an older epoch than heard of is passed over. */
-    void receiveAnswer(HeartbeatAnswer answer, long askedMillis) {
+    /**
+     * Receives an answer. As in the agent's process, it is ignored if its epoch is older than the
+     * highest one received.
+     */
+    void receiveAnswer(HeartbeatAnswer answer, long sentMillis) {
         boolean current = answer.epoch().compareTo(epoch) >= 0;
-        if (current && supervisor.accept(answer, askedMillis)) {
+        if (current && supervisor.accept(answer, sentMillis)) {
             epoch = answer.epoch();
             delta.answerReceived(answer.epoch());
             holder.offer(answer.signedBundle(), answer.bundle());
--- a/src/test/java/org/standlink/leader/DelayedWorkerPort.java
+++ b/src/test/java/org/standlink/leader/DelayedWorkerPort.java
@@ -26,71 +26,69 @@
 import org.standlink.port.WorkerLease;
 import org.standlink.port.WorkerPort;
 
-/** The way to a worker, on which calls may go unanswered and be carried out late. */
+/** A port of a worker on which calls may remain unanswered and be executed later. */
 final class DelayedWorkerPort implements WorkerPort {
 
     private final WorkerPort worker;
 
-    /** Calls without an answer, which the worker has yet to carry out. */
-    private final List<Runnable> late = new ArrayList<>();
+    /** Unanswered calls that the worker has not executed yet. */
+    private final List<Runnable> delayedCalls = new ArrayList<>();
 
-    private boolean holdsStarts;
+    private boolean delayingStarts;
 
-    private boolean holdsLeases;
+    private boolean delayingLeases;
 
     DelayedWorkerPort(WorkerPort worker) {
         this.worker = worker;
     }
 
-    /** Leaves starts without an answer from now on, or no more. */
-    void setDelayingStarts(boolean holds) {
-        holdsStarts = holds;
+    /** Sets whether starts remain unanswered. */
+    void setDelayingStarts(boolean delaying) {
+        delayingStarts = delaying;
     }
 
-    /** Leaves calls that take or renew the lease without an answer from now on, or no more. */
-    void setDelayingLeases(boolean holds) {
-        holdsLeases = holds;
+    /** Sets whether calls that acquire or renew the lease remain unanswered. */
+    void setDelayingLeases(boolean delaying) {
+        delayingLeases = delaying;
     }
 
-    /** Counts the calls that are yet to be carried out. */
+    /** Counts the calls that have not been executed yet. */
     int countDelayedCalls() {
-        return late.size();
+        return delayedCalls.size();
     }
 
-    /**
-     * Lets the worker carry out the oldest call without an answer; nobody hears what comes of it.
-     */
+    /** Has the worker execute the oldest delayed call, whose result nobody receives. */
     void executeDelayedCall() {
-        if (late.isEmpty()) {
+        if (delayedCalls.isEmpty()) {
             return;
         }
         try {
-            late.remove(0).run();
+            delayedCalls.remove(0).run();
         } catch (StandlinkException refused) {
-            // The caller is not there any more.
+            // The caller no longer waits for the answer.
         }
     }
 
     @Override
     public WorkerLease acquire(String holder) {
-        if (holdsLeases) {
-            hold(() -> worker.acquire(holder));
+        if (delayingLeases) {
+            delay(() -> worker.acquire(holder));
         }
         return worker.acquire(holder);
     }
 
     @Override
     public WorkerLease renew(WorkerLease lease) {
-        if (holdsLeases) {
-            hold(() -> worker.renew(lease));
+        if (delayingLeases) {
+            delay(() -> worker.renew(lease));
         }
         return worker.renew(lease);
     }
 
     @Override
     public void start(WorkerLease lease, TaskStart start) {
-        if (holdsStarts) {
-            hold(() -> worker.start(lease, start));
+        if (delayingStarts) {
+            delay(() -> worker.start(lease, start));
         }
         worker.start(lease, start);
     }
@@ -110,9 +108,11 @@
         return worker.list();
     }
 
-    private void hold(Runnable call) {
-        late.add(call);
+    private void delay(Runnable call) {
+        delayedCalls.add(call);
         throw new StandlinkException(
-                ErrorCode.PLATFORM_OUTCOME_UNKNOWN, "no answer came", "look what holds");
+                ErrorCode.PLATFORM_OUTCOME_UNKNOWN,
+                "the worker did not answer",
+                "read the state again");
     }
 }
--- a/src/test/java/org/standlink/leader/TestAbandonedAttemptProperties.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttemptProperties.java
@@ -30,9 +30,9 @@
 import org.standlink.StandlinkException;
 
 /**
- * Drives a cell through starts that workers carry out late, heartbeats that arrive late, appends
- * that are lost, agents that leave and come back and jobs that do: an attempt that was given up
- * runs nowhere. Attempts that wait to be started are there throughout.
+ * Tests that an abandoned attempt runs nowhere under random faults: delayed starts and heartbeats,
+ * lost appends, agents that leave and return, and jobs that are cancelled and added again. Attempts
+ * are waiting to be started throughout.
  */
 public class TestAbandonedAttemptProperties {
 
@@ -41,7 +41,7 @@
                     .replace("'tasks':4", "'tasks':16")
                     .replace("'runSeconds':60", "'runSeconds':20");
 
-    /** What may happen. */
+    /** The kinds of actions. */
     enum Kind {
         DELAY_STARTS,
         STOP_DELAYING_STARTS,
@@ -61,7 +61,7 @@
         ADD_JOB_AGAIN,
         CLAIM;
 
-        /** Gets how often it happens beside others, so that what belongs together meets. */
+        /** Gets the relative frequency; related actions are frequent, so that they coincide. */
         private int weight() {
             return switch (this) {
                 case LEAVE,
@@ -76,14 +76,15 @@
         }
     }
 
-    /** One thing that happens to one VM; a second that passes if there is no kind. */
+    /** An action on one VM; one second passes if the kind is null. */
     record Action(Kind kind, int vm) {}
 
     @Provide
-    Arbitrary<List<Action>> events() {
+    Arbitrary<List<Action>> actions() {
         Arbitrary<Action> faults =
                 Combinators.combine(
-                                Arbitraries.of(weighted()), Arbitraries.integers().between(1, 3))
+                                Arbitraries.of(listWeightedKinds()),
+                                Arbitraries.integers().between(1, 3))
                         .as(Action::new);
         return Arbitraries.frequencyOf(
                         net.jqwik.api.Tuple.of(2, Arbitraries.just(new Action(null, 0))),
@@ -92,7 +93,7 @@
                 .ofSize(150);
     }
 
-    private static List<Kind> weighted() {
+    private static List<Kind> listWeightedKinds() {
         return Stream.of(Kind.values())
                 .flatMap(kind -> Collections.nCopies(kind.weight(), kind).stream())
                 .toList();
@@ -103,37 +104,37 @@
             seed = "20261202",
             shrinking = net.jqwik.api.ShrinkingMode.OFF,
             edgeCases = net.jqwik.api.EdgeCasesMode.NONE)
-    void neverRunsAnAbandonedAttempt(@ForAll("events") List<Action> events) {
+    void neverRunsAnAbandonedAttempt(@ForAll("actions") List<Action> actions) {
         CellHarness cell = new CellHarness();
         cell.publishBundle(JOBS);
         cell.claim("vm-1");
         cell.runForSeconds(3);
-        for (Action event : events) {
+        for (Action action : actions) {
             try {
-                apply(cell, event);
+                apply(cell, action);
             } catch (StandlinkException refused) {
-                // A heartbeat is too old, the leader may not act, or the log takes nothing.
+                // The heartbeat is out of order, the leader may not act, or the log is unavailable.
             }
             cell.checkInvariants();
-            assertEquals(0, cell.getViolations(), () -> "after " + event + " in " + events);
+            assertEquals(0, cell.getViolations(), () -> "after " + action + " in " + actions);
         }
     }
 
-    private static void apply(CellHarness cell, Action event) {
-        if (event.kind() == null) {
+    private static void apply(CellHarness cell, Action action) {
+        if (action.kind() == null) {
             cell.step();
             return;
         }
-        String vm = "vm-" + event.vm();
-        switch (event.kind()) {
+        String vm = "vm-" + action.vm();
+        switch (action.kind()) {
             case DELAY_STARTS -> cell.getWorkerPort(vm).setDelayingStarts(true);
             case STOP_DELAYING_STARTS -> cell.getWorkerPort(vm).setDelayingStarts(false);
             case EXECUTE_DELAYED_CALL -> cell.getWorkerPort(vm).executeDelayedCall();
-            case SEND_DELAYED_HEARTBEAT -> sendLate(cell, vm);
+            case SEND_DELAYED_HEARTBEAT -> sendDelayedHeartbeat(cell, vm);
             case DELIVER_DELAYED_HEARTBEAT -> cell.deliverDelayedHeartbeat();
             case LOSE_ANSWER -> cell.sendHeartbeatWithoutAnswer(vm);
             case LEAVE -> leave(cell, vm);
-            case RESTART_AGENT -> comeBack(cell, vm);
+            case RESTART_AGENT -> restartAgent(cell, vm);
             case DISCONNECT_AGENT -> cell.setReachable(vm, false);
             case RECONNECT_AGENT -> cell.setReachable(vm, true);
             case DELAY_APPEND -> cell.getLog().delayAppends(1);
@@ -146,8 +147,8 @@
         }
     }
 
-    /** Sends one that tells everything, as the answer to the one before it was lost. */
-    private static void sendLate(CellHarness cell, String vm) {
+    /** Sends a delayed heartbeat, which is full as the answer to the one before it was lost. */
+    private static void sendDelayedHeartbeat(CellHarness cell, String vm) {
         cell.sendHeartbeatWithoutAnswer(vm);
         cell.sendDelayedHeartbeat(vm);
     }
@@ -158,7 +159,7 @@
         cell.sendHeartbeat(vm);
     }
 
-    private static void comeBack(CellHarness cell, String vm) {
+    private static void restartAgent(CellHarness cell, String vm) {
         cell.restartAgent(vm);
         if (cell.isLeaderless()) {
             cell.claim("vm-1");
--- a/src/test/java/org/standlink/leader/TestAbandonedAttempts.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttempts.java
@@ -28,13 +28,14 @@
 import org.standlink.wire.Heartbeat;
 
 /**
- * Tests that an attempt which the leader has given up starts nowhere afterwards.
+ * Tests that an attempt which the leader has abandoned is not started afterwards.
  *
- * <p>Seen: one task ran in two places, as an agent started an attempt after the leader had given it
- * to another worker. How it came about: the order to start outlived the lease or the authority
- * under which it was given. Cause: what was given up was still handed out, or an agent was believed
- * about a time that was over. Proof: the cell counts a violation whenever an attempt runs that the
- * log does not give to that worker; the fold is asked after each tick.
+ * <p>Otherwise one task runs in two places: an agent starts an attempt after the leader has
+ * assigned the task to another worker. This happens if the start order outlives the lease or the
+ * authority under which it was given, that is, if an abandoned attempt is still sent to its agent,
+ * or if the leader accepts an agent's report about an earlier lease. After each tick the harness
+ * compares what is running with the log and counts a violation for each attempt that is not
+ * assigned to the worker that runs it.
  */
 public class TestAbandonedAttempts {
 
@@ -53,102 +54,103 @@
 
     private final CellHarness cell = new CellHarness();
 
-    private void start(String jobs) {
+    private void startCell(String jobs) {
         cell.publishBundle(jobs);
         cell.claim("vm-1");
         cell.runForSeconds(5);
     }
 
-    /** Has the only task ordered on a worker that leaves the call to start it without an answer. */
-    private String orderWithoutAnswer() {
-        start("");
-        // The leader takes nothing itself, so that its worker's agent may start again.
+    /** Assigns the only task to a worker that does not answer the call to start it. */
+    private String assignWithDelayedStart() {
+        startCell("");
+        // The leader's VM accepts no tasks, so that the task's agent can be restarted without it.
         cell.setLeaving("vm-1");
         cell.runForSeconds(2);
-        holdStarts(true);
+        delayStarts(true);
         cell.publishBundle(ONE);
-        while (holder() == null || cell.getWorkerPort(holder()).countDelayedCalls() == 0) {
+        while (getAssignedVm() == null
+                || cell.getWorkerPort(getAssignedVm()).countDelayedCalls() == 0) {
             cell.step();
         }
-        return holder();
+        return getAssignedVm();
     }
 
-    private void holdStarts(boolean holds) {
+    private void delayStarts(boolean delaying) {
         for (int i = 1; i <= 3; i++) {
-            cell.getWorkerPort("vm-" + i).setDelayingStarts(holds);
+            cell.getWorkerPort("vm-" + i).setDelayingStarts(delaying);
         }
     }
 
-    private void beatAll() {
+    private void sendAllHeartbeats() {
         for (int i = 1; i <= 3; i++) {
             cell.sendHeartbeat("vm-" + i);
             cell.tick("vm-" + i);
         }
     }
 
-    private String holder() {
+    private String getAssignedVm() {
         TaskState task = cell.getTask(TASK);
         return task.isAssigned() ? task.worker().toString() : null;
     }
 
-    private void assertSafe() {
+    private void assertNoViolation() {
         cell.checkInvariants();
-        assertEquals(0, cell.getViolations(), "an attempt ran that was given up");
+        assertEquals(0, cell.getViolations(), "an abandoned attempt was running");
     }
 
     // -----------------------------------------------------------------------
     @Test
     void aDelayedStartIsIneffectiveAfterTheNodeLeaseExpired() {
-        String vm = orderWithoutAnswer();
+        String vm = assignWithDelayedStart();
         cell.setReachable(vm, false);
-        holdStarts(false);
+        delayStarts(false);
         for (int i = 0; i < 40; i++) {
             cell.step();
-            if (holder() == null || !holder().equals(vm)) {
+            if (getAssignedVm() == null || !getAssignedVm().equals(vm)) {
                 break;
             }
         }
-        assertFalse(vm.equals(holder()), "given up");
+        assertFalse(vm.equals(getAssignedVm()), "the attempt is abandoned");
         while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
             cell.getWorkerPort(vm).executeDelayedCall();
-            assertSafe();
+            assertNoViolation();
         }
         cell.setReachable(vm, true);
         cell.runForSeconds(20);
-        assertSafe();
+        assertNoViolation();
         assertEquals(1, cell.countRunning());
     }
 
     @Test
     void aDelayedStartIsIneffectiveAfterACancel() {
-        String vm = orderWithoutAnswer();
-        holdStarts(false);
+        String vm = assignWithDelayedStart();
+        delayStarts(false);
         cell.publishBundle("");
         cell.runForSeconds(4);
-        assertEquals(0, cell.countTasks(), "given up");
+        assertEquals(0, cell.countTasks(), "the attempt is abandoned");
         while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
             cell.getWorkerPort(vm).executeDelayedCall();
-            assertSafe();
+            assertNoViolation();
         }
     }
 
     @Test
     void aCancelledTaskIsNotStartedWithTheNextLease() {
-        String vm = orderWithoutAnswer();
+        String vm = assignWithDelayedStart();
         cell.setReachable(vm, false);
         cell.publishBundle("");
         cell.runForSeconds(40);
-        assertEquals(0, cell.countTasks(), "given up");
-        holdStarts(false);
+        assertEquals(0, cell.countTasks(), "the attempt is abandoned");
+        delayStarts(false);
         cell.setReachable(vm, true);
         cell.runForSeconds(5);
-        assertSafe();
+        assertNoViolation();
         assertEquals(0, cell.countRunning());
     }
 
     @Test
     void anAttemptReportedAsStoppedIsNotStartedThoughTheAnswerWasLost() {
-        start(LONG);
+        startCell(LONG);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.setLeaving(vm);
@@ -156,84 +158,91 @@
         cell.sendHeartbeatWithoutAnswer(vm);
         cell.setReachable(vm, false);
         cell.runForSeconds(3);
-        assertTrue(cell.getTask(before.task()).attempt().isAfter(before.attempt()), "given up");
+        assertTrue(
+                cell.getTask(before.task()).attempt().isAfter(before.attempt()),
+                "the attempt is abandoned");
         cell.tick(vm);
         cell.setReachable(vm, true);
         cell.runForSeconds(10);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void aDelayedStartOfAnEarlierAgentProcessIsIneffective() {
-        String vm = orderWithoutAnswer();
-        holdStarts(false);
+        String vm = assignWithDelayedStart();
+        delayStarts(false);
         cell.restartAgent(vm);
         cell.publishBundle("");
         cell.runForSeconds(6);
-        assertEquals(0, cell.countTasks(), "given up");
+        assertEquals(0, cell.countTasks(), "the attempt is abandoned");
         while (cell.getWorkerPort(vm).countDelayedCalls() > 0) {
             cell.getWorkerPort(vm).executeDelayedCall();
-            assertSafe();
+            assertNoViolation();
         }
     }
 
     @Test
     void anAttemptStartedByAnEarlierAgentProcessIsStopped() {
-        String vm = orderWithoutAnswer();
-        holdStarts(false);
+        String vm = assignWithDelayedStart();
+        delayStarts(false);
         cell.restartAgent(vm);
         cell.getWorkerPort(vm).executeDelayedCall();
         cell.publishBundle("");
         cell.runForSeconds(3);
-        assertEquals(0, cell.countRunning(), "stopped within a heartbeat and two ticks");
+        assertEquals(
+                0, cell.countRunning(), "the attempt is stopped within a heartbeat and two ticks");
         cell.runForSeconds(3);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void aDelayedStartOfADeadAgentEndsWithTheWorkerLease() {
-        String vm = orderWithoutAnswer();
+        String vm = assignWithDelayedStart();
         cell.killAgent(vm);
         cell.getWorkerPort(vm).executeDelayedCall();
-        assertEquals(1, cell.countRunning(vm), "the worker lease has not ended");
+        assertEquals(1, cell.countRunning(vm), "the worker lease has not expired");
         cell.getClock().advance(5000);
         assertEquals(0, cell.countRunning(vm));
-        holdStarts(false);
+        delayStarts(false);
         cell.runForSeconds(40);
-        assertSafe();
-        assertEquals(1, cell.countRunning(), "it runs elsewhere");
+        assertNoViolation();
+        assertEquals(1, cell.countRunning(), "the task runs on another worker");
     }
 
     @Test
     void delayedWorkerLeaseCallsKeepNoAttemptRunningPastItsRelease() {
-        start(LONG);
+        startCell(LONG);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
-        DelayedWorkerPort calls = cell.getWorkerPort(vm);
+        DelayedWorkerPort workerPort = cell.getWorkerPort(vm);
         cell.setReachable(vm, false);
         cell.runForSeconds(4);
-        calls.setDelayingLeases(true);
+        workerPort.setDelayingLeases(true);
         cell.runForSeconds(4);
-        calls.executeDelayedCall();
+        workerPort.executeDelayedCall();
         cell.runForSeconds(4);
-        calls.executeDelayedCall();
+        workerPort.executeDelayedCall();
         cell.runForSeconds(4);
-        calls.executeDelayedCall();
+        workerPort.executeDelayedCall();
         cell.runForSeconds(1);
-        assertTrue(calls.countDelayedCalls() > 0, "the last comes 7 s after the node lease ended");
-        calls.executeDelayedCall();
-        assertTrue(cell.countRunning(vm) > 0, "the late calls kept it running");
+        assertTrue(
+                workerPort.countDelayedCalls() > 0,
+                "the last call is executed 7 s after the node lease expired");
+        workerPort.executeDelayedCall();
+        assertTrue(cell.countRunning(vm) > 0, "the delayed calls kept the attempt running");
         for (int i = 0; i < 20; i++) {
             cell.step();
-            assertSafe();
+            assertNoViolation();
         }
-        assertTrue(cell.getTask(before.task()).attempt().isAfter(before.attempt()), "given up");
+        assertTrue(
+                cell.getTask(before.task()).attempt().isAfter(before.attempt()),
+                "the attempt is abandoned");
     }
 
     // -----------------------------------------------------------------------
     @Test
     void attemptsStoppedByALeavingAgentAreNotStartedByItsNextProcess() {
-        start(FILL);
+        startCell(FILL);
         String vm = "vm-3";
         cell.setLeaving(vm);
         cell.tick(vm);
@@ -248,12 +257,12 @@
         cell.tick(vm);
         cell.setReachable(vm, false);
         cell.runForSeconds(3);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void anAttemptStoppedBeforeItsStartIsNotStartedWhileItsEndIsBeingAppended() {
-        start("");
+        startCell("");
         cell.publishBundle(LONG);
         for (int i = 1; i <= 3; i++) {
             cell.setReachable("vm-" + i, false);
@@ -264,59 +273,59 @@
         for (int i = 1; i <= 3; i++) {
             cell.setReachable("vm-" + i, true);
         }
-        beatAll();
-        beatAll();
+        sendAllHeartbeats();
+        sendAllHeartbeats();
         cell.getLog().delayAppends(1);
         cell.runForSeconds(1);
         for (int i = 0; i < 4; i++) {
-            assertFalse(cell.isRunning("scan#" + i), "stopped before its start");
+            assertFalse(cell.isRunning("scan#" + i), "the attempt was stopped before its start");
         }
         cell.setLogDown(true);
         cell.runForSeconds(6);
         cell.setLogDown(false);
         cell.runForSeconds(3);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void aCancelledTaskAddedAgainIsNotStartedUnderItsOldAttempt() {
-        start(FILL);
+        startCell(FILL);
         cell.publishBundle("");
         cell.runForSeconds(1);
-        beatAll();
+        sendAllHeartbeats();
         cell.getLog().delayAppends(1);
         cell.runForSeconds(1);
         cell.publishBundle(FILL);
         cell.readLog();
-        beatAll();
+        sendAllHeartbeats();
         cell.runForSeconds(3);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void aDelayedHeartbeatOfAnEarlierAgentProcessEndsNoAttempt() {
-        start(FILL);
+        startCell(FILL);
         String vm = "vm-3";
         cell.setLeaving(vm);
         cell.tick(vm);
         cell.sendHeartbeatWithoutAnswer(vm);
-        Heartbeat late = cell.sendDelayedHeartbeat(vm);
-        assertTrue(late.full(), "as the one before it was not answered");
+        Heartbeat delayed = cell.sendDelayedHeartbeat(vm);
+        assertTrue(delayed.full(), "the previous heartbeat was not answered");
         cell.restartAgent(vm);
         cell.sendHeartbeat(vm);
         cell.tick(vm);
         cell.sendHeartbeat(vm);
         cell.tick(vm);
-        assertTrue(cell.countRunning(vm) > 0, "it runs what waited there");
+        assertTrue(cell.countRunning(vm) > 0, "the tasks queued there are running");
         cell.deliverDelayedHeartbeat();
         cell.setReachable(vm, false);
         cell.runForSeconds(3);
-        assertSafe();
+        assertNoViolation();
     }
 
     @Test
     void delayedHeartbeatsDoNotExtendTheLeaseOfAnOldLeader() {
-        start(LONG);
+        startCell(LONG);
         assertTrue(cell.countRunning("vm-1") > 0);
         cell.sendDelayedHeartbeat("vm-2");
         cell.sendDelayedHeartbeat("vm-3");
@@ -327,14 +336,14 @@
         cell.deliverDelayedHeartbeat();
         for (int i = 0; i < 40; i++) {
             cell.step();
-            assertSafe();
+            assertNoViolation();
         }
         assertEquals(0, cell.countRunning("vm-1"));
     }
 
     @Test
     void anOutOfOrderHeartbeatIsRejected() {
-        start(FILL);
+        startCell(FILL);
         cell.sendDelayedHeartbeat("vm-3");
         cell.sendHeartbeat("vm-3");
         assertThrows(StandlinkException.class, cell::deliverDelayedHeartbeat);
--- a/src/test/java/org/standlink/leader/TestBundleCellLeader.java
+++ b/src/test/java/org/standlink/leader/TestBundleCellLeader.java
@@ -27,7 +27,7 @@
 import org.standlink.StandlinkException;
 import org.standlink.log.TaskState;
 
-/** Tests the leader and the agents together, on a fake clock, with the faults of the brief. */
+/** Tests the leader and the agents together under faults, on a fake clock. */
 public class TestBundleCellLeader {
 
     private static final String URGENT =
@@ -42,7 +42,7 @@
 
     private final CellHarness cell = new CellHarness();
 
-    private void start(String jobs) {
+    private void startCell(String jobs) {
         cell.publishBundle(jobs);
         cell.claim("vm-1");
         cell.runForSeconds(5);
@@ -50,7 +50,7 @@
 
     @Test
     void runsTasksToCompletion() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         assertEquals(4, cell.countRunning());
         cell.runForSeconds(70);
         assertEquals(4, cell.countInPhase(TaskState.Phase.FINISHED));
@@ -59,18 +59,18 @@
 
     @Test
     void resumesTasksOfAnUnresponsiveAgentOnce() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
-        String lost = before.worker().toString();
-        cell.setReachable(lost, false);
+        String vm = before.worker().toString();
+        cell.setReachable(vm, false);
         cell.runForSeconds(15);
         assertEquals(
                 before.attempt(),
                 cell.getTask(before.task()).attempt(),
-                "its leases have not ended");
+                "its leases have not expired");
         cell.runForSeconds(20);
         assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
-        cell.setReachable(lost, true);
+        cell.setReachable(vm, true);
         cell.runForSeconds(10);
         assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
@@ -78,17 +78,18 @@
 
     @Test
     void neverRevokesAReleaseWhoseAppendFailed() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
-        String lost = before.worker().toString();
-        cell.setReachable(lost, false);
+        String vm = before.worker().toString();
+        cell.setReachable(vm, false);
         cell.runForSeconds(20);
         cell.setLogDown(true);
         cell.runForSeconds(5);
-        cell.setReachable(lost, true);
+        cell.setReachable(vm, true);
         cell.runForSeconds(5);
         assertTrue(cell.getTask(before.task()).isAssigned(), "the release is not in the log yet");
-        assertEquals(0, cell.countRunning(lost), "the silent agent does not get it back");
+        assertEquals(
+                0, cell.countRunning(vm), "the unresponsive agent is not assigned the task again");
         cell.setLogDown(false);
         cell.runForSeconds(10);
         assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
@@ -97,11 +98,11 @@
 
     @Test
     void continuesThroughALogOutage() {
-        start(FILL);
+        startCell(FILL);
         int running = cell.countRunning();
         cell.setLogDown(true);
         cell.runForSeconds(50);
-        assertEquals(running, cell.countRunning(), "running work goes on");
+        assertEquals(running, cell.countRunning(), "running tasks continue");
         cell.runForSeconds(30);
         assertTrue(cell.countRunning() > 0, "the backlog fills the workers");
         assertEquals(0, cell.getViolations());
@@ -113,7 +114,7 @@
 
     @Test
     void stopsAllTasksWhenTheAuthorityExpires() {
-        start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':5000"));
+        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':5000"));
         cell.setLogDown(true);
         cell.runForSeconds(650);
         assertEquals(0, cell.countRunning());
@@ -122,7 +123,7 @@
 
     @Test
     void takesOverFromAnotherLeader() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         cell.claim("vm-2");
         cell.runForSeconds(10);
         assertEquals(4, cell.countRunning());
@@ -135,7 +136,7 @@
 
     @Test
     void waitsForTheAuthorityToExpireWhenOldLeaderAndAgentAreUnresponsive() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.setReachable(before.worker().toString(), false);
         cell.claim(before.worker().toString().equals("vm-2") ? "vm-3" : "vm-2");
@@ -148,7 +149,7 @@
 
     @Test
     void waitsForTheAuthorityToExpireForAnAgentThatHasNotAcknowledged() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.claim(vm.equals("vm-2") ? "vm-3" : "vm-2");
@@ -161,7 +162,7 @@
 
     @Test
     void resumesTasksOfADeadLeaderBeforeItsAuthorityExpires() {
-        start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
+        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
         TaskState before = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3");
         String dead = before.worker().toString();
         cell.claim(dead);
@@ -170,7 +171,9 @@
         cell.claim(dead.equals("vm-1") ? "vm-2" : "vm-1");
         cell.runForSeconds(20);
         assertEquals(
-                before.attempt(), cell.getTask(before.task()).attempt(), "it may still run there");
+                before.attempt(),
+                cell.getTask(before.task()).attempt(),
+                "the attempt may still be running there");
         cell.runForSeconds(25);
         assertEquals(before.attempt().next(), cell.getTask(before.task()).attempt());
         assertEquals(0, cell.getViolations());
@@ -178,7 +181,7 @@
 
     @Test
     void grantsItselfNoLeaseWhenPartitionedFromLogAndAgents() {
-        start(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
+        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
         cell.setLogDown(true);
         cell.runForSeconds(15);
         cell.sendHeartbeatOrThrow("vm-1");
@@ -189,7 +192,7 @@
 
     @Test
     void keepsTasksThroughAnAgentRestart() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.restartAgent(before.worker().toString());
         cell.runForSeconds(10);
@@ -199,7 +202,7 @@
 
     @Test
     void resumesTasksLostInAWorkerRestart() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.getWorker(before.worker().toString()).restart();
         cell.runForSeconds(10);
@@ -209,23 +212,23 @@
 
     @Test
     void evictsTasksForUrgentWork() {
-        start(FILL);
+        startCell(FILL);
         cell.publishBundle(FILL + "," + URGENT);
         cell.runForSeconds(9);
-        assertTrue(cell.isRunning("urgent#0"), "urgent work starts within 9 s");
+        assertTrue(cell.isRunning("urgent#0"), "urgent tasks start within 9 s");
         assertEquals(0, cell.getViolations());
     }
 
     @Test
     void reportsAnUnplaceableTaskWithoutDelayingOthers() {
-        start(LARGE + "," + Fixtures.SCAN);
+        startCell(LARGE + "," + Fixtures.SCAN);
         assertEquals(4, cell.countRunning());
         assertTrue(cell.getTaskStatus("large#0").contains("larger than every permitted worker"));
     }
 
     @Test
     void cancelsAJobWithAtMostTwoAppends() {
-        start(FILL);
+        startCell(FILL);
         cell.runForSeconds(10);
         cell.publishBundle("");
         long before = cell.getLog().getEnd();
@@ -239,7 +242,7 @@
 
     @Test
     void movesTasksAwayFromALeavingVm() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         String vm = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3").worker().toString();
         cell.setLeaving(vm);
         cell.runForSeconds(8);
@@ -251,14 +254,14 @@
     @Test
     void avoidsAWorkerThatFailsAllTasks() {
         cell.getWorker("vm-1").setFailing(true);
-        start(Fixtures.SCAN + "," + Fixtures.SCAN.replace("'id':'scan'", "'id':'other'"));
+        startCell(Fixtures.SCAN + "," + Fixtures.SCAN.replace("'id':'scan'", "'id':'other'"));
         cell.runForSeconds(150);
         assertEquals(8, cell.countInPhase(TaskState.Phase.FINISHED));
     }
 
     @Test
     void recoversAfterAWorkerOutage() {
-        start(Fixtures.SCAN);
+        startCell(Fixtures.SCAN);
         cell.getWorker("vm-2").setDown(true);
         cell.runForSeconds(3);
         cell.getWorker("vm-2").setDown(false);
@@ -280,7 +283,7 @@
 
     @Test
     void observesWithoutActing() {
-        start(Fixtures.SCAN.replace("manage", "observe"));
+        startCell(Fixtures.SCAN.replace("manage", "observe"));
         assertEquals(0, cell.countRunning());
         assertTrue(cell.getTaskStatus("scan#0").contains("only observed"));
         assertNull(cell.getTask(org.standlink.TaskId.parse("scan#0")).worker());
--- a/src/test/java/org/standlink/leader/TestCellProperties.java
+++ b/src/test/java/org/standlink/leader/TestCellProperties.java
@@ -33,14 +33,15 @@
 import org.standlink.log.TaskState;
 
 /**
- * Drives leaders, agents and workers through random faults: a task never runs in two places, no VM
- * grants more than it has, attempts only rise, and after the faults everything is done.
+ * Tests invariants of leaders, agents and workers under random faults: a task never runs in two
+ * places, no VM exceeds its capacity, attempt numbers never decrease, and all tasks finish once the
+ * faults have ended.
  */
 public class TestCellProperties {
 
     private static final String JOBS = Fixtures.SCAN.replace("'tasks':4", "'tasks':12");
 
-    /** What may happen. */
+    /** The kinds of actions. */
     enum Kind {
         STEP,
         LONG_PAUSE,
@@ -62,7 +63,7 @@
         ADD_JOB_AGAIN
     }
 
-    /** One thing that happens to one VM. */
+    /** An action on one VM. */
     record Action(Kind kind, int vm) {}
 
     @Provide
@@ -93,20 +94,21 @@
             cell.checkInvariants();
             assertEquals(0, cell.getViolations(), () -> "after " + action + " in " + actions);
             if (cell.isLogUp()) {
-                noteAttempts(cell, attempts);
+                checkAttempts(cell, attempts);
             }
         }
-        heal(cell);
+        endFaults(cell);
         cell.runForSeconds(1200);
         assertEquals(0, cell.getViolations(), () -> "while healing after " + actions);
         assertEquals(
                 12,
                 cell.countInPhase(TaskState.Phase.FINISHED),
-                () -> "not done: " + cell.getStatus() + " after " + actions);
+                () -> "not finished: " + cell.getStatus() + " after " + actions);
     }
 
-    private static void noteAttempts(CellHarness cell, Map<TaskId, Attempt> attempts) {
-        // A job that was cancelled and added again begins anew, so only present tasks count.
+    private static void checkAttempts(CellHarness cell, Map<TaskId, Attempt> attempts) {
+        // Attempts of a job that was cancelled and added again restart, so only present tasks
+        // count.
         Map<TaskId, Attempt> now = cell.getAttempts();
         attempts.keySet().retainAll(now.keySet());
         now.forEach(
@@ -134,7 +136,7 @@
             case EXECUTE_DELAYED_APPENDS -> cell.getLog().landLate();
             case CLAIM -> tryClaim(cell, vm);
             case FOLLOW_OLD_LEADER -> cell.setFollowsOldLeader(vm);
-            case LOSE_HEARTBEAT -> tryLose(cell, vm);
+            case LOSE_HEARTBEAT -> trySendHeartbeatWithoutAnswer(cell, vm);
             case CANCEL -> tryPublish(cell, "");
             default -> tryPublish(cell, JOBS);
         }
@@ -144,11 +146,11 @@
         try {
             cell.claim(vm);
         } catch (StandlinkException unavailable) {
-            // The claim may hold all the same; the log says.
+            // The claim may have taken effect; the log shows whether it has.
         }
     }
 
-    private static void tryLose(CellHarness cell, String vm) {
+    private static void trySendHeartbeatWithoutAnswer(CellHarness cell, String vm) {
         try {
             cell.sendHeartbeatWithoutAnswer(vm);
         } catch (StandlinkException refused) {
@@ -160,11 +162,12 @@
         try {
             cell.publishBundle(jobs);
         } catch (StandlinkException unavailable) {
-            // The log is down or the answer was lost; the next version is based on what holds.
+            // The log is unavailable or the answer was lost; the next version follows the one in
+            // force.
         }
     }
 
-    private static void heal(CellHarness cell) {
+    private static void endFaults(CellHarness cell) {
         cell.setLogDown(false);
         cell.getLog().loseAnswers(0);
         cell.getLog().delayAppends(0);
--- a/src/test/java/org/standlink/leader/TestLeaderService.java
+++ b/src/test/java/org/standlink/leader/TestLeaderService.java
@@ -33,7 +33,10 @@
 import org.standlink.standin.MemoryLog;
 import org.standlink.wire.Heartbeat;
 
-/** Tests when the leader role counts its claim from, and whom it takes as heard. */
+/**
+ * Tests from when the leader role counts the wait after its claim, and which heartbeats it counts
+ * as reports.
+ */
 public class TestLeaderService {
 
     private static final String ONE =
@@ -47,12 +50,12 @@
 
     private final MemoryLog log = new MemoryLog(clock, 100, Long.MAX_VALUE / 4);
 
-    private final LogFollower watcher = new LogFollower(log, (id, refusal) -> {});
+    private final LogFollower follower = new LogFollower(log, (id, refusal) -> {});
 
     private Runnable beforeRead;
 
-    /** A log whose reader may be held up between the begin of a read and the read. */
-    private final LogPort slow =
+    /** A log whose reader may be delayed between the start of a read and the read itself. */
+    private final LogPort delayedLog =
             new LogPort() {
                 @Override
                 public long append(byte[] record) {
@@ -61,18 +64,18 @@
 
                 @Override
                 public LogBatch read(long from, int most) {
-                    Runnable hold = beforeRead;
+                    Runnable delay = beforeRead;
                     beforeRead = null;
-                    if (hold != null) {
-                        hold.run();
+                    if (delay != null) {
+                        delay.run();
                     }
                     return log.read(from, most);
                 }
             };
 
-    private final CellNode old = new CellNode(1, clock, log);
+    private final CellNode oldLeader = new CellNode(1, clock, log);
 
-    private final CellNode next = new CellNode(2, clock, slow);
+    private final CellNode newLeader = new CellNode(2, clock, delayedLog);
 
     private final CellNode agent = new CellNode(3, clock, log);
 
@@ -81,79 +84,83 @@
         log.append(RecordCodec.encode(new BundleRecord(RecordCodec.newId(), signed)));
     }
 
-    private void lead(CellNode leader, int seconds) {
+    private void runLeader(CellNode leader, int seconds) {
         for (int i = 0; i < seconds; i++) {
             clock.advance(1000);
             leader.service.runOnce();
-            serve(leader);
+            exchangeHeartbeat(leader);
         }
     }
 
-    private void serve(CellNode leader) {
+    private void exchangeHeartbeat(CellNode leader) {
         try {
             agent.receiveAnswer(
                     leader.service.handleHeartbeat(agent.createHeartbeat(leader.service)),
                     clock.nowMillis());
         } catch (StandlinkException refused) {
-            // It may not act as leader any more.
+            // The process may no longer act as leader.
         }
         agent.supervisor.tick(CellNode.CAPACITY, org.standlink.Resources.NONE, false);
     }
 
-    private TaskState task() {
-        watcher.poll();
-        return watcher.read(fold -> fold.getCell(CellHarness.CELL).get(TASK));
+    private TaskState getTask() {
+        follower.poll();
+        return follower.read(fold -> fold.getCell(CellHarness.CELL).get(TASK));
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Seen by reading, not in a run: a new leader released a task that still ran under the old one.
-     * How it came about: its claim landed late, while it was held up in the read that showed it,
-     * and the old leader had read the log after that read began. Cause: the wait for the old
-     * leader's authority was counted from the begin of that read. Proof: the old leader serves its
-     * agent to the end of its authority.
+     * Guards against a new leader that releases a task which still runs under the old leader. The
+     * claim of the new leader is appended late, while the new leader is delayed in the read that
+     * shows it, and the old leader reads the log after that read was started. The wait for the old
+     * leader's authority must therefore not be counted from the start of that read. The old leader
+     * serves its agent until its authority expires.
      */
     @Test
     void waitsForAnAuthorityConfirmedDuringItsReadToExpire() {
         publish();
-        old.service.claim();
-        lead(old, 5);
+        oldLeader.service.claim();
+        runLeader(oldLeader, 5);
         assertEquals(1, agent.worker.getRunning().size());
         log.delayAppends(1);
-        assertThrows(StandlinkException.class, next.service::claim);
+        assertThrows(StandlinkException.class, newLeader.service::claim);
         beforeRead =
                 () -> {
-                    lead(old, 30);
+                    runLeader(oldLeader, 30);
                     log.landLate();
                 };
-        next.service.runOnce();
-        assertTrue(next.service.isLeading());
+        newLeader.service.runOnce();
+        assertTrue(newLeader.service.isLeading());
         for (int i = 0; i < 680; i++) {
             clock.advance(1000);
-            serve(old);
-            next.service.runOnce();
-            boolean runs = !agent.worker.getRunning().isEmpty();
-            assertTrue(!runs || task().isAssigned(), "released while it ran, after " + i + " s");
+            exchangeHeartbeat(oldLeader);
+            newLeader.service.runOnce();
+            boolean running = !agent.worker.getRunning().isEmpty();
+            assertTrue(
+                    !running || getTask().isAssigned(),
+                    "released while it was running, after " + i + " s");
         }
         assertEquals(0, agent.worker.getRunning().size());
-        assertTrue(!task().isAssigned(), "released once the authority was over");
+        assertTrue(!getTask().isAssigned(), "released once the authority had expired");
     }
 
     /**
-     * Seen in {@link TestAbandonedAttemptProperties}: a leader decided nothing any more. How it
-     * came about: the first heartbeat that it had of an agent left out what it did not know, and
-     * was refused. Cause: the agent counted as heard all the same. Proof: the leader goes on.
+     * Guards against a leader that no longer decides anything. The first heartbeat of an agent
+     * omits reports that the leader does not know and is rejected; the agent must not count as
+     * having reported. Found by {@link TestAbandonedAttemptProperties}.
      */
     @Test
     void decidesAfterTheOnlyHeartbeatOfAnAgentWasRefused() {
         publish();
-        old.service.claim();
-        lead(old, 5);
-        Heartbeat part = agent.createHeartbeat(old.service);
-        next.service.claim();
-        assertThrows(StandlinkException.class, () -> next.service.handleHeartbeat(part));
-        lead(next, 3);
-        assertTrue(task().isAssigned());
+        oldLeader.service.claim();
+        runLeader(oldLeader, 5);
+        Heartbeat partialHeartbeat = agent.createHeartbeat(oldLeader.service);
+        newLeader.service.claim();
+        assertThrows(
+                StandlinkException.class,
+                () -> newLeader.service.handleHeartbeat(partialHeartbeat));
+        runLeader(newLeader, 3);
+        assertTrue(getTask().isAssigned());
         assertEquals(1, agent.worker.getRunning().size());
     }
 }
