--- a/src/test/java/org/standlink/leader/TestLeaderService.java
+++ b/src/test/java/org/standlink/leader/TestLeaderService.java
@@ -63,13 +63,13 @@
                 }
 
                 @Override
-                public LogBatch read(long from, int most) {
+                public LogBatch read(long from, int maxRecords) {
                     Runnable delay = beforeRead;
                     beforeRead = null;
                     if (delay != null) {
                         delay.run();
                     }
-                    return log.read(from, most);
+                    return log.read(from, maxRecords);
                 }
             };
 
@@ -114,7 +114,7 @@
      * claim of the new leader is appended late, while the new leader is delayed in the read that
      * shows it, and the old leader reads the log after that read was started. The wait for the old
      * leader's authority must therefore not be counted from the start of that read. The old leader
-     * serves its agent until its authority expires.
+     * continues to grant its agent leases until its authority expires.
      */
     @Test
     void waitsForAnAuthorityConfirmedDuringItsReadToExpire() {
