--- a/src/test/java/org/standlink/leader/CellNode.java
+++ b/src/test/java/org/standlink/leader/CellNode.java
@@ -32,7 +32,7 @@
 import org.standlink.wire.Heartbeat;
 import org.standlink.wire.HeartbeatAnswer;
 
-/** One agent of a {@link TestCell} with its worker and its leader role. */
+/** One agent of a {@link CellHarness} with its worker and its leader role. */
 final class CellNode {
 
     static final Resources CAPACITY = Resources.ofCores(8, 16_000, 0);
@@ -43,8 +43,8 @@
 
     final MemoryWorker worker;
 
-    /** The way from the agent to the worker. */
-    final LateWorker calls;
+    /** The port through which the agent calls the worker. */
+    final DelayedWorkerPort workerPort;
 
     private final FakeClock clock;
 
@@ -52,12 +52,14 @@
 
     private LogFollower follower;
 
-    /** The highest epoch heard of; null until the log was read since the start of the agent. */
+    /**
+     * The highest epoch received; null until the log has been read since the start of the agent.
+     */
     private Epoch epoch;
 
     private Incarnation incarnation;
 
-    private long runs;
+    private long incarnationCount;
 
     TaskSupervisor supervisor;
 
@@ -73,31 +75,33 @@
 
     boolean leaving;
 
-    boolean followsOld;
+    boolean followsOldLeader;
 
     CellNode(int number, FakeClock clock, LogPort log) {
         this.vm = VmId.parse("vm-" + number);
         this.clock = clock;
         this.log = log;
         this.worker = new MemoryWorker(clock, CAPACITY, WORKER_MILLIS, 1, 0.6);
-        this.calls = new LateWorker(worker);
-        boot();
+        this.workerPort = new DelayedWorkerPort(worker);
+        startAgent();
     }
 
-    /** Starts a new run of the agent, which knows nothing and is not leaving. */
-    void boot() {
-        runs++;
-        incarnation = Incarnation.of(1000L * Integer.parseInt(vm.toString().substring(3)) + runs);
+    /** Starts a new incarnation of the agent, which has no state and is not leaving. */
+    void startAgent() {
+        incarnationCount++;
+        incarnation =
+                Incarnation.of(
+                        1000L * Integer.parseInt(vm.toString().substring(3)) + incarnationCount);
         alive = true;
         leaving = false;
         delta = new ReportDelta();
-        supervisor = new TaskSupervisor(vm, calls, clock);
+        supervisor = new TaskSupervisor(vm, workerPort, clock);
         holder = new BundleHolder();
         follower = new LogFollower(log, (id, refusal) -> {});
         epoch = null;
         service =
                 new LeaderService(
-                        TestCell.CELL,
+                        CellHarness.CELL,
                         vm,
                         incarnation,
                         log,
@@ -110,36 +114,42 @@
                         new io.micrometer.core.instrument.simple.SimpleMeterRegistry());
     }
 
-    /** Makes a heartbeat; as in the process, only once the log was read since the start. */
-    Heartbeat heartbeat(LeaderService to) {
+    /**
+     * Creates a heartbeat. As in the agent's process, the log is read before the first one after a
+     * start.
+     */
+    Heartbeat createHeartbeat(LeaderService leader) {
         if (epoch == null) {
             follower.poll();
-            epoch = follower.read(fold -> fold.getCell(TestCell.CELL).getEpoch());
+            epoch = follower.read(fold -> fold.getCell(CellHarness.CELL).getEpoch());
         }
         SupervisorReport report = supervisor.getReport();
-        ReportDelta.Part part = delta.next(report.tasks(), to.getEpoch());
+        ReportDelta.Selection selection = delta.selectNext(report.tasks(), leader.getEpoch());
         return new Heartbeat(
                 vm,
                 incarnation,
-                part.number(),
-                part.full(),
+                selection.number(),
+                selection.full(),
                 report.epoch(),
                 report.generation(),
                 holder.getVersion(),
                 report.revision(),
                 leaving,
                 report.workerReady(),
-                part.tasks(),
-                part.gone(),
+                selection.tasks(),
+                selection.gone(),
                 List.of());
     }
 
-    /** Takes an answer; as in the process, one of an older epoch than heard of is passed over. */
-    void take(HeartbeatAnswer answer, long askedMillis) {
+    /**
+     * Receives an answer. As in the agent's process, it is ignored if its epoch is older than the
+     * highest one received.
+     */
+    void receiveAnswer(HeartbeatAnswer answer, long sentMillis) {
         boolean current = answer.epoch().compareTo(epoch) >= 0;
-        if (current && supervisor.accept(answer, askedMillis)) {
+        if (current && supervisor.accept(answer, sentMillis)) {
             epoch = answer.epoch();
-            delta.answered(answer.epoch());
+            delta.answerReceived(answer.epoch());
             holder.offer(answer.signedBundle(), answer.bundle());
         }
     }
