--- a/src/main/java/org/standlink/entry/CallerRequest.java
+++ b/src/main/java/org/standlink/entry/CallerRequest.java
@@ -19,16 +19,16 @@
 import org.standlink.TeamId;
 
 /**
- * A request as a caller sent it.
+ * A request of a caller.
  *
- * <p>{@code CallerRequest} is thread-safe and immutable, if its body is not changed.
+ * <p>{@code CallerRequest} is thread-safe and immutable if its body is not changed.
  *
  * @param method the HTTP method
- * @param target path and query
- * @param path the path alone
+ * @param target the path and query
+ * @param path the path without the query
  * @param team the team of the caller
- * @param idempotencyKey the caller's key, null if none
- * @param waitMillis how long the caller waits, in milliseconds; 0 if it does not say
+ * @param idempotencyKey the caller's idempotency key, null if none
+ * @param waitMillis how long the caller waits, in milliseconds, 0 if not specified
  * @param headers the headers to pass on
  * @param body the body
  */
--- a/src/main/java/org/standlink/entry/CallerServer.java
+++ b/src/main/java/org/standlink/entry/CallerServer.java
@@ -43,82 +43,76 @@
 import org.standlink.process.RequestBody;
 
 /**
- * Takes callers' requests over HTTP, limits them per class and team, and answers each at once when
- * it is given up.
+ * Receives the requests of callers over HTTP, limits their concurrency per class and team, and
+ * answers a request at once when no further attempt is made.
  *
  * <p>{@code CallerServer} is thread-safe.
  */
 public final class CallerServer implements AutoCloseable {
 
-    /** The header that tells the outcome. */
+    /** The response header for the outcome of a request. */
     public static final String OUTCOME_HEADER = "Standlink-Outcome";
 
-    /** The header that tells which upstream answered. */
+    /** The response header for the upstream that answered. */
     public static final String UPSTREAM_HEADER = "Standlink-Upstream";
 
-    /** The header that names the caller's team. */
+    /** The request header for the caller's team. */
     public static final String TEAM_HEADER = "Standlink-Team";
 
-    /** The header that tells how long the caller waits, in milliseconds. */
+    /** The request header for the time that the caller waits, in milliseconds. */
     public static final String WAIT_HEADER = "Standlink-Wait-Millis";
 
-    /** The header of the caller's key. */
+    /** The request header for the caller's idempotency key. */
     public static final String KEY_HEADER = "Idempotency-Key";
 
-    /** The team of callers that name none. */
+    /** The team of callers that do not name one. */
     private static final TeamId NO_TEAM = TeamId.parse("none");
 
-    /** The most requests in progress of a team that the bundle does not name. */
+    /** The concurrency limit of a team that the bundle does not name. */
     private static final int UNKNOWN_TEAM_CONCURRENCY = 64;
 
-    /** The longest body taken, in bytes. */
-    private static final int MOST_BODY_BYTES = 8 * 1024 * 1024;
+    /** The maximum length of a request body, in bytes. */
+    private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-    /** The HTTP status of a request with too long a body. */
-    private static final int TOO_LONG = 413;
+    /** The HTTP status of a request whose body is too long. */
+    private static final int PAYLOAD_TOO_LARGE = 413;
 
-    /** The longest that a caller may say it waits, in milliseconds: an hour. */
-    private static final long MOST_WAIT_MILLIS = 3_600_000;
+    /** The maximum of the wait header, in milliseconds: one hour. */
+    private static final long MAX_WAIT_MILLIS = 3_600_000;
 
-    /** The HTTP status of a wrong request. */
+    /** The HTTP status of an invalid request. */
     private static final int BAD_REQUEST = 400;
 
-    /** When to come back after a limit was reached, in milliseconds. */
+    /** The retry time reported when a limit is reached, in milliseconds. */
     private static final long LIMIT_RETRY_MILLIS = 1000;
 
-    /** The server. */
     private final HttpServer server;
-
-    /** Routes requests. */
     private final RequestRouter router;
 
     /** The bundle in force. */
     private final BundleHolder holder;
 
-    /** Limits classes and teams. */
+    /** Limits the concurrency of classes and teams. */
     private final ConcurrencyLimiter limiter = new ConcurrencyLimiter();
 
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** Where histograms go. */
     private final MeterRegistry registry;
 
-    /** Tells when a planned stop cuts nobody. */
+    /** Determines when the server can be closed without interrupting a request. */
     private final ConnectionDrain drain;
 
-    /** Tells which requests have reached the server. */
+    /** The requests that have reached the server. */
     private final HttpArrivals arrivals;
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a server and starts to accept requests.
      *
-     * @param address where to listen
-     * @param executor where threads come from
+     * @param address the address to listen on
+     * @param executor runs the handling of requests
      * @param router routes requests
      * @param holder the bundle in force
      * @param clock the clock
-     * @param registry where histograms go
+     * @param registry the registry for metrics
      */
     public CallerServer(
             InetSocketAddress address,
@@ -133,14 +127,14 @@
         this.registry = registry;
         this.drain = new ConnectionDrain(clock);
         server = HttpService.newServer(address, executor);
-        // Whether a request ran is not known if answering it fails.
         arrivals = HttpArrivals.watch(server, executor);
+        // If handling a request fails, whether it ran is unknown, so the status is 504.
         HttpService.serve(server, "/", 504, drain, arrivals, this::handle);
         server.start();
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port on which the server listens.
      *
      * @return the port
      */
@@ -148,13 +142,13 @@
         return server.getAddress().getPort();
     }
 
-    /** Asks callers to connect elsewhere from now on. */
+    /** Asks callers from now on to close their connections and connect to another entry. */
     public void leave() {
         drain.leave();
     }
 
     /**
-     * Gets how many requests are in progress.
+     * Gets the number of requests in progress.
      *
      * @return the number
      */
@@ -163,13 +157,14 @@
     }
 
     /**
-     * Waits until the server may be closed without cutting a request, or the time is nearly over.
+     * Waits until the server can be closed without interrupting a request, or until the time is
+     * nearly over.
      *
-     * @param mostMillis how long the whole may take, in milliseconds
+     * @param graceMillis how long the planned stop may take, in milliseconds
      * @throws InterruptedException if the thread is interrupted
      */
-    public void awaitEnd(long mostMillis) throws InterruptedException {
-        drain.awaitEnd(mostMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
+    public void awaitEnd(long graceMillis) throws InterruptedException {
+        drain.awaitEnd(graceMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
     }
 
     @Override
@@ -179,46 +174,56 @@
 
     // -----------------------------------------------------------------------
     private void handle(HttpExchange exchange) throws IOException {
-        long start = System.nanoTime();
-        Optional<byte[]> body = RequestBody.read(exchange, MOST_BODY_BYTES);
+        long startNanos = System.nanoTime();
+        Optional<byte[]> body = RequestBody.read(exchange, MAX_BODY_BYTES);
         RoutedAnswer answer =
-                body.isEmpty() ? tooLong(exchange) : answer(exchange, body.orElseThrow(), start);
+                body.isEmpty()
+                        ? rejectTooLongBody(exchange)
+                        : answer(exchange, body.orElseThrow(), startNanos);
         write(exchange, answer);
     }
 
-    private RoutedAnswer answer(HttpExchange exchange, byte[] body, long start) {
+    private RoutedAnswer answer(HttpExchange exchange, byte[] body, long startNanos) {
         Bundle bundle = holder.getBundle();
         if (bundle == null) {
             return RoutedAnswer.ofNotRun("the entry has no bundle yet", 0);
         }
         CallerRequest request;
         try {
-            request = read(exchange, body);
-        } catch (StandlinkException wrong) {
-            return refusal(BAD_REQUEST, wrong.getMessage());
+            request = parseRequest(exchange, body);
+        } catch (StandlinkException invalid) {
+            return createRejection(BAD_REQUEST, invalid.getMessage());
         }
         Optional<MatchedRequest> matched = MatchedRequest.match(request, bundle);
         if (matched.isEmpty()) {
-            return RoutedAnswer.ofNoService("no service takes " + request.path());
+            return RoutedAnswer.ofNoService("no service matches the path " + request.path());
         }
-        RoutedAnswer answer = admit(matched.get(), bundle);
-        record(matched.get(), bundle, answer, start);
+        RoutedAnswer answer = routeWithinLimits(matched.get(), bundle);
+        recordMetrics(matched.get(), bundle, answer, startNanos);
         return answer;
     }
 
-    /** What was not read of the body would be taken for the next request. */
-    private static RoutedAnswer tooLong(HttpExchange exchange) {
+    /** Closes the connection, since the unread rest of the body would be read as a request. */
+    private static RoutedAnswer rejectTooLongBody(HttpExchange exchange) {
         exchange.getResponseHeaders().set("Connection", "close");
-        return refusal(TOO_LONG, "the body is longer than " + MOST_BODY_BYTES + " bytes");
+        return createRejection(
+                PAYLOAD_TOO_LARGE, "the body is longer than " + MAX_BODY_BYTES + " bytes");
     }
 
-    private static RoutedAnswer refusal(int status, String reason) {
+    private static RoutedAnswer createRejection(int status, String reason) {
         RoutedAnswer notRun = RoutedAnswer.ofNoService(reason);
         return new RoutedAnswer(
                 notRun.outcome(), status, notRun.headers(), notRun.body(), reason, 0, null);
     }
 
-    /** Reads how long a caller waits. */
+    /**
+     * Parses the wait header.
+     *
+     * @param header the value of the header, null if absent
+     * @return how long the caller waits, in milliseconds, 0 if the header is absent
+     * @throws StandlinkException with code INVALID_MESSAGE if the value is malformed or out of
+     *     range
+     */
     static long parseWaitMillis(String header) {
         if (header == null) {
             return 0;
@@ -227,21 +232,21 @@
         try {
             millis = Long.parseLong(header.trim());
         } catch (NumberFormatException malformed) {
-            // It stays out of range and is refused below.
+            // The value stays out of range and is rejected below.
         }
-        if (millis < 1 || millis > MOST_WAIT_MILLIS) {
+        if (millis < 1 || millis > MAX_WAIT_MILLIS) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
                     WAIT_HEADER + " is '" + header + "'",
-                    "write whole milliseconds, 1 to " + MOST_WAIT_MILLIS);
+                    "write whole milliseconds, 1 to " + MAX_WAIT_MILLIS);
         }
         return millis;
     }
 
-    private static CallerRequest read(HttpExchange exchange, byte[] body) {
+    private static CallerRequest parseRequest(HttpExchange exchange, byte[] body) {
         Headers headers = exchange.getRequestHeaders();
-        Map<String, String> passed = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        headers.forEach((name, values) -> passed.put(name, String.join(", ", values)));
+        Map<String, String> requestHeaders = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+        headers.forEach((name, values) -> requestHeaders.put(name, String.join(", ", values)));
         String team = headers.getFirst(TEAM_HEADER);
         return new CallerRequest(
                 exchange.getRequestMethod(),
@@ -250,15 +255,15 @@
                 team == null ? NO_TEAM : TeamId.parse(team),
                 headers.getFirst(KEY_HEADER),
                 parseWaitMillis(headers.getFirst(WAIT_HEADER)),
-                passed,
+                requestHeaders,
                 body);
     }
 
-    private RoutedAnswer admit(MatchedRequest matched, Bundle bundle) {
+    private RoutedAnswer routeWithinLimits(MatchedRequest matched, Bundle bundle) {
         Object classKey = matched.requestClass().id();
         Object teamKey = matched.request().team();
         if (!limiter.tryAcquire(classKey, matched.requestClass().concurrency())) {
-            return refused(matched, "the class is at its limit");
+            return refuse(matched, "the class is at its limit");
         }
         try {
             int teamLimit =
@@ -266,10 +271,10 @@
                             .map(TeamSpecification::concurrency)
                             .orElse(UNKNOWN_TEAM_CONCURRENCY);
             if (!limiter.tryAcquire(teamKey, teamLimit)) {
-                return refused(matched, "the team is at its limit");
+                return refuse(matched, "the team is at its limit");
             }
             try {
-                return router.route(matched, bundle, deadline(matched));
+                return router.route(matched, bundle, computeDeadline(matched));
             } finally {
                 limiter.release(teamKey);
             }
@@ -278,31 +283,33 @@
         }
     }
 
-    private RoutedAnswer refused(MatchedRequest matched, String reason) {
+    private RoutedAnswer refuse(MatchedRequest matched, String reason) {
         registry.counter("standlink.entry.refused", "class", matched.requestClass().id().toString())
                 .increment();
         return RoutedAnswer.ofNotRun(reason, LIMIT_RETRY_MILLIS);
     }
 
-    private long deadline(MatchedRequest matched) {
-        long most = matched.requestClass().deadlineMillis();
-        long asked = matched.request().waitMillis();
-        return clock.nowMillis() + (asked == 0 ? most : Math.min(most, asked));
+    private long computeDeadline(MatchedRequest matched) {
+        long maxMillis = matched.requestClass().deadlineMillis();
+        long requestedMillis = matched.request().waitMillis();
+        return clock.nowMillis()
+                + (requestedMillis == 0 ? maxMillis : Math.min(maxMillis, requestedMillis));
     }
 
-    private void record(MatchedRequest matched, Bundle bundle, RoutedAnswer answer, long start) {
+    private void recordMetrics(
+            MatchedRequest matched, Bundle bundle, RoutedAnswer answer, long startNanos) {
         TeamId team = matched.request().team();
-        String known = bundle.findTeam(team).isPresent() ? team.toString() : "other";
+        String teamTag = bundle.findTeam(team).isPresent() ? team.toString() : "other";
         Timer.builder("standlink.entry.requests")
                 .tag("service", matched.service().id().toString())
                 .tag("class", matched.requestClass().id().toString())
-                .tag("team", known)
+                .tag("team", teamTag)
                 .tag("outcome", answer.outcome().toString())
                 .publishPercentileHistogram()
                 .minimumExpectedValue(Duration.ofMillis(1))
                 .maximumExpectedValue(Duration.ofSeconds(30))
                 .register(registry)
-                .record(System.nanoTime() - start, TimeUnit.NANOSECONDS);
+                .record(System.nanoTime() - startNanos, TimeUnit.NANOSECONDS);
     }
 
     private void write(HttpExchange exchange, RoutedAnswer answer) throws IOException {
@@ -324,9 +331,9 @@
             headers.set("Content-Type", "text/plain; charset=utf-8");
             body = (answer.reason() + "\n").getBytes(StandardCharsets.UTF_8);
         }
-        boolean none = body.length == 0 || exchange.getRequestMethod().equals("HEAD");
-        exchange.sendResponseHeaders(answer.status(), none ? -1 : body.length);
-        if (!none) {
+        boolean withoutBody = body.length == 0 || exchange.getRequestMethod().equals("HEAD");
+        exchange.sendResponseHeaders(answer.status(), withoutBody ? -1 : body.length);
+        if (!withoutBody) {
             exchange.getResponseBody().write(body);
         }
     }
--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -44,34 +44,28 @@
 import org.standlink.wire.PeerConnection;
 
 /**
- * A running entry: it wires the parts together and drives them by timers.
+ * A running entry: creates its components and calls them periodically.
  *
  * <p>{@code EntryProcess} is thread-safe.
  */
 public final class EntryProcess implements AutoCloseable {
 
-    /** The log of changes of state. */
     private static final System.Logger LOGGER = System.getLogger(EntryProcess.class.getName());
 
-    /** The time between two readings of the log, in milliseconds. */
-    private static final long LOG_MILLIS = 500;
+    /** The interval between reads of the log, in milliseconds. */
+    private static final long LOG_INTERVAL_MILLIS = 500;
 
-    /** The time between two rounds of connecting, in milliseconds. */
-    private static final long CONNECT_MILLIS = 250;
+    /** The interval between checks for missing connections, in milliseconds. */
+    private static final long CONNECT_INTERVAL_MILLIS = 250;
 
-    /** The time between two readings of the VM list, in milliseconds. */
-    private static final long LIST_MILLIS = 1000;
+    /** The interval between reads of the VM list, in milliseconds. */
+    private static final long LIST_INTERVAL_MILLIS = 1000;
 
-    /** How long to wait for a bundle from a peer, in milliseconds. */
-    private static final long BUNDLE_MILLIS = 2000;
+    /** The time limit for a bundle query, in milliseconds. */
+    private static final long BUNDLE_TIMEOUT_MILLIS = 2000;
 
-    /** The settings. */
     private final EntrySettings settings;
-
-    /** The timers. */
     private final Timers timers;
-
-    /** Where threads come from. */
     private final ExecutorService executor;
 
     /** The bundle in force. */
@@ -83,29 +77,28 @@
     /** The platform's VM list. */
     private final VmListPort vmList;
 
-    /** The fold of the log. */
+    /** Reads the log and maintains the state that it describes. */
     private final LogFollower follower;
 
-    /** The agents. */
+    /** The agents to which this entry is connected. */
     private final UpstreamDirectory directory;
 
     /** The server for callers. */
     private final CallerServer server;
 
-    /** The clock. */
     private final MonotonicClock clock = MonotonicClock.ofSystem();
 
-    /** Whether a planned stop is under way. */
+    /** Whether a planned stop is in progress. */
     private volatile boolean leaving;
 
     /**
-     * Constructor, which starts everything.
+     * Creates and starts an entry.
      *
      * @param settings the settings
-     * @param executor where threads come from
-     * @param callers where the threads for callers come from
-     * @param scheduler the timers
-     * @param registry where counters go
+     * @param executor runs connections to agents and to the platform
+     * @param callers runs the requests of callers
+     * @param scheduler runs the periodic work
+     * @param registry the registry for metrics
      */
     public EntryProcess(
             EntrySettings settings,
@@ -137,10 +130,10 @@
         registry.gauge(
                 "standlink.entry.bundle.version",
                 holder,
-                present -> present.getVersion().getValue());
-        timers.every("log", LOG_MILLIS, this::readLog);
-        timers.every("connect", CONNECT_MILLIS, directory::connectAll);
-        timers.every("list", LIST_MILLIS, () -> directory.setListedVms(vmList.list()));
+                current -> current.getVersion().getValue());
+        timers.every("log", LOG_INTERVAL_MILLIS, this::readLog);
+        timers.every("connect", CONNECT_INTERVAL_MILLIS, directory::connectAll);
+        timers.every("list", LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
     }
 
     // -----------------------------------------------------------------------
@@ -154,7 +147,7 @@
     }
 
     /**
-     * Gets the fold of the log.
+     * Gets the follower of the log, which maintains the state that the log describes.
      *
      * @return the follower
      */
@@ -172,7 +165,7 @@
     }
 
     /**
-     * Gets the agents.
+     * Gets the directory of the agents.
      *
      * @return the directory
      */
@@ -181,7 +174,7 @@
     }
 
     /**
-     * Gets the port that callers use.
+     * Gets the port on which the server for callers listens.
      *
      * @return the port
      */
@@ -190,16 +183,17 @@
     }
 
     /**
-     * Checks whether the entry takes callers.
+     * Checks whether the entry is ready for requests.
      *
-     * @return true if it has a bundle and is not stopping
+     * @return true if it has a bundle and no planned stop is in progress
      */
     public boolean isReady() {
         return holder.getBundle() != null && !leaving;
     }
 
     /**
-     * Ends in order: callers are asked to connect elsewhere, and requests in progress end.
+     * Performs a planned stop: asks callers to connect to another entry, waits until the requests
+     * in progress have ended, and closes this entry.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -223,48 +217,51 @@
         try {
             follower.poll();
             follower.read(
-                    fold ->
+                    state ->
                             holder.offer(
-                                    fold.getBundles().getSignedText(),
-                                    fold.getBundles().getVersion()));
+                                    state.getBundles().getSignedText(),
+                                    state.getBundles().getVersion()));
         } catch (StandlinkException unavailable) {
-            askPeers();
+            queryPeers();
             throw unavailable;
         }
     }
 
-    private void askPeers() {
+    private void queryPeers() {
         Bundle bundle = holder.getBundle();
         if (bundle == null) {
             settings.seeds()
                     .forEach(
-                            seed -> ask(new PeerConnection(() -> seed, executor, (c, n, m) -> {})));
+                            seed ->
+                                    querySeed(
+                                            new PeerConnection(
+                                                    () -> seed, executor, (c, n, m) -> {})));
             return;
         }
         List<VmId> vms =
                 bundle.services().stream().flatMap(s -> s.upstreams().stream()).distinct().toList();
-        int start = (int) Math.floorMod(clock.nowMillis(), (long) Math.max(1, vms.size()));
+        int index = (int) Math.floorMod(clock.nowMillis(), (long) Math.max(1, vms.size()));
         if (!vms.isEmpty()) {
-            askOpen(directory.getPeer(vms.get(start)));
+            queryIfConnected(directory.getPeer(vms.get(index)));
         }
     }
 
-    private void ask(PeerConnection peer) {
+    private void querySeed(PeerConnection peer) {
         query(peer, peer::close);
     }
 
-    private void askOpen(PeerConnection peer) {
+    private void queryIfConnected(PeerConnection peer) {
         if (peer.getOpenConnection() != null) {
             query(peer, () -> {});
         }
     }
 
-    private void query(PeerConnection peer, Runnable afterwards) {
+    private void query(PeerConnection peer, Runnable completion) {
         Guarded.then(
                 "bundle-query",
-                peer.call(new BundleQuery(holder.getVersion()), BUNDLE_MILLIS),
+                peer.call(new BundleQuery(holder.getVersion()), BUNDLE_TIMEOUT_MILLIS),
                 (answer, failure) -> {
-                    afterwards.run();
+                    completion.run();
                     offer(answer);
                 });
     }
--- a/src/main/java/org/standlink/entry/EntrySettings.java
+++ b/src/main/java/org/standlink/entry/EntrySettings.java
@@ -30,13 +30,13 @@
  * <p>{@code EntrySettings} is thread-safe and immutable.
  *
  * @param name the name of the entry in logs
- * @param hall its hall
- * @param listen where callers reach it
- * @param adminListen where operators reach it
- * @param platform the platform's log and VM list
- * @param seeds agents to ask for the bundle while the log is out of reach
+ * @param hall the hall of the entry
+ * @param listen the address to listen on for callers
+ * @param adminListen the address to listen on for operators
+ * @param platform the URI of the platform's log and VM list
+ * @param seeds the addresses of agents to query for the bundle while the log is unavailable
  * @param retryShare the share of requests that may be retried, in percent
- * @param maxThreads the most requests in progress
+ * @param maxThreads the maximum number of requests in progress
  * @param drainMillis how long a planned stop may take, in milliseconds
  */
 public record EntrySettings(
@@ -51,15 +51,15 @@
         long drainMillis) {
 
     /**
-     * Reads and checks the settings.
+     * Parses and validates the settings.
      *
      * @param text the JSON text
      * @return the settings
-     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
+     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing all errors
      */
     public static EntrySettings read(String text) {
-        Faults faults = new Faults();
-        JsonSection top = JsonSection.parse(text, faults);
+        Faults errors = new Faults();
+        JsonSection top = JsonSection.parse(text, errors);
         EntrySettings settings =
                 new EntrySettings(
                         top.requiredText("name"),
@@ -72,7 +72,7 @@
                         (int) top.integer("mostThreads", 256, 4, 10_000),
                         top.integer("drainMillis", 30_000, 100, 600_000));
         top.finish();
-        faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
+        errors.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
         return settings;
     }
 }
--- a/src/main/java/org/standlink/entry/MatchedRequest.java
+++ b/src/main/java/org/standlink/entry/MatchedRequest.java
@@ -24,23 +24,23 @@
 import org.standlink.wire.ForwardRequest;
 
 /**
- * A caller's request with the service and class that it belongs to.
+ * A request of a caller with the service and request class that it matches.
  *
- * <p>{@code MatchedRequest} is thread-safe and immutable, if its body is not changed.
+ * <p>{@code MatchedRequest} is thread-safe and immutable if its body is not changed.
  *
  * @param request the request
  * @param service the service
- * @param requestClass the class
+ * @param requestClass the request class
  */
 public record MatchedRequest(
         CallerRequest request, ServiceSpecification service, RequestClass requestClass) {
 
     /**
-     * Matches a request.
+     * Finds the service and request class with the longest path prefixes that match a request.
      *
      * @param request the request
      * @param bundle the bundle in force
-     * @return the match by the longest prefixes; empty if no service or class takes it
+     * @return the matched request, empty if no service or request class matches
      */
     static Optional<MatchedRequest> match(CallerRequest request, Bundle bundle) {
         return bundle.services().stream()
@@ -52,16 +52,19 @@
     private static Optional<MatchedRequest> match(
             CallerRequest request, ServiceSpecification service) {
         return service.classes().stream()
-                .filter(one -> request.path().startsWith(one.pathPrefix()))
-                .filter(one -> one.methods().isEmpty() || one.methods().contains(request.method()))
-                .max(Comparator.comparingInt(one -> one.pathPrefix().length()))
-                .map(one -> new MatchedRequest(request, service, one));
+                .filter(requestClass -> request.path().startsWith(requestClass.pathPrefix()))
+                .filter(
+                        requestClass ->
+                                requestClass.methods().isEmpty()
+                                        || requestClass.methods().contains(request.method()))
+                .max(Comparator.comparingInt(requestClass -> requestClass.pathPrefix().length()))
+                .map(requestClass -> new MatchedRequest(request, service, requestClass));
     }
 
     /**
-     * Gets the caller's key within its service and team.
+     * Gets the caller's idempotency key, qualified by service and team.
      *
-     * @return the key, null if the caller gave none
+     * @return the qualified key, null if the caller specified none
      */
     String getScopedKey() {
         String key = request.idempotencyKey();
@@ -69,13 +72,13 @@
     }
 
     /**
-     * Makes the message to the agent.
+     * Creates the message to the agent.
      *
-     * @param id the id of the try
-     * @param leftMillis how long the caller still waits, in milliseconds
+     * @param id the id of the attempt
+     * @param remainingMillis how long the caller will still wait, in milliseconds
      * @return the message
      */
-    ForwardRequest toForwardRequest(RequestId id, long leftMillis) {
+    ForwardRequest toForwardRequest(RequestId id, long remainingMillis) {
         return new ForwardRequest(
                 id,
                 service.id(),
@@ -83,7 +86,7 @@
                 request.team(),
                 request.idempotencyKey(),
                 service.rosterDigest(),
-                leftMillis,
+                remainingMillis,
                 request.method(),
                 request.target(),
                 request.headers(),
--- a/src/main/java/org/standlink/entry/RequestRouter.java
+++ b/src/main/java/org/standlink/entry/RequestRouter.java
@@ -50,33 +50,32 @@
 import org.standlink.wire.OutcomeQuery;
 
 /**
- * Sends a request to an upstream, finds out what became of it when a connection is lost, and tries
- * again where that is safe.
+ * Sends requests to upstreams, queries the outcome if a connection is lost, and retries where that
+ * is safe.
  *
- * <p>A try that did not run is repeated elsewhere. One of which that is not known is repeated only
- * if the class says that its requests may run twice. Once any try is unknown, the request is never
- * called "not run".
+ * <p>An attempt that did not run is retried at another upstream. An attempt with unknown outcome is
+ * retried only if the request class is repeatable, which means that its requests may run twice.
+ * Once the outcome of any attempt is unknown, the request is never reported as not run.
  *
  * <p>{@code RequestRouter} is thread-safe.
  */
 public final class RequestRouter {
 
-    /** The most tries of one request. */
-    private static final int MOST_TRIES = 4;
+    /** The maximum number of attempts of a request. */
+    private static final int MAX_ATTEMPTS = 4;
 
-    /** How much longer than the agent the entry waits, in milliseconds. */
+    /** How much longer the entry waits than the agent, in milliseconds. */
     private static final long GRACE_MILLIS = 100;
 
-    /** The least time for which a try or a question is worth sending, in milliseconds. */
-    private static final long LEAST_MILLIS = 5;
+    /** The minimum remaining time for an attempt or an outcome query, in milliseconds. */
+    private static final long MIN_REMAINING_MILLIS = 5;
 
-    /** This process. */
+    /** The incarnation of this process. */
     private final Incarnation incarnation;
 
-    /** The hall of the entry. */
+    /** The hall of this entry. */
     private final HallId hall;
 
-    /** The agents. */
     private final UpstreamDirectory directory;
 
     /** Chooses upstreams for managed services. */
@@ -85,31 +84,26 @@
     /** Chooses upstreams for observed services. */
     private final RoutingPolicy observed = new RoundRobinRouting();
 
-    /** Takes bad upstreams out. */
+    /** Ejects failing and slow upstreams. */
     private final OutlierDetector outliers = new OutlierDetector();
 
-    /** Bounds retries. */
     private final RetryBudget retries;
-
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** Where counters go. */
     private final MeterRegistry registry;
 
-    /** The number of the last try. */
-    private final AtomicLong lastTry = new AtomicLong();
+    /** The number of the last attempt. */
+    private final AtomicLong lastAttempt = new AtomicLong();
 
     /**
-     * Constructor.
+     * Creates a router.
      *
-     * @param incarnation the run of this process
-     * @param hall the hall of the entry
-     * @param directory the agents
+     * @param incarnation the incarnation of this process
+     * @param hall the hall of this entry
+     * @param directory the agents to which this entry is connected
      * @param managed chooses upstreams for managed services
-     * @param retries bounds retries
+     * @param retries limits the number of retries
      * @param clock the clock
-     * @param registry where counters go
+     * @param registry the registry for metrics
      */
     public RequestRouter(
             Incarnation incarnation,
@@ -130,46 +124,46 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Routes a request.
+     * Routes a request and waits for its outcome.
      *
-     * @param request the request with its service and class
+     * @param request the request with its service and request class
      * @param bundle the bundle in force
-     * @param untilMillis when the caller stops waiting, in milliseconds
-     * @return what the caller is told
+     * @param deadlineMillis when the caller stops waiting, in milliseconds of the clock
+     * @return the answer for the caller
      */
-    public RoutedAnswer route(MatchedRequest request, Bundle bundle, long untilMillis) {
+    public RoutedAnswer route(MatchedRequest request, Bundle bundle, long deadlineMillis) {
         Set<VmId> tried = new HashSet<>();
-        String unknown = null;
-        ForwardAnswer last = null;
+        String unknownReason = null;
+        ForwardAnswer lastAnswer = null;
         retries.recordRequest();
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
-            long left = untilMillis - clock.nowMillis();
+        for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+            long remainingMillis = deadlineMillis - clock.nowMillis();
             Upstream upstream = choose(request, bundle, tried);
-            if (left < LEAST_MILLIS || upstream == null) {
+            if (remainingMillis < MIN_REMAINING_MILLIS || upstream == null) {
                 break;
             }
-            if (tries > 0 && !retries.tryRetry()) {
+            if (attempts > 0 && !retries.tryRetry()) {
                 registry.counter("standlink.entry.retries.refused").increment();
                 break;
             }
             tried.add(upstream.getVm());
-            last = tryOnce(request, upstream, left, untilMillis);
-            if (last.outcome() == Outcome.ANSWERED) {
-                return RoutedAnswer.ofAnswered(last, upstream.getVm());
+            lastAnswer = attempt(request, upstream, remainingMillis, deadlineMillis);
+            if (lastAnswer.outcome() == Outcome.ANSWERED) {
+                return RoutedAnswer.ofAnswered(lastAnswer, upstream.getVm());
             }
-            if (last.outcome() == Outcome.UNKNOWN) {
-                unknown = last.reason();
+            if (lastAnswer.outcome() == Outcome.UNKNOWN) {
+                unknownReason = lastAnswer.reason();
                 if (!request.requestClass().repeatable()) {
                     break;
                 }
             }
         }
-        if (unknown != null) {
-            return RoutedAnswer.ofUnknown(unknown);
+        if (unknownReason != null) {
+            return RoutedAnswer.ofUnknown(unknownReason);
         }
-        return last == null
-                ? RoutedAnswer.ofNotRun("no upstream is open", 0)
-                : RoutedAnswer.ofNotRun(last.reason(), last.retryAfterMillis());
+        return lastAnswer == null
+                ? RoutedAnswer.ofNotRun("no upstream is available", 0)
+                : RoutedAnswer.ofNotRun(lastAnswer.reason(), lastAnswer.retryAfterMillis());
     }
 
     // -----------------------------------------------------------------------
@@ -177,32 +171,34 @@
         ServiceSpecification service = request.service();
         String key = request.getScopedKey();
         if (key != null) {
-            Upstream home = directory.getOrAdd(RendezvousHash.home(key, service.upstreams()));
-            return tried.isEmpty() && home.isOpen() ? home : null;
+            Upstream homeUpstream =
+                    directory.getOrAdd(RendezvousHash.home(key, service.upstreams()));
+            return tried.isEmpty() && homeUpstream.isOpen() ? homeUpstream : null;
         }
-        boolean manages = service.mode() == Mode.MANAGE;
-        List<UpstreamView> views = new ArrayList<>();
+        boolean isManaged = service.mode() == Mode.MANAGE;
+        List<UpstreamView> allowed = new ArrayList<>();
         List<UpstreamView> fallback = new ArrayList<>();
         for (VmId vm : service.upstreams()) {
             Upstream upstream = directory.getOrAdd(vm);
             if (!upstream.isOpen() || tried.contains(vm)) {
                 continue;
             }
-            UpstreamView view = view(upstream, service, bundle);
+            UpstreamView view = createView(upstream, service, bundle);
             fallback.add(view);
-            if (!manages || outliers.isAllowed(vm, clock.nowMillis())) {
-                views.add(view);
+            if (!isManaged || outliers.isAllowed(vm, clock.nowMillis())) {
+                allowed.add(view);
             }
         }
-        List<UpstreamView> candidates = views.isEmpty() ? fallback : views;
+        List<UpstreamView> candidates = allowed.isEmpty() ? fallback : allowed;
         if (candidates.isEmpty()) {
             return null;
         }
-        RoutingPolicy policy = manages ? managed : observed;
+        RoutingPolicy policy = isManaged ? managed : observed;
         return directory.getOrAdd(candidates.get(policy.choose(candidates)).vm());
     }
 
-    private UpstreamView view(Upstream upstream, ServiceSpecification service, Bundle bundle) {
+    private UpstreamView createView(
+            Upstream upstream, ServiceSpecification service, Bundle bundle) {
         long distance =
                 bundle.findWorker(upstream.getVm())
                         .map(worker -> bundle.getDistanceMicros(hall, worker.hall()))
@@ -215,32 +211,36 @@
                 outliers.getLatencyMicros(upstream.getVm()));
     }
 
-    private ForwardAnswer tryOnce(
-            MatchedRequest request, Upstream upstream, long left, long untilMillis) {
+    private ForwardAnswer attempt(
+            MatchedRequest request, Upstream upstream, long remainingMillis, long deadlineMillis) {
         Connection connection = upstream.getPeer().getOpenConnection();
         Hello hello = connection == null ? null : connection.getHello();
         if (hello == null) {
-            return notSent();
+            return createNotSent();
         }
-        RequestId id = new RequestId(incarnation, lastTry.incrementAndGet());
-        ForwardRequest forward = request.toForwardRequest(id, left);
-        long start = System.nanoTime();
+        RequestId id = new RequestId(incarnation, lastAttempt.incrementAndGet());
+        ForwardRequest forward = request.toForwardRequest(id, remainingMillis);
+        long startNanos = System.nanoTime();
         outliers.recordSend(upstream.getVm(), clock.nowMillis());
         upstream.recordSend();
         ForwardAnswer answer;
         try {
-            answer = send(() -> connection.callUnlessPeerLeaving(forward, left + GRACE_MILLIS));
+            answer =
+                    awaitAnswer(
+                            () ->
+                                    connection.callUnlessPeerLeaving(
+                                            forward, remainingMillis + GRACE_MILLIS));
             if (answer == null) {
-                answer = resolve(upstream, id, hello, untilMillis);
+                answer = queryOutcome(upstream, id, hello, deadlineMillis);
             }
         } finally {
             upstream.recordEnd();
         }
-        judge(upstream, answer, (System.nanoTime() - start) / 1000);
+        recordOutcome(upstream, answer, (System.nanoTime() - startNanos) / 1000);
         return answer;
     }
 
-    private void judge(Upstream upstream, ForwardAnswer answer, long micros) {
+    private void recordOutcome(Upstream upstream, ForwardAnswer answer, long micros) {
         long now = clock.nowMillis();
         if (answer.outcome() == Outcome.ANSWERED && answer.status() < 500) {
             outliers.recordAnswer(upstream.getVm(), micros, now);
@@ -251,52 +251,63 @@
                 .increment();
     }
 
-    /** Sends a message; null if the connection was lost, so that the outcome must be asked for. */
-    private static ForwardAnswer send(Supplier<CompletableFuture<Message>> call) {
+    /**
+     * Waits for the answer to a call; null if the connection was lost and the outcome is unknown.
+     */
+    private static ForwardAnswer awaitAnswer(Supplier<CompletableFuture<Message>> call) {
         try {
             Message answer = call.get().get();
-            return answer instanceof ForwardAnswer forwarded
-                    ? forwarded
-                    : unknown("an answer of the wrong kind");
+            return answer instanceof ForwardAnswer forwardAnswer
+                    ? forwardAnswer
+                    : createUnknown("the agent sent an answer of an unexpected type");
         } catch (ExecutionException | CompletionException failure) {
             if (hasCode(failure.getCause(), ErrorCode.PEER_UNREACHABLE)) {
-                return notSent();
+                return createNotSent();
             }
             boolean lost = hasCode(failure.getCause(), ErrorCode.CONNECTION_LOST);
-            return lost ? null : unknown("no answer in time");
-        } catch (InterruptedException stopped) {
+            return lost ? null : createUnknown("the agent did not answer in time");
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return unknown("the entry was interrupted");
+            return createUnknown("the entry was interrupted while waiting for the answer");
         }
     }
 
     private static boolean hasCode(Throwable cause, ErrorCode code) {
-        return cause instanceof StandlinkException known && known.getCode() == code;
+        return cause instanceof StandlinkException exception && exception.getCode() == code;
     }
 
-    /** Asks what became of a try whose connection was lost. */
-    private ForwardAnswer resolve(Upstream upstream, RequestId id, Hello hello, long untilMillis) {
+    /** Queries the outcome of an attempt whose connection was lost. */
+    private ForwardAnswer queryOutcome(
+            Upstream upstream, RequestId id, Hello hello, long deadlineMillis) {
         registry.counter("standlink.entry.outcome.queries").increment();
-        long left = untilMillis - clock.nowMillis();
-        if (left < LEAST_MILLIS) {
-            return unknown("the connection was lost and there was no time to ask");
+        long remainingMillis = deadlineMillis - clock.nowMillis();
+        if (remainingMillis < MIN_REMAINING_MILLIS) {
+            return createUnknown("the connection was lost with no time left to query the outcome");
         }
         try {
             Connection connection = upstream.getPeer().connect();
             OutcomeQuery query = new OutcomeQuery(id, hello.incarnation());
-            ForwardAnswer answer = send(() -> connection.call(query, left));
-            return answer == null ? unknown("the connection was lost twice") : answer;
+            ForwardAnswer answer = awaitAnswer(() -> connection.call(query, remainingMillis));
+            return answer == null
+                    ? createUnknown("the connection was lost again while querying the outcome")
+                    : answer;
         } catch (StandlinkException unreachable) {
-            return unknown("the agent is gone and cannot be asked");
+            return createUnknown("the agent cannot be reached to query the outcome");
         }
     }
 
-    private static ForwardAnswer notSent() {
+    private static ForwardAnswer createNotSent() {
         return new ForwardAnswer(
-                Outcome.NOT_RUN, 0, java.util.Map.of(), new byte[0], "not sent", 0, 0);
+                Outcome.NOT_RUN,
+                0,
+                java.util.Map.of(),
+                new byte[0],
+                "the request was not sent",
+                0,
+                0);
     }
 
-    private static ForwardAnswer unknown(String reason) {
+    private static ForwardAnswer createUnknown(String reason) {
         return new ForwardAnswer(Outcome.UNKNOWN, 0, java.util.Map.of(), new byte[0], reason, 0, 0);
     }
 }
--- a/src/main/java/org/standlink/entry/RoutedAnswer.java
+++ b/src/main/java/org/standlink/entry/RoutedAnswer.java
@@ -21,16 +21,16 @@
 import org.standlink.wire.ForwardAnswer;
 
 /**
- * What a caller is told.
+ * The answer to a request of a caller.
  *
- * <p>{@code RoutedAnswer} is thread-safe and immutable, if its body is not changed.
+ * <p>{@code RoutedAnswer} is thread-safe and immutable if its body is not changed.
  *
- * @param outcome what became of the request
+ * @param outcome the outcome of the request
  * @param status the HTTP status
- * @param headers the upstream's headers
- * @param body the upstream's body, or the reason
- * @param reason why there is no answer, empty if there is one
- * @param retryAfterMillis when to come back, in milliseconds, 0 for no hint
+ * @param headers the headers of the upstream's answer, empty if there is none
+ * @param body the body of the upstream's answer, empty if there is none
+ * @param reason why there is no answer of an upstream, empty if there is one
+ * @param retryAfterMillis how long to wait before a retry, in milliseconds, 0 if not specified
  * @param upstream the upstream that answered, null if none
  */
 public record RoutedAnswer(
@@ -45,22 +45,21 @@
     /** The HTTP status of a request that did not run. */
     private static final int UNAVAILABLE = 503;
 
-    /** The HTTP status of a request of which it is not known whether it ran. */
+    /** The HTTP status of a request whose outcome is unknown. */
     private static final int GATEWAY_TIMEOUT = 504;
 
-    /** The HTTP status of a request that no service takes. */
+    /** The HTTP status of a request that matches no service. */
     private static final int NOT_FOUND = 404;
 
-    /** When to come back if nothing better is known, in milliseconds. */
-    private static final long DEFAULT_RETRY_MILLIS = 1000;
+    /** The retry time if the agent specified none, in milliseconds. */
+    private static final long DEFAULT_RETRY_AFTER_MILLIS = 1000;
 
-    /** No body. */
     private static final byte[] EMPTY = {};
 
     /**
-     * Makes the answer of an upstream.
+     * Creates the answer to a request that an upstream answered.
      *
-     * @param answer the answer
+     * @param answer the upstream's answer
      * @param upstream the upstream
      * @return the answer for the caller
      */
@@ -76,21 +75,21 @@
     }
 
     /**
-     * Makes the answer to a request that did not run.
+     * Creates the answer to a request that did not run.
      *
-     * @param reason why
-     * @param retryAfterMillis when to come back, in milliseconds, 0 if not known
+     * @param reason why the request did not run
+     * @param retryAfterMillis how long to wait before a retry, in milliseconds, 0 for the default
      * @return the answer for the caller
      */
     static RoutedAnswer ofNotRun(String reason, long retryAfterMillis) {
-        long retry = retryAfterMillis == 0 ? DEFAULT_RETRY_MILLIS : retryAfterMillis;
+        long retry = retryAfterMillis == 0 ? DEFAULT_RETRY_AFTER_MILLIS : retryAfterMillis;
         return new RoutedAnswer(Outcome.NOT_RUN, UNAVAILABLE, Map.of(), EMPTY, reason, retry, null);
     }
 
     /**
-     * Makes the answer to a request of which it is not known whether it ran.
+     * Creates the answer to a request whose outcome is unknown.
      *
-     * @param reason why
+     * @param reason why the outcome is unknown
      * @return the answer for the caller
      */
     static RoutedAnswer ofUnknown(String reason) {
@@ -98,9 +97,9 @@
     }
 
     /**
-     * Makes the answer to a request that no service or class takes.
+     * Creates the answer to a request that matches no service or request class.
      *
-     * @param reason why
+     * @param reason why the request did not run
      * @return the answer for the caller
      */
     static RoutedAnswer ofNoService(String reason) {
--- a/src/main/java/org/standlink/entry/Upstream.java
+++ b/src/main/java/org/standlink/entry/Upstream.java
@@ -22,33 +22,26 @@
 import org.standlink.wire.UpstreamLoad;
 
 /**
- * What an entry knows of the agent beside one upstream.
+ * The state of an upstream and its agent, as known to an entry.
  *
  * <p>{@code Upstream} is thread-safe.
  */
 final class Upstream {
 
-    /** The VM. */
     private final VmId vm;
 
-    /** The agent. */
+    /** The connection to the agent. */
     private final PeerConnection peer;
 
-    /** Requests sent from here and not answered. */
+    /** The number of requests that this entry has sent and that have not ended. */
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    /** What the agent last told. */
+    /** The load that the agent last reported. */
     private volatile UpstreamLoad load = new UpstreamLoad(0, false, false);
 
     /** Whether the platform lists the VM as leaving. */
     private volatile boolean listedLeaving;
 
-    /**
-     * Constructor.
-     *
-     * @param vm the VM
-     * @param peer the agent
-     */
     Upstream(VmId vm, PeerConnection peer) {
         this.vm = vm;
         this.peer = peer;
@@ -62,8 +55,8 @@
         return peer;
     }
 
-    void setLoad(UpstreamLoad told) {
-        load = told;
+    void setLoad(UpstreamLoad newLoad) {
+        load = newLoad;
     }
 
     void setListedLeaving(boolean leaving) {
@@ -79,18 +72,18 @@
     }
 
     /**
-     * Gets the requests running or queued there.
+     * Gets the number of requests running or queued at the upstream.
      *
-     * @return what the agent told, or what was sent from here if that is more
+     * @return the number reported by the agent, or the number in flight from this entry if greater
      */
     int getOutstanding() {
         return Math.max(load.outstanding(), inFlight.get());
     }
 
     /**
-     * Checks whether new requests may go there.
+     * Checks whether new requests may be sent to the upstream.
      *
-     * @return true if it is connected and neither leaving nor failing
+     * @return true if the agent is connected and the upstream is neither leaving nor failing
      */
     boolean isOpen() {
         Connection connection = peer.getOpenConnection();
@@ -100,9 +93,9 @@
     }
 
     /**
-     * Checks whether the upstream is leaving, by any sign.
+     * Checks whether the upstream is leaving.
      *
-     * @return true if so
+     * @return true if the agent reports it as leaving or the platform lists it as leaving
      */
     boolean isLeaving() {
         return load.leaving() || listedLeaving;
--- a/src/main/java/org/standlink/entry/UpstreamDirectory.java
+++ b/src/main/java/org/standlink/entry/UpstreamDirectory.java
@@ -37,28 +37,26 @@
 import org.standlink.wire.UpstreamLoad;
 
 /**
- * The agents that an entry is connected to.
+ * The agents to which an entry is connected.
  *
  * <p>{@code UpstreamDirectory} is thread-safe.
  */
 public final class UpstreamDirectory implements AutoCloseable {
 
-    /** Where threads come from. */
     private final ExecutorService executor;
 
     /** The bundle in force. */
     private final BundleHolder holder;
 
-    /** The agents. */
     private final Map<VmId, Upstream> upstreams = new ConcurrentHashMap<>();
 
-    /** The addresses that the platform lists. */
+    /** The addresses listed by the platform. */
     private volatile Map<VmId, InetSocketAddress> listed = Map.of();
 
     /**
-     * Constructor.
+     * Creates a directory without agents.
      *
-     * @param executor where threads come from
+     * @param executor runs connections to agents
      * @param holder the bundle in force
      */
     public UpstreamDirectory(ExecutorService executor, BundleHolder holder) {
@@ -68,27 +66,27 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Gets the agent of a VM.
+     * Gets the upstream of a VM, adding it if it is missing.
      *
      * @param vm the VM
-     * @return the agent, connected or not
+     * @return the upstream, whose agent may not be connected
      */
     Upstream getOrAdd(VmId vm) {
-        return upstreams.computeIfAbsent(vm, this::newUpstream);
+        return upstreams.computeIfAbsent(vm, this::createUpstream);
     }
 
     /**
-     * Gets the agent of a VM for messages that are not requests.
+     * Gets the connection to the agent of a VM, for messages other than requests.
      *
      * @param vm the VM
-     * @return the agent
+     * @return the connection, which may not be open
      */
     public PeerConnection getPeer(VmId vm) {
         return getOrAdd(vm).getPeer();
     }
 
     /**
-     * Tells how an upstream stands, as seen from here.
+     * Gets the state of an upstream, as seen from this entry.
      *
      * @param vm the VM
      * @return "leaving", "open" or "closed"
@@ -102,41 +100,45 @@
     }
 
     /**
-     * Gets the requests running or queued at an upstream.
+     * Gets the number of requests running or queued at an upstream.
      *
      * @param vm the VM
-     * @return the number, as last told or seen from here
+     * @return the number reported by the agent, or the number in flight from this entry if greater
      */
     public int getOutstanding(VmId vm) {
         return getOrAdd(vm).getOutstanding();
     }
 
-    /** Connects to the upstreams of the bundle in force and drops those that are gone. */
+    /**
+     * Connects to the agents of all upstreams in the bundle in force, and closes the connections to
+     * VMs that are in no cell of the bundle any more.
+     */
     public void connectAll() {
         Bundle bundle = holder.getBundle();
         if (bundle == null) {
             return;
         }
-        Set<VmId> wanted = new HashSet<>();
-        bundle.services().forEach(service -> wanted.addAll(service.upstreams()));
-        for (VmId vm : wanted) {
+        Set<VmId> upstreamVms = new HashSet<>();
+        bundle.services().forEach(service -> upstreamVms.addAll(service.upstreams()));
+        for (VmId vm : upstreamVms) {
             if (getOrAdd(vm).getPeer().getOpenConnection() == null) {
                 executor.execute(() -> connect(vm));
             }
         }
-        Set<VmId> known = new HashSet<>();
-        bundle.cells().forEach(cell -> cell.workers().forEach(worker -> known.add(worker.vm())));
+        Set<VmId> workerVms = new HashSet<>();
+        bundle.cells()
+                .forEach(cell -> cell.workers().forEach(worker -> workerVms.add(worker.vm())));
         for (VmId vm : List.copyOf(upstreams.keySet())) {
-            if (!known.contains(vm)) {
+            if (!workerVms.contains(vm)) {
                 upstreams.remove(vm).getPeer().close();
             }
         }
     }
 
     /**
-     * Takes in the platform's list.
+     * Sets the VMs listed by the platform.
      *
-     * @param entries the VMs
+     * @param entries the listed VMs
      */
     public void setListedVms(List<VmEntry> entries) {
         Map<VmId, InetSocketAddress> addresses = new ConcurrentHashMap<>();
@@ -159,28 +161,28 @@
     private void connect(VmId vm) {
         try {
             getOrAdd(vm).getPeer().connect();
-        } catch (StandlinkException unreachable) {
-            if (unreachable.getCode() != ErrorCode.PEER_UNREACHABLE) {
-                throw unreachable;
+        } catch (StandlinkException exception) {
+            if (exception.getCode() != ErrorCode.PEER_UNREACHABLE) {
+                throw exception;
             }
         }
     }
 
-    private Upstream newUpstream(VmId vm) {
+    private Upstream createUpstream(VmId vm) {
         Upstream[] self = new Upstream[1];
         PeerConnection peer =
                 new PeerConnection(
-                        () -> addressOf(vm),
+                        () -> findAddress(vm),
                         executor,
                         (connection, call, message) -> handle(self[0], connection, call, message));
         self[0] = new Upstream(vm, peer);
         return self[0];
     }
 
-    private InetSocketAddress addressOf(VmId vm) {
-        InetSocketAddress present = listed.get(vm);
-        if (present != null) {
-            return present;
+    private InetSocketAddress findAddress(VmId vm) {
+        InetSocketAddress listedAddress = listed.get(vm);
+        if (listedAddress != null) {
+            return listedAddress;
         }
         return holder.getBundle()
                 .findWorker(vm)
--- a/src/main/java/org/standlink/entry/package-info.java
+++ b/src/main/java/org/standlink/entry/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The process on each entry VM: callers' HTTP, class limits, routing and retries.
+ * The process on each entry VM: the HTTP server for callers, concurrency limits, routing and
+ * retries.
  *
- * <p>Each request ends in one of three outcomes, told by status and header: answered, not run or
- * unknown.
+ * <p>Each request ends with one of three outcomes, which are reported by status code and header:
+ * answered, not run or unknown.
  */
 package org.standlink.entry;
--- a/src/main/java/org/standlink/wire/AgentGrant.java
+++ b/src/main/java/org/standlink/wire/AgentGrant.java
@@ -21,16 +21,18 @@
 import org.standlink.policy.InterferenceTable;
 
 /**
- * The answer to an agent's heartbeat.
+ * The answer to an {@link AgentReport}, which grants the agent's lease.
  *
  * <p>{@code AgentGrant} is thread-safe and immutable.
  *
  * @param epoch the epoch of the leader
- * @param generation the generation of the agent's lease; orders of an older one are void
- * @param leaseMillis for how long the agent may let its workers keep their runs, counted from when
- *     it sent the heartbeat, in milliseconds
- * @param storeSilentMillis how long ago the store took a call of the leader, in milliseconds
- * @param harm what the leader believes of images; empty if it has not changed
+ * @param generation the generation of the agent's lease; orders of an earlier generation are
+ *     superseded
+ * @param leaseMillis how long the agent may let its workers keep their runs, in milliseconds from
+ *     when it sent the report
+ * @param storeSilentMillis how long ago the store last accepted a call of the leader, in
+ *     milliseconds
+ * @param harm the leader's interference estimates of images; empty if they have not changed
  */
 public record AgentGrant(
         Epoch epoch,
--- a/src/main/java/org/standlink/wire/AgentReport.java
+++ b/src/main/java/org/standlink/wire/AgentReport.java
@@ -22,20 +22,21 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * The heartbeat of an agent: it asks for a lease and tells of its workers.
+ * The heartbeat of an agent, which requests a lease and reports the state of its workers.
  *
  * <p>{@code AgentReport} is thread-safe and immutable.
  *
- * @param node the machine's name
- * @param address where the agent listens, host and port
- * @param incarnation the run of the agent
- * @param sequence rises with each report of the agent, so that a late one can be told
- * @param epoch the newest epoch that the agent knows
- * @param generation the generation of its lease, as it was told last under that epoch
- * @param refused whether a worker refused that generation, having seen a higher one
- * @param workers the workers beside it
- * @param dead lives of workers that are surely over; where a worker started again under its id, the
- *     life that followed is among the workers
+ * @param node the name of the machine
+ * @param address the address at which the agent listens, host and port
+ * @param incarnation the incarnation of the agent process
+ * @param sequence increases with each report of the agent, so that a delayed report can be
+ *     recognised
+ * @param epoch the newest epoch known to the agent
+ * @param generation the generation of its lease that the agent last received under that epoch
+ * @param refused whether a worker refused that generation because it had seen a higher one
+ * @param workers the workers on the machine
+ * @param dead the incarnations of workers that have certainly ended; if a worker has restarted
+ *     under its id, its new incarnation is among the workers
  */
 public record AgentReport(
         String node,
--- a/src/main/java/org/standlink/wire/Assignment.java
+++ b/src/main/java/org/standlink/wire/Assignment.java
@@ -21,20 +21,20 @@
 import org.standlink.TaskId;
 
 /**
- * One task that an agent may run.
+ * A task that an agent may run.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code Assignment} is thread-safe and immutable.
  *
  * @param task the task
  * @param attempt the attempt
- * @param resources what the attempt may use
- * @param priority greater runs first
+ * @param resources the resources that the attempt may use
+ * @param priority the priority; tasks with a higher one run first
  * @param runSeconds the declared run time, in seconds
- * @param checkpoint where to resume from, null to start afresh
- * @param stop whether to checkpoint and stop it
- * @param throttlePercent the share of its processors it may use, in percent
+ * @param checkpoint the checkpoint to resume from, null to start from the beginning
+ * @param stop whether the agent must checkpoint and stop the attempt
+ * @param throttlePercent the share of its processors that the attempt may use, in percent
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Assignment(
--- a/src/main/java/org/standlink/wire/BundleAnswer.java
+++ b/src/main/java/org/standlink/wire/BundleAnswer.java
@@ -18,11 +18,12 @@
 import org.standlink.BundleVersion;
 
 /**
- * The bundle in force at a peer.
+ * The answer to a {@link BundleQuery}.
  *
  * <p>{@code BundleAnswer} is thread-safe and immutable.
  *
- * @param version the version in force there
- * @param signedBundle the signed bundle's text, null if not newer
+ * @param version the version in force at the answering process
+ * @param signedBundle the text of the signed bundle, null if it is not newer than the one held by
+ *     the sender of the query
  */
 public record BundleAnswer(BundleVersion version, String signedBundle) implements Message {}
--- a/src/main/java/org/standlink/wire/BundleQuery.java
+++ b/src/main/java/org/standlink/wire/BundleQuery.java
@@ -18,10 +18,10 @@
 import org.standlink.BundleVersion;
 
 /**
- * Asks a peer for a bundle newer than the one held.
+ * Asks a peer for its bundle, if that is newer than the version that this process holds.
  *
  * <p>{@code BundleQuery} is thread-safe and immutable.
  *
- * @param held the version held
+ * @param held the version held by the sender
  */
 public record BundleQuery(BundleVersion held) implements Message {}
--- a/src/main/java/org/standlink/wire/Connection.java
+++ b/src/main/java/org/standlink/wire/Connection.java
@@ -32,63 +32,63 @@
 import org.standlink.process.Guarded;
 
 /**
- * One TCP connection that carries frames both ways.
+ * A TCP connection that carries frames in both directions.
  *
- * <p>Answers are matched by the number of their call, never by order. When the connection is lost,
- * every call without an answer fails with CONNECTION_LOST: what became of it is not known here.
+ * <p>Answers are matched to calls by number, never by order. When the connection is lost, every
+ * pending call fails with CONNECTION_LOST; its outcome is unknown to this side.
  *
  * <p>{@code Connection} is thread-safe.
  */
 public final class Connection implements MessageChannel, AutoCloseable {
 
-    /** The socket. */
     private final Socket socket;
 
-    /** Where frames are written; guarded by itself. */
+    /** The stream to which frames are written; guarded by itself. */
     private final DataOutputStream output;
 
-    /** What answers messages that are not answers. */
+    /** Handles all messages that are not answers. */
     private final MessageHandler handler;
 
-    /** What is told when the connection is gone. */
-    private final Runnable whenClosed;
+    /** Called once when the connection is closed. */
+    private final Runnable closeListener;
 
-    /** The calls without an answer yet. */
-    private final Map<Long, CompletableFuture<Message>> calls = new ConcurrentHashMap<>();
+    /** The calls that have not been answered yet, by number. */
+    private final Map<Long, CompletableFuture<Message>> pendingCalls = new ConcurrentHashMap<>();
 
-    /** The number of the last call. */
-    private final AtomicLong lastCall = new AtomicLong();
+    private final AtomicLong lastCallNumber = new AtomicLong();
 
-    /** Whether the connection is gone. */
     private volatile boolean closed;
 
-    /** Whether the other side has said that it leaves; set while {@link #output} is held. */
-    private volatile boolean leftByPeer;
+    /**
+     * Whether the peer has announced that it is leaving; set while the lock of {@link #output} is
+     * held.
+     */
+    private volatile boolean peerLeaving;
 
-    /** Whether the other side has answered that it knows that this side leaves. */
-    private volatile boolean leaveKnown;
+    /** Whether the peer has acknowledged that this side is leaving. */
+    private volatile boolean leavingAcknowledged;
 
-    /** What the other side said it is, null until then. */
+    /** The greeting of the peer, null until it is received. */
     private volatile Hello hello;
 
-    /** When a frame came last, by {@link System#nanoTime}. */
-    private volatile long heardAtNanos = System.nanoTime();
+    /** When a frame was last received, by {@link System#nanoTime}. */
+    private volatile long lastReceivedNanos = System.nanoTime();
 
-    /** Closes this connection if it goes silent while watched calls wait. */
-    private final ConnectionMonitor watch = new ConnectionMonitor(this);
+    /** Closes this connection if it becomes unresponsive while a monitored call is pending. */
+    private final ConnectionMonitor monitor = new ConnectionMonitor(this);
 
     /**
-     * Constructor.
+     * Creates a connection, which reads nothing until it is started.
      *
      * @param socket the connected socket
-     * @param handler what answers messages
-     * @param whenClosed what is told when the connection is gone
+     * @param handler handles all messages that are not answers
+     * @param closeListener called once when the connection is closed
      * @throws IOException if the socket fails
      */
-    Connection(Socket socket, MessageHandler handler, Runnable whenClosed) throws IOException {
+    Connection(Socket socket, MessageHandler handler, Runnable closeListener) throws IOException {
         this.socket = socket;
         this.handler = handler;
-        this.whenClosed = whenClosed;
+        this.closeListener = closeListener;
         socket.setTcpNoDelay(true);
         this.output = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
     }
@@ -96,10 +96,10 @@
     /**
      * Starts reading.
      *
-     * @param executor where the reading thread comes from
+     * @param executor runs the task that reads until the connection is closed
      */
     void start(Executor executor) {
-        executor.execute(this::readAll);
+        executor.execute(this::readFrames);
     }
 
     // -----------------------------------------------------------------------
@@ -115,143 +115,145 @@
         }
         try {
             write(new Frame(call, true, message));
-        } catch (StandlinkException lost) {
-            // The caller learns of the lost connection on its own side.
+        } catch (StandlinkException failure) {
+            // The peer detects the lost connection itself.
             close();
         }
     }
 
     /**
-     * Sends a message and waits for its answer.
+     * Sends a message that the peer answers.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with CONNECTION_LOST or a {@code TimeoutException}
      */
     public CompletableFuture<Message> call(Message message, long timeoutMillis) {
-        long number = lastCall.incrementAndGet();
+        long number = lastCallNumber.incrementAndGet();
         CompletableFuture<Message> answer = new CompletableFuture<>();
-        calls.put(number, answer);
-        Guarded.then("call", answer, (value, failure) -> calls.remove(number));
+        pendingCalls.put(number, answer);
+        Guarded.then("call", answer, (value, failure) -> pendingCalls.remove(number));
         try {
             write(new Frame(number, false, message));
-        } catch (StandlinkException lost) {
-            answer.completeExceptionally(lost);
+        } catch (StandlinkException failure) {
+            answer.completeExceptionally(failure);
         }
         if (closed) {
-            answer.completeExceptionally(lost(null));
+            answer.completeExceptionally(connectionLostException(null));
         }
         return answer.orTimeout(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Sends a request and waits for its answer, unless the other side has said that it leaves: once
-     * that has been answered, nothing is sent any more that it would have to wait for.
+     * Sends a request that the peer answers, unless the peer has announced that it is leaving. Once
+     * that announcement has been acknowledged, the peer can rely on receiving no more requests.
      *
      * @param request the request
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
     public CompletableFuture<Message> callUnlessPeerLeaving(Message request, long timeoutMillis) {
         synchronized (output) {
-            return leftByPeer
-                    ? CompletableFuture.failedFuture(leaves())
+            return peerLeaving
+                    ? CompletableFuture.failedFuture(peerLeavingException())
                     : call(request, timeoutMillis);
         }
     }
 
     /**
-     * Tells the other side that this side leaves, until it has answered.
+     * Announces to the peer that this side is leaving, and repeats that until it is acknowledged.
      *
-     * @param timeoutMillis how long to wait before it is told again, in milliseconds
+     * @param timeoutMillis how long to wait for the acknowledgement before the announcement is
+     *     repeated, in milliseconds
      */
     void announceLeaving(long timeoutMillis) {
         Guarded.then(
                 "leave",
                 call(new Leaving(), timeoutMillis),
                 (answer, failure) -> {
-                    leaveKnown = failure == null;
+                    leavingAcknowledged = failure == null;
                     if (failure != null && !closed) {
                         announceLeaving(timeoutMillis);
                     }
                 });
     }
 
-    /** Says that nothing more is sent; the other side closes once it has read all. */
+    /** Shuts down the output; the peer closes the connection once it has read everything. */
     void shutDownOutput() {
         try {
             synchronized (output) {
                 socket.shutdownOutput();
             }
-        } catch (IOException gone) {
+        } catch (IOException failure) {
             close();
         }
     }
 
     /**
-     * Checks whether the other side has said that it leaves.
+     * Checks whether the peer is leaving.
      *
-     * @return true if so
+     * @return true if the peer has announced that it is leaving
      */
     public boolean isPeerLeaving() {
-        return leftByPeer;
+        return peerLeaving;
     }
 
     /**
-     * Checks whether the other side knows that this side leaves.
+     * Checks whether the peer knows that this side is leaving.
      *
-     * @return true if it has answered so
+     * @return true if the peer has acknowledged the announcement
      */
     boolean isLeavingAcknowledged() {
-        return leaveKnown;
+        return leavingAcknowledged;
     }
 
     /**
-     * Sends a message and waits for its answer, and closes this connection if it goes silent
-     * meanwhile, well before a time limit of seconds.
+     * Sends a message that the peer answers, and closes this connection if it becomes unresponsive
+     * meanwhile. That is detected within about a second, well before time limits of several
+     * seconds.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
-     * @return the answer; fails with CONNECTION_LOST, or a {@code TimeoutException} if the other
-     *     side lives and takes longer
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
+     * @return the answer; fails with CONNECTION_LOST, or with a {@code TimeoutException} if the
+     *     peer is responsive but takes longer
      */
     public CompletableFuture<Message> callMonitored(Message message, long timeoutMillis) {
         CompletableFuture<Message> answer = call(message, timeoutMillis);
-        watch.start();
+        monitor.start();
         return answer;
     }
 
     /**
-     * Gets how long ago the other side was heard.
+     * Gets the time since the last frame was received.
      *
      * @return the time, in milliseconds
      */
     long getMillisSinceReceived() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - heardAtNanos);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastReceivedNanos);
     }
 
     /**
-     * Checks whether calls wait for an answer.
+     * Checks whether there are calls that have not been answered.
      *
-     * @return true if so
+     * @return true if there is at least one pending call
      */
     boolean hasPendingCalls() {
-        return !calls.isEmpty();
+        return !pendingCalls.isEmpty();
     }
 
     /**
-     * Gets what the other side said it is.
+     * Gets the greeting of the peer.
      *
-     * @return the greeting, null if it has not come yet
+     * @return the greeting, null if it has not been received yet
      */
     public Hello getHello() {
         return hello;
     }
 
     /**
-     * Checks whether the connection is gone.
+     * Checks whether the connection is closed.
      *
-     * @return true if gone
+     * @return true if it was closed or lost
      */
     public boolean isClosed() {
         return closed;
@@ -259,7 +261,7 @@
 
     @Override
     public void close() {
-        synchronized (calls) {
+        synchronized (pendingCalls) {
             if (closed) {
                 return;
             }
@@ -268,10 +270,12 @@
         try {
             socket.close();
         } catch (IOException ignored) {
-            // Nothing is left to close.
+            // There is nothing left to release.
         }
-        calls.values().forEach(answer -> answer.completeExceptionally(lost(null)));
-        whenClosed.run();
+        pendingCalls
+                .values()
+                .forEach(answer -> answer.completeExceptionally(connectionLostException(null)));
+        closeListener.run();
     }
 
     // -----------------------------------------------------------------------
@@ -283,37 +287,37 @@
             }
         } catch (IOException failure) {
             close();
-            throw lost(failure);
+            throw connectionLostException(failure);
         }
     }
 
-    private void readAll() {
+    private void readFrames() {
         try (DataInputStream input =
                 new DataInputStream(new BufferedInputStream(socket.getInputStream()))) {
             while (!closed) {
                 receive(FrameCodec.read(input));
             }
-        } catch (IOException | StandlinkException ended) {
-            // The end of the stream and a broken frame both end the connection.
+        } catch (IOException | StandlinkException failure) {
+            // The end of the stream and a malformed frame both end the connection.
             close();
         } finally {
-            // Nothing is read any more, whatever was thrown; the other side must not wait.
+            // Nothing is read from here on, whatever was thrown, so the peer must not wait.
             close();
         }
     }
 
     private void receive(Frame frame) {
-        heardAtNanos = System.nanoTime();
+        lastReceivedNanos = System.nanoTime();
         if (frame.answer()) {
-            CompletableFuture<Message> waiting = calls.get(frame.call());
-            if (waiting != null) {
-                waiting.complete(frame.message());
+            CompletableFuture<Message> pending = pendingCalls.get(frame.call());
+            if (pending != null) {
+                pending.complete(frame.message());
             }
         } else if (frame.message() instanceof KeepAlive) {
             answer(frame.call(), frame.message());
         } else if (frame.message() instanceof Leaving) {
             synchronized (output) {
-                leftByPeer = true;
+                peerLeaving = true;
                 answer(frame.call(), frame.message());
             }
         } else if (frame.message() instanceof Hello greeting) {
@@ -324,12 +328,14 @@
         }
     }
 
-    private static StandlinkException leaves() {
+    private static StandlinkException peerLeavingException() {
         return new StandlinkException(
-                ErrorCode.PEER_UNREACHABLE, "the peer leaves", "send the request elsewhere");
+                ErrorCode.PEER_UNREACHABLE,
+                "the peer is leaving",
+                "send the request to another peer");
     }
 
-    private static StandlinkException lost(Throwable cause) {
+    private static StandlinkException connectionLostException(Throwable cause) {
         return new StandlinkException(
                 ErrorCode.CONNECTION_LOST,
                 "the connection was lost",
--- a/src/main/java/org/standlink/wire/ConnectionMonitor.java
+++ b/src/main/java/org/standlink/wire/ConnectionMonitor.java
@@ -20,90 +20,92 @@
 import org.standlink.process.Guarded;
 
 /**
- * Closes a connection that has gone silent, so that whoever waits on it can go on over a new one.
+ * Closes a connection that has become unresponsive, so that its callers can retry over a new one.
  *
- * <p>A connection may stop to carry anything without a reset. Each call has its own time limit, but
- * a call that takes long says nothing about the connection that it shares with others. So while
- * calls wait and nothing has been heard, the other side is asked for a sign of life, which it gives
- * without doing the calls. Silence is found within {@value #IDLE_MILLIS} ms and {@value
- * #KEEP_ALIVE_TIMEOUT_MILLIS} ms of a call.
+ * <p>A connection may stop delivering data without being reset. The time limit of a single call
+ * cannot detect that, because a call may take long on a working connection. While calls are pending
+ * and nothing has been received for {@value #IDLE_MILLIS} ms, the monitor therefore sends a {@link
+ * KeepAlive}, which the peer answers without executing the pending calls. If nothing is received
+ * within {@value #KEEP_ALIVE_TIMEOUT_MILLIS} ms, the connection is closed.
  *
  * <p>{@code ConnectionMonitor} is thread-safe.
  */
 final class ConnectionMonitor {
 
     /**
-     * How long nothing may be heard while calls wait before the other side is asked, in
-     * milliseconds; nearly all calls are answered within a tenth of it.
+     * How long nothing may be received while calls are pending before a keep-alive is sent, in
+     * milliseconds. Nearly all calls are answered within a tenth of this time.
      */
     static final long IDLE_MILLIS = 250;
 
     /**
-     * How long the sign of life is waited for, in milliseconds: links take 20 at most, a machine
-     * that is slowed sixfold some 100.
+     * How long to wait for the answer to a keep-alive, in milliseconds. A network link takes at
+     * most 20 ms, a machine slowed down sixfold about 100 ms.
      */
     static final long KEEP_ALIVE_TIMEOUT_MILLIS = 500;
 
-    /** The name of the work in the log. */
-    private static final String NAME = "connection-watch";
+    /** The name under which failures of the monitor are recorded. */
+    private static final String WORK_NAME = "connection-watch";
 
-    /** The connection. */
     private final Connection connection;
 
-    /** Whether the connection is being watched. */
-    private final AtomicBoolean watching = new AtomicBoolean();
+    /** Whether a check is scheduled or in progress. */
+    private final AtomicBoolean running = new AtomicBoolean();
 
-    /**
-     * Constructor.
-     *
-     * @param connection the connection
-     */
     ConnectionMonitor(Connection connection) {
         this.connection = connection;
     }
 
-    /** Watches the connection for as long as calls wait. */
+    /** Monitors the connection for as long as calls are pending. */
     void start() {
-        if (watching.compareAndSet(false, true)) {
-            lookLater();
+        if (running.compareAndSet(false, true)) {
+            scheduleCheck();
         }
     }
 
     // -----------------------------------------------------------------------
-    private void lookLater() {
-        Guarded.later(IDLE_MILLIS, Guarded.work(NAME, this::look, this::giveUp));
+    private void scheduleCheck() {
+        Guarded.later(IDLE_MILLIS, Guarded.work(WORK_NAME, this::check, this::stopAndClose));
     }
 
-    /** A connection that is watched no more would be waited for until each call's own limit. */
-    private void giveUp() {
-        watching.set(false);
+    /**
+     * Closes the connection after an unexpected failure. Without the monitor, pending calls on an
+     * unresponsive connection would wait for their own time limits.
+     */
+    private void stopAndClose() {
+        running.set(false);
         connection.close();
     }
 
-    private void look() {
+    private void check() {
         if (connection.isClosed() || !connection.hasPendingCalls()) {
-            watching.set(false);
+            running.set(false);
             if (connection.hasPendingCalls()) {
-                // A call came between the two looks.
+                // A call was added between the two checks.
                 start();
             }
             return;
         }
         if (connection.getMillisSinceReceived() < IDLE_MILLIS) {
-            lookLater();
+            scheduleCheck();
             return;
         }
         Guarded.then(
-                NAME,
+                WORK_NAME,
                 connection.call(new KeepAlive(), KEEP_ALIVE_TIMEOUT_MILLIS),
-                (answer, failure) -> Guarded.work(NAME, () -> judge(failure), this::giveUp).run());
+                (answer, failure) ->
+                        Guarded.work(
+                                        WORK_NAME,
+                                        () -> keepAliveCompleted(failure),
+                                        this::stopAndClose)
+                                .run());
     }
 
-    private void judge(Throwable failure) {
+    private void keepAliveCompleted(Throwable failure) {
         if (failure instanceof TimeoutException
                 && connection.getMillisSinceReceived() >= KEEP_ALIVE_TIMEOUT_MILLIS) {
             connection.close();
         }
-        lookLater();
+        scheduleCheck();
     }
 }
--- a/src/main/java/org/standlink/wire/ForwardAnswer.java
+++ b/src/main/java/org/standlink/wire/ForwardAnswer.java
@@ -19,17 +19,18 @@
 import org.standlink.Outcome;
 
 /**
- * What became of a forwarded request.
+ * The outcome of a forwarded request.
  *
- * <p>{@code ForwardAnswer} is thread-safe and immutable.
+ * <p>{@code ForwardAnswer} is thread-safe and immutable if its body is not changed.
  *
  * @param outcome answered, not run or unknown
  * @param status the HTTP status of the upstream, 0 unless answered
  * @param headers the headers of the upstream's answer
  * @param body the body of the upstream's answer, empty unless answered
- * @param reason why it did not run or is unknown, empty if answered
- * @param retryAfterMillis when to come back, in milliseconds, 0 if answered
- * @param outstanding requests running or queued at the agent after this one
+ * @param reason why the request did not run or its outcome is unknown, empty if answered
+ * @param retryAfterMillis how long the caller should wait before a retry, in milliseconds, 0 if
+ *     answered
+ * @param outstanding how many requests were running or queued at the agent after this one
  */
 public record ForwardAnswer(
         Outcome outcome,
--- a/src/main/java/org/standlink/wire/ForwardRequest.java
+++ b/src/main/java/org/standlink/wire/ForwardRequest.java
@@ -22,19 +22,19 @@
 import org.standlink.TeamId;
 
 /**
- * A request on its way from an entry to an agent.
+ * A request that an entry forwards to an agent.
  *
- * <p>{@code ForwardRequest} is thread-safe and immutable.
+ * <p>{@code ForwardRequest} is thread-safe and immutable if its body is not changed.
  *
- * @param id the id of this try
- * @param service the service asked for
+ * @param id the id of this attempt
+ * @param service the requested service
  * @param requestClass the class of the request
  * @param team the team of the caller
- * @param idempotencyKey the caller's key, null if none
- * @param roster the digest of the service's upstreams, as the entry knows them
- * @param budgetMillis how long the caller still waits, in milliseconds
+ * @param idempotencyKey the caller's idempotency key, null if none
+ * @param roster the digest of the service's upstreams according to the entry's bundle
+ * @param budgetMillis how long the caller will still wait, in milliseconds
  * @param method the HTTP method
- * @param target path and query
+ * @param target the path and query
  * @param headers the headers to pass on
  * @param body the body
  */
--- a/src/main/java/org/standlink/wire/Frame.java
+++ b/src/main/java/org/standlink/wire/Frame.java
@@ -16,12 +16,12 @@
 package org.standlink.wire;
 
 /**
- * One message with the number of its call.
+ * A message with the number of its call.
  *
  * <p>{@code Frame} is thread-safe and immutable.
  *
- * @param call the number of the call, 0 for a message without an answer
- * @param answer whether this is the answer to the call
+ * @param call the number of the call, 0 for a message that has no answer
+ * @param answer whether the message is the answer to the call
  * @param message the message
  */
 public record Frame(long call, boolean answer, Message message) {}
--- a/src/main/java/org/standlink/wire/FrameCodec.java
+++ b/src/main/java/org/standlink/wire/FrameCodec.java
@@ -26,56 +26,58 @@
 import org.standlink.StandlinkException;
 
 /**
- * Writes and reads frames.
+ * Encodes, decodes, writes and reads frames.
  *
  * <p>{@code FrameCodec} is thread-safe and immutable; the streams given to it are not.
  */
 public final class FrameCodec {
 
-    /** The longest frame taken, in bytes. */
+    /** The maximum length of a frame, in bytes. */
     public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-    /** The serializer; fields that a newer version added are passed over. */
+    /** Serialises messages; unknown properties, such as those of newer versions, are ignored. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper(new MessagePackFactory())
                     .setSerializationInclusion(JsonInclude.Include.NON_NULL)
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** No instances. */
     private FrameCodec() {}
 
     /**
      * Encodes a frame.
      *
      * @param frame the frame
-     * @return its bytes, without the length
+     * @return the encoded bytes, without the length
      */
     public static byte[] encode(Frame frame) {
         try {
             return MAPPER.writeValueAsBytes(frame);
         } catch (IOException impossible) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "frame not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "the frame could not be encoded",
+                    "report a defect",
+                    impossible);
         }
     }
 
     /**
      * Decodes a frame.
      *
-     * @param bytes its bytes, without the length
+     * @param bytes the encoded bytes, without the length
      * @return the frame
-     * @throws StandlinkException with code INVALID_MESSAGE if the bytes are not a frame
+     * @throws StandlinkException with code INVALID_MESSAGE if the bytes are not a valid frame
      */
     public static Frame decode(byte[] bytes) {
         try {
             return MAPPER.readValue(bytes, Frame.class);
         } catch (IOException | IllegalArgumentException malformed) {
-            throw invalid("a frame of " + bytes.length + " bytes was not decoded", malformed);
+            throw invalid("a frame of " + bytes.length + " bytes could not be decoded", malformed);
         }
     }
 
     /**
-     * Writes encoded bytes with their length.
+     * Writes an encoded frame, preceded by its length, and flushes the stream.
      *
      * @param output the stream
      * @param bytes the encoded frame
@@ -93,12 +95,13 @@
      * @param input the stream
      * @return the frame
      * @throws IOException if the stream fails or ends
-     * @throws StandlinkException with code INVALID_MESSAGE if the bytes are not a frame
+     * @throws StandlinkException with code INVALID_MESSAGE if the length is out of range or the
+     *     bytes are not a valid frame
      */
     public static Frame read(DataInputStream input) throws IOException {
         int length = input.readInt();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
-            throw invalid("a frame says it has " + length + " bytes", null);
+            throw invalid("a frame has an invalid length of " + length + " bytes", null);
         }
         byte[] bytes = new byte[length];
         input.readFully(bytes);
@@ -109,7 +112,7 @@
         return new StandlinkException(
                 ErrorCode.INVALID_MESSAGE,
                 problem,
-                "check that both processes are standlink of near versions",
+                "check that both processes run compatible versions of standlink",
                 cause);
     }
 }
--- a/src/main/java/org/standlink/wire/Heartbeat.java
+++ b/src/main/java/org/standlink/wire/Heartbeat.java
@@ -24,24 +24,24 @@
 import org.standlink.VmId;
 
 /**
- * What an agent tells its leader every second.
+ * The state that an agent reports to its leader every second.
  *
  * <p>{@code Heartbeat} is thread-safe and immutable.
  *
  * @param vm the VM of the agent
- * @param incarnation the run of the agent
- * @param number the number of the heartbeat within the run; one that comes after a later one is
- *     void
- * @param full whether all tasks are told, so that others are forgotten
- * @param epoch the highest epoch the agent has acknowledged
- * @param generation the lease generation the agent holds
+ * @param incarnation the incarnation of the agent process
+ * @param number the number of the heartbeat within the incarnation; the leader ignores one that
+ *     arrives after a later one
+ * @param full whether all tasks are listed, so that the leader removes all others
+ * @param epoch the highest epoch that the agent has acknowledged
+ * @param generation the lease generation that the agent holds
  * @param bundle the bundle version in force at the agent
- * @param revision the revision of the assignments the agent has
+ * @param revision the revision of the assignments that the agent has received
  * @param leaving whether the VM is leaving
- * @param workerReady whether the agent holds a live worker lease
- * @param tasks what the agent knows of its tasks and the leader does not have yet
- * @param gone tasks that the leader has and that are no more
- * @param services how the services on the VM stand
+ * @param workerReady whether the agent holds a valid worker lease
+ * @param tasks the states of tasks that the leader has not received yet
+ * @param gone the tasks that the leader has received and that no longer exist
+ * @param services the load and latency of the services on the VM
  */
 public record Heartbeat(
         VmId vm,
--- a/src/main/java/org/standlink/wire/HeartbeatAnswer.java
+++ b/src/main/java/org/standlink/wire/HeartbeatAnswer.java
@@ -21,15 +21,15 @@
 import org.standlink.LeaseGeneration;
 
 /**
- * A leader's answer to a heartbeat, which grants the node lease.
+ * The answer of a leader to a heartbeat, which grants the node lease.
  *
  * <p>{@code HeartbeatAnswer} is thread-safe and immutable.
  *
  * @param epoch the epoch of the leader
- * @param generation the lease generation granted
+ * @param generation the generation of the granted lease
  * @param grantedMillis the length of the lease, in milliseconds from when the heartbeat was sent
- * @param bundle the version in force
- * @param signedBundle the signed bundle's text, null if the agent has it
+ * @param bundle the bundle version in force
+ * @param signedBundle the text of the signed bundle, null if the agent has this version
  * @param revision the revision of the assignments
  * @param assignments all assignments of the agent, null if the agent has this revision
  * @param logAgeMillis how long ago the leader last read the log, in milliseconds
--- a/src/main/java/org/standlink/wire/Hello.java
+++ b/src/main/java/org/standlink/wire/Hello.java
@@ -19,11 +19,11 @@
 import org.standlink.VmId;
 
 /**
- * The first message on a connection, from the side that accepted it: who answers here.
+ * The first message on a connection, with which the accepting side identifies itself.
  *
  * <p>{@code Hello} is thread-safe and immutable.
  *
  * @param vm the VM of the process
- * @param incarnation the run of the process
+ * @param incarnation the incarnation of the process
  */
 public record Hello(VmId vm, Incarnation incarnation) implements Message {}
--- a/src/main/java/org/standlink/wire/ImageShare.java
+++ b/src/main/java/org/standlink/wire/ImageShare.java
@@ -18,7 +18,7 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * The share of time for which an agent lets the runs of a best-effort image work.
+ * The share of time during which an agent lets the runs of a best-effort image run.
  *
  * <p>{@code ImageShare} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/JobAnswer.java
+++ b/src/main/java/org/standlink/wire/JobAnswer.java
@@ -18,34 +18,37 @@
 import org.standlink.job.JobState;
 
 /**
- * The leader's answer about a job or a queue.
+ * The answer of the leader to a request about a job or a queue.
  *
  * <p>{@code JobAnswer} is thread-safe and immutable.
  *
- * @param result what became of the question
+ * @param result the result of the request
  * @param state the state of the job, null if there is none
- * @param waiting how many jobs of the queue have not begun
- * @param reason why, if it was refused
+ * @param waiting how many jobs of the queue have not started
+ * @param reason why the request was refused or failed, otherwise empty
  */
 public record JobAnswer(Result result, JobState state, long waiting, String reason)
         implements Message {
 
-    /** What became of a question. */
+    /** The result of a request. */
     public enum Result {
-        /** Done; what was to be kept is kept. */
+        /** The request was carried out, and its changes are persisted. */
         DONE,
         /** There is no such job. */
         NO_SUCH_JOB,
-        /** The leader did not do it and will not. */
+        /** The leader has not carried out the request and will not. */
         NOT_DONE,
-        /** It may have been done. */
+        /** The request may have been carried out. */
         UNKNOWN,
-        /** The leader failed over it; it may have been done, and the next leader may fail too. */
+        /**
+         * The leader failed while it handled the request. The request may have been carried out,
+         * and the next leader may fail as well.
+         */
         FAILED
     }
 
     /**
-     * Makes an answer that something was done.
+     * Creates the answer to a request that was carried out.
      *
      * @param state the state of the job
      * @return the answer
@@ -55,10 +58,10 @@
     }
 
     /**
-     * Makes an answer without a state.
+     * Creates an answer without a job state.
      *
-     * @param result what became of the question
-     * @param reason why
+     * @param result the result of the request
+     * @param reason the reason of the result
      * @return the answer
      */
     public static JobAnswer of(Result result, String reason) {
--- a/src/main/java/org/standlink/wire/KeepAlive.java
+++ b/src/main/java/org/standlink/wire/KeepAlive.java
@@ -16,8 +16,8 @@
 package org.standlink.wire;
 
 /**
- * Asks whether the other side still reads and answers; each side answers it by itself, also while
- * what it was asked before takes long.
+ * Checks whether the other side of a connection still reads and answers. The connection answers it
+ * itself, even while earlier calls are still being executed.
  *
  * <p>{@code KeepAlive} is thread-safe and immutable.
  */
--- a/src/main/java/org/standlink/wire/LeaderAnnouncement.java
+++ b/src/main/java/org/standlink/wire/LeaderAnnouncement.java
@@ -20,7 +20,7 @@
 import org.standlink.VmId;
 
 /**
- * Tells an agent who leads its cell.
+ * Announces the leader of a cell to an agent.
  *
  * <p>{@code LeaderAnnouncement} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/LeaderNotice.java
+++ b/src/main/java/org/standlink/wire/LeaderNotice.java
@@ -18,11 +18,12 @@
 import org.standlink.Epoch;
 
 /**
- * Tells who leads: the answer of a process that does not, and the announcement of one that does.
+ * Names the leader. A process that does not lead answers with it, and a leader announces itself
+ * with it.
  *
  * <p>{@code LeaderNotice} is thread-safe and immutable.
  *
- * @param epoch the newest epoch known
- * @param address where its leader listens, host and port; empty if not known
+ * @param epoch the newest known epoch
+ * @param address the address at which its leader listens, host and port; empty if not known
  */
 public record LeaderNotice(Epoch epoch, String address) implements Message {}
--- a/src/main/java/org/standlink/wire/Leaving.java
+++ b/src/main/java/org/standlink/wire/Leaving.java
@@ -16,8 +16,8 @@
 package org.standlink.wire;
 
 /**
- * Says that this process leaves and takes no new requests. The other side answers by itself; behind
- * its answer no request comes over the same connection.
+ * Announces that this process is leaving and accepts no new requests. The connection on the other
+ * side answers it itself, and sends no request after its answer.
  *
  * <p>{@code Leaving} is thread-safe and immutable.
  */
--- a/src/main/java/org/standlink/wire/Message.java
+++ b/src/main/java/org/standlink/wire/Message.java
@@ -19,9 +19,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * A message between two processes of standlink.
+ * A message between two standlink processes.
  *
- * <p>Implementations are immutable records. The number of a type on the wire never changes meaning.
+ * <p>Implementations are immutable records. The number that identifies a type on the wire is never
+ * changed or reused.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.PROPERTY, property = "@")
 @JsonSubTypes({
--- a/src/main/java/org/standlink/wire/MessageChannel.java
+++ b/src/main/java/org/standlink/wire/MessageChannel.java
@@ -18,8 +18,7 @@
 import org.standlink.StandlinkException;
 
 /**
- * A way to the other side of a conversation, over which it is told things and its calls are
- * answered.
+ * A channel to another process, for sending messages to it and for answering its calls.
  *
  * <p>Implementations are thread-safe.
  */
@@ -29,14 +28,14 @@
      * Sends a message without waiting for an answer.
      *
      * @param message the message
-     * @throws StandlinkException with code CONNECTION_LOST if the other side cannot be reached
+     * @throws StandlinkException with code CONNECTION_LOST if the other process cannot be reached
      */
     void send(Message message);
 
     /**
      * Answers a call.
      *
-     * @param call the number of the call, 0 if no answer is wanted
+     * @param call the number of the call, 0 if no answer is expected
      * @param message the answer
      */
     void answer(long call, Message message);
--- a/src/main/java/org/standlink/wire/MessageHandler.java
+++ b/src/main/java/org/standlink/wire/MessageHandler.java
@@ -15,17 +15,18 @@
  */
 package org.standlink.wire;
 
-/** Answers the messages that arrive on connections. */
+/** Handles the messages that arrive on connections. */
 @FunctionalInterface
 public interface MessageHandler {
 
     /**
      * Handles one message.
      *
-     * <p>Called on the connection's reading thread; long work is handed on and answered later.
+     * <p>Called on the reading thread of the connection. Work that takes long must be done on
+     * another thread and answered later.
      *
-     * @param connection where the message came from
-     * @param call the number to answer under, 0 if no answer is wanted
+     * @param connection the connection on which the message arrived
+     * @param call the number of the call, 0 if no answer is expected
      * @param message the message
      */
     void handle(Connection connection, long call, Message message);
--- a/src/main/java/org/standlink/wire/OutcomeQuery.java
+++ b/src/main/java/org/standlink/wire/OutcomeQuery.java
@@ -19,11 +19,12 @@
 import org.standlink.RequestId;
 
 /**
- * Asks what became of a request after its connection was lost; an id not yet seen is barred.
+ * Asks for the outcome of a request whose connection was lost. A request that the agent has not
+ * seen yet is barred, that is, it will not run afterwards.
  *
  * <p>{@code OutcomeQuery} is thread-safe and immutable.
  *
- * @param id the id of the try
- * @param agent the incarnation of the agent that the try was sent to
+ * @param id the id of the attempt
+ * @param agent the incarnation of the agent to which the attempt was sent
  */
 public record OutcomeQuery(RequestId id, Incarnation agent) implements Message {}
--- a/src/main/java/org/standlink/wire/PeerConnection.java
+++ b/src/main/java/org/standlink/wire/PeerConnection.java
@@ -26,39 +26,39 @@
 import org.standlink.StandlinkException;
 
 /**
- * The near end of a connection to one other process, made anew when it was lost.
+ * A connection to another process that is re-established after it was lost.
  *
  * <p>{@code PeerConnection} is thread-safe.
  */
 public final class PeerConnection implements AutoCloseable {
 
-    /** How long to wait for a connection, in milliseconds. */
-    private static final int CONNECT_MILLIS = 1000;
+    /** The time limit for establishing a connection, in milliseconds. */
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** Where the other process listens; asked anew for each connection. */
+    /** Gets the address at which the peer listens; called for each new connection. */
     private final Supplier<InetSocketAddress> address;
 
-    /** Where the reading thread comes from. */
+    /** Runs the reading tasks and the connection attempts in the background. */
     private final Executor executor;
 
-    /** What answers messages that are not answers. */
+    /** Handles all messages that are not answers. */
     private final MessageHandler handler;
 
-    /** Whether a connection is being made in the background. */
+    /** Whether a connection is being established in the background. */
     private final AtomicBoolean connecting = new AtomicBoolean();
 
-    /** Why the last try in the background failed, null if it did not. */
+    /** Why the last connection attempt in the background failed, null if it succeeded. */
     private volatile StandlinkException lastFailure;
 
-    /** The connection, null if there is none. */
+    /** The last established connection, possibly closed; null if there was none. */
     private volatile Connection connection;
 
     /**
-     * Constructor.
+     * Creates an instance that is not connected yet.
      *
-     * @param address where the other process listens, null while not known
-     * @param executor where the reading thread comes from
-     * @param handler what answers messages that are not answers
+     * @param address gets the address at which the peer listens, null while it is not known
+     * @param executor runs the reading tasks and the connection attempts in the background
+     * @param handler handles all messages that are not answers
      */
     public PeerConnection(
             Supplier<InetSocketAddress> address, Executor executor, MessageHandler handler) {
@@ -68,43 +68,43 @@
     }
 
     /**
-     * Gets the connection, making one if there is none.
+     * Gets the open connection, or establishes one if there is none.
      *
      * @return an open connection
-     * @throws StandlinkException with code PEER_UNREACHABLE if none can be made
+     * @throws StandlinkException with code PEER_UNREACHABLE if no connection can be established
      */
     public Connection connect() {
-        Connection present = connection;
-        if (present != null && !present.isClosed()) {
-            return present;
+        Connection current = connection;
+        if (current != null && !current.isClosed()) {
+            return current;
         }
-        return connectAnew();
+        return reconnect();
     }
 
     /**
-     * Sends a message over the open connection and waits for its answer. If there is none, one is
-     * made in the background and the call fails at once. A connection that goes silent while the
-     * call waits is closed.
+     * Sends a message that the peer answers over the open connection. If there is none, the call
+     * fails at once and a connection is established in the background. A connection that becomes
+     * unresponsive while the call is pending is closed.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
     public CompletableFuture<Message> callIfConnected(Message message, long timeoutMillis) {
-        Connection present = getOpenConnection();
-        if (present != null) {
-            return present.callMonitored(message, timeoutMillis);
+        Connection current = getOpenConnection();
+        if (current != null) {
+            return current.callMonitored(message, timeoutMillis);
         }
         if (connecting.compareAndSet(false, true)) {
             executor.execute(this::connectInBackground);
         }
         return CompletableFuture.failedFuture(
-                unreachable("a peer that is being connected to", lastFailure));
+                unreachable("a peer to which a connection is being established", lastFailure));
     }
 
     private void connectInBackground() {
         try {
-            connectAnew();
+            reconnect();
             lastFailure = null;
         } catch (StandlinkException unreachable) {
             lastFailure = unreachable;
@@ -114,20 +114,20 @@
     }
 
     /**
-     * Gets the connection if there is one.
+     * Gets the open connection if there is one.
      *
      * @return the open connection, null if there is none
      */
     public Connection getOpenConnection() {
-        Connection present = connection;
-        return present == null || present.isClosed() ? null : present;
+        Connection current = connection;
+        return current == null || current.isClosed() ? null : current;
     }
 
     /**
-     * Sends a message and waits for its answer, connecting first if need be.
+     * Sends a message that the peer answers, and first establishes a connection if there is none.
      *
      * @param message the message
-     * @param timeoutMillis how long to wait, in milliseconds
+     * @param timeoutMillis how long to wait for the answer, in milliseconds
      * @return the answer; fails with PEER_UNREACHABLE only if nothing was sent
      */
     public CompletableFuture<Message> call(Message message, long timeoutMillis) {
@@ -140,17 +140,17 @@
 
     @Override
     public void close() {
-        Connection present = connection;
-        if (present != null) {
-            present.close();
+        Connection current = connection;
+        if (current != null) {
+            current.close();
         }
     }
 
     // -----------------------------------------------------------------------
-    private synchronized Connection connectAnew() {
-        Connection present = getOpenConnection();
-        if (present != null) {
-            return present;
+    private synchronized Connection reconnect() {
+        Connection current = getOpenConnection();
+        if (current != null) {
+            return current;
         }
         InetSocketAddress target = address.get();
         if (target == null) {
@@ -158,11 +158,11 @@
         }
         Socket socket = new Socket();
         try {
-            socket.connect(target, CONNECT_MILLIS);
-            Connection made = new Connection(socket, handler, () -> {});
-            made.start(executor);
-            connection = made;
-            return made;
+            socket.connect(target, CONNECT_TIMEOUT_MILLIS);
+            Connection created = new Connection(socket, handler, () -> {});
+            created.start(executor);
+            connection = created;
+            return created;
         } catch (IOException failure) {
             closeQuietly(socket);
             throw unreachable(target.toString(), failure);
@@ -173,14 +173,14 @@
         try {
             socket.close();
         } catch (IOException ignored) {
-            // Nothing is left to close.
+            // There is nothing left to release.
         }
     }
 
-    private static StandlinkException unreachable(String where, Throwable cause) {
+    private static StandlinkException unreachable(String description, Throwable cause) {
         return new StandlinkException(
                 ErrorCode.PEER_UNREACHABLE,
-                where + " cannot be reached",
+                description + " cannot be reached",
                 "check that the process runs and that the address is right",
                 cause);
     }
--- a/src/main/java/org/standlink/wire/QueueQuery.java
+++ b/src/main/java/org/standlink/wire/QueueQuery.java
@@ -16,7 +16,7 @@
 package org.standlink.wire;
 
 /**
- * Asks the leader how many jobs of a queue have not begun.
+ * Asks the leader how many jobs of a queue have not started.
  *
  * <p>{@code QueueQuery} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/Refusal.java
+++ b/src/main/java/org/standlink/wire/Refusal.java
@@ -18,11 +18,11 @@
 import org.standlink.ErrorCode;
 
 /**
- * Says that a message was not taken.
+ * The answer to a message that was rejected.
  *
  * <p>{@code Refusal} is thread-safe and immutable.
  *
  * @param code the kind of error
- * @param reason why
+ * @param reason why the message was rejected
  */
 public record Refusal(ErrorCode code, String reason) implements Message {}
--- a/src/main/java/org/standlink/wire/RunOrders.java
+++ b/src/main/java/org/standlink/wire/RunOrders.java
@@ -22,16 +22,16 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * Orders of the leader to an agent, for one life of a worker.
+ * Orders of the leader to an agent, for one incarnation of a worker.
  *
  * <p>{@code RunOrders} is thread-safe and immutable.
  *
  * @param epoch the epoch of the leader
- * @param generation the generation of the agent's lease under which they were given
- * @param worker the life of the worker
+ * @param generation the generation of the agent's lease under which the orders were given
+ * @param worker the incarnation of the worker
  * @param starts the runs to start
  * @param stops the runs to stop
- * @param recordedEnd the last end of the worker that has been recorded
+ * @param recordedEnd the number of the worker's last run end that has been recorded
  */
 public record RunOrders(
         Epoch epoch,
--- a/src/main/java/org/standlink/wire/ServiceReport.java
+++ b/src/main/java/org/standlink/wire/ServiceReport.java
@@ -19,14 +19,14 @@
 import org.standlink.ServiceId;
 
 /**
- * How a service stands on one VM, measured by the agent beside its upstream.
+ * The load and latency of a service on one VM, measured by the agent on that VM.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code ServiceReport} is thread-safe and immutable.
  *
  * @param service the service
- * @param level the load level, 0 for idle to 3 for full
+ * @param level the load level, from 0 for idle to 3 for full
  * @param latencyPercent the tail latency of the last seconds, in percent of the target
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
--- a/src/main/java/org/standlink/wire/StartOrder.java
+++ b/src/main/java/org/standlink/wire/StartOrder.java
@@ -21,16 +21,16 @@
 /**
  * An order to start a run.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code StartOrder} is thread-safe and immutable.
  *
  * @param run the run
- * @param specification the job's text
- * @param checkpoint the state to go on from, empty for none
- * @param bestEffort whether the run uses only processors that others leave idle
- * @param targetMillis the tail latency that a serving run is to keep, in milliseconds; 0 if none
- * @param image what the run runs, empty if not told
+ * @param specification the specification text of the job
+ * @param checkpoint the checkpoint to resume from, empty if there is none
+ * @param bestEffort whether the run may use only processors that are otherwise idle
+ * @param targetMillis the target tail latency of a serving run, in milliseconds, 0 if none
+ * @param image the image of the run, empty if not known
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record StartOrder(
--- a/src/main/java/org/standlink/wire/StartRefusal.java
+++ b/src/main/java/org/standlink/wire/StartRefusal.java
@@ -19,15 +19,15 @@
 import org.standlink.job.RunId;
 
 /**
- * A run that its worker surely has not started and will not start under this number.
+ * A run that its worker has certainly not started and will not start under this run id.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code StartRefusal} is thread-safe and immutable.
  *
  * @param run the run
- * @param reason why, for the log
- * @param unwell whether the worker said that it is unwell
+ * @param reason why the run was not started, for the log
+ * @param unwell whether the worker reported that it is unhealthy
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record StartRefusal(RunId run, String reason, boolean unwell) {}
--- a/src/main/java/org/standlink/wire/StatusAnswer.java
+++ b/src/main/java/org/standlink/wire/StatusAnswer.java
@@ -16,7 +16,7 @@
 package org.standlink.wire;
 
 /**
- * How a cell stands, as a JSON text.
+ * The status of a cell, as JSON text.
  *
  * <p>{@code StatusAnswer} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/StatusQuery.java
+++ b/src/main/java/org/standlink/wire/StatusQuery.java
@@ -18,7 +18,7 @@
 import org.standlink.CellId;
 
 /**
- * Asks a leader how its cell stands.
+ * Asks a leader for the status of its cell.
  *
  * <p>{@code StatusQuery} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/TaskReport.java
+++ b/src/main/java/org/standlink/wire/TaskReport.java
@@ -21,15 +21,15 @@
 import org.standlink.TaskId;
 
 /**
- * What an agent says about one task that was assigned to it.
+ * The state of a task at the agent to which it is assigned.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code TaskReport} is thread-safe and immutable.
  *
  * @param task the task
  * @param attempt the attempt
- * @param state where the attempt stands
+ * @param state the state of the attempt
  * @param checkpoint the last checkpoint, null if none
  * @param usage the measured usage, null if none yet
  */
@@ -37,17 +37,17 @@
 public record TaskReport(
         TaskId task, Attempt attempt, State state, String checkpoint, Resources usage) {
 
-    /** Where an attempt stands at its agent. */
+    /** The state of an attempt at its agent. */
     public enum State {
-        /** Held back until there is room. */
+        /** Waits for free capacity. */
         QUEUED,
         /** Running on the worker. */
         RUNNING,
-        /** Done. */
+        /** Finished successfully. */
         FINISHED,
-        /** Ended without being done; may be tried again. */
+        /** Failed; the task may be attempted again. */
         FAILED,
-        /** Stopped on request, at the checkpoint given. */
+        /** Stopped on request, with the reported checkpoint. */
         STOPPED
     }
 }
--- a/src/main/java/org/standlink/wire/UpstreamLoad.java
+++ b/src/main/java/org/standlink/wire/UpstreamLoad.java
@@ -16,12 +16,12 @@
 package org.standlink.wire;
 
 /**
- * What an agent tells its callers about its upstream a few times a second.
+ * The state of an upstream, which its agent sends to its callers a few times a second.
  *
  * <p>{@code UpstreamLoad} is thread-safe and immutable.
  *
- * @param outstanding requests running or queued at the agent
- * @param leaving whether the agent takes no new work
+ * @param outstanding how many requests are running or queued at the agent
+ * @param leaving whether the agent accepts no new requests
  * @param failing whether the upstream cannot be reached
  */
 public record UpstreamLoad(int outstanding, boolean leaving, boolean failing) implements Message {}
--- a/src/main/java/org/standlink/wire/WireServer.java
+++ b/src/main/java/org/standlink/wire/WireServer.java
@@ -31,50 +31,47 @@
 import org.standlink.process.WorkFailures;
 
 /**
- * Accepts connections from other processes of standlink and greets each of them.
+ * Accepts connections from other standlink processes and greets each of them.
  *
  * <p>{@code WireServer} is thread-safe.
  */
 public final class WireServer implements AutoCloseable {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WireServer.class);
 
-    /** The listening socket. */
-    private final ServerSocket listener;
+    /**
+     * How long to wait for the acknowledgement of leaving before it is announced again, in
+     * milliseconds.
+     */
+    private static final long LEAVE_TIMEOUT_MILLIS = 5000;
 
-    /** Where threads come from. */
+    private final ServerSocket listener;
     private final ExecutorService executor;
 
-    /** The greeting. */
+    /** The greeting sent on each accepted connection. */
     private final Hello hello;
 
-    /** What answers messages. */
+    /** Handles all messages that are not answers. */
     private final MessageHandler handler;
 
-    /** How long an answer to a leave is waited for before it is told again, in milliseconds. */
-    private static final long LEAVE_MILLIS = 5000;
-
-    /** Whether this server leaves. */
     private volatile boolean leaving;
-
-    /** Whether this server is closed. */
     private volatile boolean closed;
 
-    /** The local ports of connections of this process to itself, and what waits for them. */
+    /** The latches of connections of this process to itself, by their local ports. */
     private final Map<Integer, CountDownLatch> ownPorts = new ConcurrentHashMap<>();
 
     /** The open connections. */
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a server and starts to accept connections.
      *
-     * @param address where to listen; port 0 takes a free port
-     * @param executor where threads come from
-     * @param hello the greeting
-     * @param handler what answers messages
-     * @throws StandlinkException with code PEER_UNREACHABLE if the address cannot be taken
+     * @param address the address to listen on; port 0 selects a free port
+     * @param executor runs the accepting task and the reading task of each connection
+     * @param hello the greeting sent on each accepted connection
+     * @param handler handles all messages that are not answers
+     * @throws StandlinkException with code PEER_UNREACHABLE if the server cannot listen on the
+     *     address
      */
     public WireServer(
             InetSocketAddress address,
@@ -88,18 +85,18 @@
             listener = new ServerSocket();
             listener.setReuseAddress(true);
             listener.bind(address);
-        } catch (IOException taken) {
+        } catch (IOException failure) {
             throw new StandlinkException(
                     ErrorCode.PEER_UNREACHABLE,
                     "cannot listen on " + address,
                     "free the address or change it in the settings",
-                    taken);
+                    failure);
         }
-        executor.execute(this::acceptAll);
+        executor.execute(this::acceptConnections);
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port on which the server listens.
      *
      * @return the port
      */
@@ -116,72 +113,76 @@
         for (Connection connection : connections) {
             try {
                 connection.send(message);
-            } catch (StandlinkException lost) {
+            } catch (StandlinkException failure) {
                 connections.remove(connection);
             }
         }
     }
 
-    /** Tells everybody who is connected, and whoever connects from now on, that it leaves. */
+    /** Announces on all current and future connections that this process is leaving. */
     public void leave() {
         leaving = true;
-        connections.forEach(connection -> connection.announceLeaving(LEAVE_MILLIS));
+        connections.forEach(connection -> connection.announceLeaving(LEAVE_TIMEOUT_MILLIS));
     }
 
     /**
-     * Checks whether all who are connected know that this server leaves, so that none of them sends
-     * a request any more.
+     * Checks whether all connected peers know that this process is leaving, so that none of them
+     * sends any more requests.
      *
-     * @return true if so
+     * @return true if all connected peers have acknowledged it
      */
     public boolean isLeavingAcknowledged() {
         return leaving && connections.stream().allMatch(Connection::isLeavingAcknowledged);
     }
 
-    /** Takes no more connections; those that are open go on. */
+    /** Stops accepting connections; open connections are not affected. */
     public void stopListening() {
         try {
             listener.close();
         } catch (IOException ignored) {
-            // Nothing is left to close.
+            // There is nothing left to release.
         }
     }
 
-    /** Says on all connections that nothing more is sent; the others close once they have read. */
+    /**
+     * Shuts down the output of all connections; each peer closes its connection once it has read
+     * everything.
+     */
     public void shutDownOutput() {
         connections.forEach(Connection::shutDownOutput);
     }
 
     /**
-     * Checks whether anybody is connected.
+     * Checks whether there are no open connections.
      *
-     * @return true if nobody is
+     * @return true if no peer is connected
      */
     public boolean hasNoConnections() {
         return connections.isEmpty();
     }
 
     /**
-     * Waits until all connections that were made before this call have been accepted. The system
-     * makes connections before they are accepted, and resets those when the listener closes. A
-     * connection to itself is accepted after all of them.
+     * Waits until all connections that were established before this call have been accepted. The
+     * operating system establishes connections before they are accepted, and resets those that are
+     * still pending when the listening socket is closed. This method opens a connection to the
+     * server itself, which is accepted after all earlier ones.
      *
-     * @param timeoutMillis how long it may take, in milliseconds
+     * @param timeoutMillis the maximum time to wait, in milliseconds
      * @throws InterruptedException if the thread is interrupted
      */
     public void awaitPendingAccepts(long timeoutMillis) throws InterruptedException {
-        try (Socket last = new Socket()) {
-            last.bind(null);
+        try (Socket ownSocket = new Socket()) {
+            ownSocket.bind(null);
             CountDownLatch accepted = new CountDownLatch(1);
-            ownPorts.put(last.getLocalPort(), accepted);
+            ownPorts.put(ownSocket.getLocalPort(), accepted);
             try {
-                last.connect(listener.getLocalSocketAddress(), (int) timeoutMillis);
+                ownSocket.connect(listener.getLocalSocketAddress(), (int) timeoutMillis);
                 accepted.await(timeoutMillis, TimeUnit.MILLISECONDS);
             } finally {
-                ownPorts.remove(last.getLocalPort());
+                ownPorts.remove(ownSocket.getLocalPort());
             }
-        } catch (IOException closedOrFull) {
-            LOG.info("await-accepts-failed").with("cause", closedOrFull).write();
+        } catch (IOException failure) {
+            LOG.info("await-accepts-failed").with("cause", failure).write();
         }
     }
 
@@ -193,22 +194,25 @@
     }
 
     // -----------------------------------------------------------------------
-    private void acceptAll() {
+    private void acceptConnections() {
         while (!listener.isClosed()) {
             try {
                 accept(listener.accept());
-            } catch (IOException | StandlinkException ended) {
-                // A peer that left at once is passed over; a closed listener ends the loop.
+            } catch (IOException | StandlinkException ignored) {
+                // A peer that has already disconnected is ignored; a closed listener ends the loop.
                 continue;
             } catch (RuntimeException | Error thrown) {
-                // Whoever connects next must still be heard.
+                // Later connections must still be accepted.
                 WorkFailures.note("accept", thrown);
             }
         }
     }
 
-    /** Takes a connection of this process to itself, which only tells that earlier ones are in. */
-    private boolean isOwn(Socket socket) throws IOException {
+    /**
+     * Handles a connection of this process to itself, which shows that all earlier connections have
+     * been accepted.
+     */
+    private boolean isOwnConnection(Socket socket) throws IOException {
         CountDownLatch accepted = ownPorts.get(socket.getPort());
         if (accepted == null || !socket.getInetAddress().equals(socket.getLocalAddress())) {
             return false;
@@ -219,7 +223,7 @@
     }
 
     private void accept(Socket socket) throws IOException {
-        if (isOwn(socket)) {
+        if (isOwnConnection(socket)) {
             return;
         }
         Connection[] self = new Connection[1];
@@ -227,14 +231,14 @@
         self[0] = connection;
         connections.add(connection);
         if (closed) {
-            // A thread that waits in accept may still get one connection after the close.
+            // A thread that waits in accept may still receive one connection after the close.
             connection.close();
             return;
         }
         connection.send(hello);
         connection.start(executor);
         if (leaving) {
-            connection.announceLeaving(LEAVE_MILLIS);
+            connection.announceLeaving(LEAVE_TIMEOUT_MILLIS);
         }
     }
 }
--- a/src/main/java/org/standlink/wire/WorkerReport.java
+++ b/src/main/java/org/standlink/wire/WorkerReport.java
@@ -23,23 +23,23 @@
 import org.standlink.job.WorkerDescription;
 
 /**
- * What an agent tells of one worker.
+ * The state of one worker as reported by its agent.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code WorkerReport} is thread-safe and immutable.
  *
- * @param worker what the worker said of itself last
+ * @param worker the description that the worker last sent
  * @param reachable whether the worker answered the last call
- * @param lapsed whether all that ran there is surely over, since the worker's lease has run out
- * @param runsKnown whether the agent has asked the worker what it runs
- * @param running what runs
- * @param ended the ends that have not been recorded yet
- * @param refused runs that were surely not started
- * @param gone runs that were stopped and are not there any more, without an end
- * @param throttled the best-effort images whose runs may not work all the time
- * @param listsComplete whether the lists are whole and were given under the fence that the report
- *     names, so that the worker refuses all that was ordered before
+ * @param lapsed whether all runs of the worker have certainly ended because its lease expired
+ * @param runsKnown whether the agent has received the worker's list of runs
+ * @param running the runs that are running
+ * @param ended the run ends that have not been recorded yet
+ * @param refused the runs that have certainly not been started
+ * @param gone the runs that were stopped and no longer exist, without an end
+ * @param throttled the best-effort images whose runs are throttled
+ * @param listsComplete whether the lists are complete and were received under the fence named by
+ *     the report, so that the worker refuses all earlier orders
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record WorkerReport(
--- a/src/test/java/org/standlink/entry/TestCallerServer.java
+++ b/src/test/java/org/standlink/entry/TestCallerServer.java
@@ -25,7 +25,7 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Tests how a caller's header is read. */
+/** Tests the parsing of request headers by {@link CallerServer}. */
 public class TestCallerServer {
 
     @Test
@@ -37,10 +37,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"zzz", "-5", "0", "1.5", "3600001", ""})
     public void rejectsAnInvalidWaitHeaderWithItsRange(String header) {
-        StandlinkException refused =
+        StandlinkException rejected =
                 assertThrows(StandlinkException.class, () -> CallerServer.parseWaitMillis(header));
-        assertEquals(ErrorCode.INVALID_MESSAGE, refused.getCode());
-        assertTrue(refused.getMessage().contains(CallerServer.WAIT_HEADER));
-        assertTrue(refused.getMessage().contains("milliseconds"));
+        assertEquals(ErrorCode.INVALID_MESSAGE, rejected.getCode());
+        assertTrue(rejected.getMessage().contains(CallerServer.WAIT_HEADER));
+        assertTrue(rejected.getMessage().contains("milliseconds"));
     }
 }
--- a/src/test/java/org/standlink/entry/TestRequestRouter.java
+++ b/src/test/java/org/standlink/entry/TestRequestRouter.java
@@ -48,10 +48,10 @@
 import org.standlink.wire.OutcomeQuery;
 import org.standlink.wire.WireServer;
 
-/** Tests what the entry tells callers, over real connections to scripted agents. */
+/** Tests the answers of {@link RequestRouter}, over real connections to scripted agents. */
 public class TestRequestRouter {
 
-    /** Answers a message in a scripted way. */
+    /** The scripted behaviour of an agent for each message. */
     @FunctionalInterface
     private interface Script {
 
@@ -88,7 +88,7 @@
                             (connection, call, message) ->
                                     scripts[index].handle(connection, call, message));
             servers.add(server);
-            scripts[i] = answers("vm-" + (i + 1));
+            scripts[i] = answersWithBody("vm-" + (i + 1));
             bundle = bundle.replace("127.0.0.1:700" + (i + 1), "127.0.0.1:" + server.getPort());
         }
         holder.offer(Fixtures.signed(bundle), BundleVersion.of(1));
@@ -120,24 +120,24 @@
         executor.shutdownNow();
     }
 
-    private Script answers(String body) {
+    private Script answersWithBody(String body) {
         return (connection, call, message) -> {
             runs.incrementAndGet();
-            connection.answer(call, answered(body));
+            connection.answer(call, createAnswered(body));
         };
     }
 
-    private static ForwardAnswer answered(String body) {
+    private static ForwardAnswer createAnswered(String body) {
         return new ForwardAnswer(Outcome.ANSWERED, 200, Map.of(), body.getBytes(), "", 0, 0);
     }
 
-    private static ForwardAnswer said(Outcome outcome) {
+    private static ForwardAnswer createAnswer(Outcome outcome) {
         return new ForwardAnswer(
                 outcome, 0, Map.of(), new byte[0], outcome + " for the test", 2500, 0);
     }
 
-    private static Script says(Outcome outcome) {
-        return (connection, call, message) -> connection.answer(call, said(outcome));
+    private static Script answersWith(Outcome outcome) {
+        return (connection, call, message) -> connection.answer(call, createAnswer(outcome));
     }
 
     private RoutedAnswer send(String method) {
@@ -161,7 +161,7 @@
 
     @Test
     void retriesElsewhereARequestThatDidNotRun() {
-        scripts[0] = says(Outcome.NOT_RUN);
+        scripts[0] = answersWith(Outcome.NOT_RUN);
         RoutedAnswer answer = send("POST");
         assertEquals("vm-2", new String(answer.body()));
         assertEquals(1, runs.get());
@@ -170,7 +170,7 @@
     @Test
     void reportsNotRunWithARetryTime() {
         for (int i = 0; i < 3; i++) {
-            scripts[i] = says(Outcome.NOT_RUN);
+            scripts[i] = answersWith(Outcome.NOT_RUN);
         }
         RoutedAnswer answer = send("POST");
         assertEquals(Outcome.NOT_RUN, answer.outcome());
@@ -185,7 +185,7 @@
                     if (message instanceof ForwardRequest) {
                         connection.close();
                     } else if (message instanceof OutcomeQuery) {
-                        connection.answer(call, said(Outcome.NOT_RUN));
+                        connection.answer(call, createAnswer(Outcome.NOT_RUN));
                     }
                 };
         assertEquals("vm-2", new String(send("POST").body()));
@@ -200,7 +200,7 @@
                         runs.incrementAndGet();
                         connection.close();
                     } else {
-                        connection.answer(call, answered("kept"));
+                        connection.answer(call, createAnswered("kept"));
                     }
                 };
         assertEquals("kept", new String(send("POST").body()));
@@ -222,15 +222,15 @@
 
     @Test
     void retriesARepeatableRequestWithUnknownOutcome() {
-        scripts[0] = says(Outcome.UNKNOWN);
+        scripts[0] = answersWith(Outcome.UNKNOWN);
         assertEquals("vm-2", new String(send("GET").body()));
     }
 
     @Test
     void neverReportsNotRunOnceAnAttemptIsUnknown() {
-        scripts[0] = says(Outcome.UNKNOWN);
-        scripts[1] = says(Outcome.NOT_RUN);
-        scripts[2] = says(Outcome.NOT_RUN);
+        scripts[0] = answersWith(Outcome.UNKNOWN);
+        scripts[1] = answersWith(Outcome.NOT_RUN);
+        scripts[2] = answersWith(Outcome.NOT_RUN);
         assertEquals(Outcome.UNKNOWN, send("GET").outcome());
     }
 
@@ -240,24 +240,25 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(home, new String(send("POST", "k").body()));
         }
-        scripts[Integer.parseInt(home.substring(3)) - 1] = says(Outcome.NOT_RUN);
+        scripts[Integer.parseInt(home.substring(3)) - 1] = answersWith(Outcome.NOT_RUN);
         assertEquals(Outcome.NOT_RUN, send("POST", "k").outcome());
     }
 
     @Test
     void givesEachCallerItsOwnAnswerWhenAnswersArriveOutOfOrder() {
-        List<Runnable> held = new ArrayList<>();
+        List<Runnable> pendingAnswers = new ArrayList<>();
         scripts[0] =
                 (connection, call, message) -> {
                     ForwardRequest forward = (ForwardRequest) message;
-                    synchronized (held) {
-                        held.add(
+                    synchronized (pendingAnswers) {
+                        pendingAnswers.add(
                                 () ->
                                         connection.answer(
-                                                call, answered("for " + forward.id().number())));
-                        if (held.size() == 2) {
-                            held.get(1).run();
-                            held.get(0).run();
+                                                call,
+                                                createAnswered("for " + forward.id().number())));
+                        if (pendingAnswers.size() == 2) {
+                            pendingAnswers.get(1).run();
+                            pendingAnswers.get(0).run();
                         }
                     }
                 };
@@ -274,7 +275,7 @@
 
     @Test
     void sendsNothingToAnUpstreamThatIsLeaving() {
-        scripts[0] = says(Outcome.NOT_RUN);
+        scripts[0] = answersWith(Outcome.NOT_RUN);
         servers.get(0).broadcast(new org.standlink.wire.UpstreamLoad(0, true, false));
         while (!directory.getState(VmId.parse("vm-1")).equals("leaving")) {
             Thread.onSpinWait();
--- a/src/test/java/org/standlink/wire/TestWireServer.java
+++ b/src/test/java/org/standlink/wire/TestWireServer.java
@@ -30,26 +30,26 @@
 import org.standlink.VmId;
 
 /**
- * Tests that a server that is about to close knows of the connections that wait to be accepted.
+ * Tests that a server that is about to close waits for connections that are not yet accepted.
  *
- * <p>Seen: beside a load of 14, a leaving agent ended 20 ms after it had been asked to, and reset
- * the connection of an entry whose request it had not read. How it came about: the system had made
- * the connection, and the thread that accepts had not run yet. Cause: a server without accepted
- * connections was taken for one without peers.
+ * <p>Guards against the reset of a connection whose request has not been read. On a machine with a
+ * load average of 14, the operating system had established the connection of an entry, but the
+ * accepting thread of a leaving agent had not run yet. The agent took a server without accepted
+ * connections for one without peers, and ended 20 ms after it had been asked to.
  */
 public class TestWireServer {
 
-    private static final long LONG_MILLIS = 20_000;
-    private static final long SHORT_MILLIS = 200;
+    private static final long TIMEOUT_MILLIS = 20_000;
+    private static final long BLOCKED_MILLIS = 200;
 
-    /** Holds what it is given until a test runs it. */
-    private static final class HeldWork extends AbstractExecutorService {
+    /** Holds submitted tasks until a test runs them. */
+    private static final class ManualExecutor extends AbstractExecutorService {
 
-        private final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
 
         @Override
         public void execute(Runnable command) {
-            held.add(command);
+            tasks.add(command);
         }
 
         @Override
@@ -76,33 +76,33 @@
         }
     }
 
-    private static void await(WireServer server) {
+    private static void awaitPendingAccepts(WireServer server) {
         try {
-            server.awaitPendingAccepts(LONG_MILLIS);
-        } catch (InterruptedException stopped) {
+            server.awaitPendingAccepts(TIMEOUT_MILLIS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Test
     public void waitsForConnectionsThatAreNotYetAccepted() throws Exception {
-        HeldWork work = new HeldWork();
+        ManualExecutor executor = new ManualExecutor();
         try (WireServer server =
                         new WireServer(
                                 new InetSocketAddress("127.0.0.1", 0),
-                                work,
+                                executor,
                                 new Hello(VmId.parse("vm-1"), Incarnation.of(1)),
                                 (connection, call, message) -> {});
                 Socket peer = new Socket("127.0.0.1", server.getPort())) {
-            Thread waiting = new Thread(() -> await(server));
+            Thread waiting = new Thread(() -> awaitPendingAccepts(server));
             waiting.start();
-            waiting.join(SHORT_MILLIS);
+            waiting.join(BLOCKED_MILLIS);
             assertTrue(waiting.isAlive(), "nothing has been accepted yet");
             assertTrue(server.hasNoConnections());
-            Thread accepting = new Thread(work.held.take());
+            Thread accepting = new Thread(executor.tasks.take());
             accepting.setDaemon(true);
             accepting.start();
-            waiting.join(LONG_MILLIS);
+            waiting.join(TIMEOUT_MILLIS);
             assertFalse(waiting.isAlive());
             assertFalse(server.hasNoConnections(), "the peer is known, " + peer);
         }
