--- a/src/main/java/org/standlink/wire/ImageShare.java
+++ b/src/main/java/org/standlink/wire/ImageShare.java
@@ -20,6 +20,8 @@
 /**
  * The share of time during which an agent lets the runs of a best-effort image run.
  *
+ * <p>It is serialised as an array, so new components may only be appended.
+ *
  * <p>{@code ImageShare} is thread-safe and immutable.
  *
  * @param image the image
--- a/src/main/java/org/standlink/wire/Message.java
+++ b/src/main/java/org/standlink/wire/Message.java
@@ -21,8 +21,8 @@
 /**
  * A message between two standlink processes.
  *
- * <p>Implementations are immutable records. The number that identifies a type on the wire is never
- * changed or reused.
+ * <p>Implementations are immutable records. The meaning of the number that identifies a type on the
+ * wire never changes.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.PROPERTY, property = "@")
 @JsonSubTypes({
