--- a/src/main/java/org/standlink/platform/CallerHttpServer.java
+++ b/src/main/java/org/standlink/platform/CallerHttpServer.java
@@ -35,40 +35,41 @@
 import org.standlink.process.RequestBody;
 
 /**
- * Takes callers' jobs and questions over HTTP.
+ * Serves callers over HTTP: submits, queries and cancels jobs.
  *
  * <p>{@code CallerHttpServer} is thread-safe.
  */
 public final class CallerHttpServer implements AutoCloseable {
 
-    /** The header that tells how long a caller waits, in milliseconds. */
+    /** The header with the time for which a caller waits, in milliseconds. */
     private static final String DEADLINE_HEADER = "X-Deadline-Ms";
 
-    /** How long a caller waits that does not say, in milliseconds: a new leader takes 2,000. */
-    private static final long DEADLINE_MILLIS = 3000;
+    /**
+     * How long a caller that does not send this header waits, in milliseconds; longer than a change
+     * of leader, which takes 2,000.
+     */
+    private static final long DEFAULT_DEADLINE_MILLIS = 3000;
 
-    /** The longest body read before there is a configuration, in bytes; what operators allow. */
-    private static final int MOST_BODY_BYTES = 256 * 1024;
+    /**
+     * The maximum body length before a configuration is known, in bytes; the limit that operators
+     * configure.
+     */
+    private static final int DEFAULT_MAX_BODY_BYTES = 256 * 1024;
 
-    /** The server. */
     private final HttpServer server;
-
-    /** What answers. */
     private final JobGateway gateway;
-
-    /** Tells when a planned stop cuts nobody. */
     private final ConnectionDrain drain;
 
-    /** Tells which requests have reached the server. */
+    /** Tracks the requests that have reached the server. */
     private final HttpArrivals arrivals;
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a server and starts to listen.
      *
-     * @param address where to listen
-     * @param executor where threads come from
-     * @param gateway what answers
-     * @param drain tells when a planned stop cuts nobody
+     * @param address the address to listen on
+     * @param executor runs the request handlers
+     * @param gateway answers the requests
+     * @param drain determines when the process can stop without interrupting a request
      */
     public CallerHttpServer(
             InetSocketAddress address,
@@ -78,14 +79,14 @@
         this.gateway = gateway;
         this.drain = drain;
         server = HttpService.newServer(address, executor);
-        // Whether a job was taken is not known if answering it fails.
         arrivals = HttpArrivals.watch(server, executor);
+        // The status is 504 if a handler fails, as the job may have been accepted nevertheless.
         HttpService.serve(server, "/", 504, drain, arrivals, this::handle);
         server.start();
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port on which the server listens.
      *
      * @return the port
      */
@@ -94,9 +95,9 @@
     }
 
     /**
-     * Gets what tells which requests have reached the server.
+     * Gets the requests that have reached the server but are not yet handled.
      *
-     * @return the arrivals
+     * @return the pending arrivals
      */
     public PendingArrivals getPendingArrivals() {
         return arrivals;
@@ -109,17 +110,22 @@
 
     // -----------------------------------------------------------------------
     private void handle(HttpExchange exchange) throws IOException {
-        int most = gateway.getMaxBodyBytes().orElse(MOST_BODY_BYTES);
-        Optional<byte[]> body = RequestBody.read(exchange, most);
+        int maxBytes = gateway.getMaxBodyBytes().orElse(DEFAULT_MAX_BODY_BYTES);
+        Optional<byte[]> body = RequestBody.read(exchange, maxBytes);
         JobReply reply =
-                body.isEmpty() ? tooLong(exchange, most) : reply(exchange, body.orElseThrow());
+                body.isEmpty()
+                        ? rejectTooLong(exchange, maxBytes)
+                        : reply(exchange, body.orElseThrow());
         write(exchange, reply);
     }
 
-    /** What was not read of the body would be taken for the next request. */
-    private static JobReply tooLong(HttpExchange exchange, int most) {
+    /**
+     * Closes the connection, as the unread part of the body would be parsed as the next request.
+     */
+    private static JobReply rejectTooLong(HttpExchange exchange, int maxBytes) {
         exchange.getResponseHeaders().set("Connection", "close");
-        return JobReply.of(413, "the body is longer than " + most + " bytes; send a shorter one");
+        return JobReply.of(
+                413, "the body is longer than " + maxBytes + " bytes; send a shorter one");
     }
 
     private JobReply reply(HttpExchange exchange, byte[] body) {
@@ -129,39 +135,42 @@
                 host,
                 path,
                 queue -> {
-                    String rest = path.substring(queue.pathPrefix().length());
-                    return call(exchange, rest, queue.name(), body);
+                    String idText = path.substring(queue.pathPrefix().length());
+                    return decodeCall(exchange, idText, queue.name(), body);
                 });
     }
 
-    private static JobCall call(HttpExchange exchange, String rest, String queue, byte[] body) {
+    private static JobCall decodeCall(
+            HttpExchange exchange, String idText, String queue, byte[] body) {
         String method = exchange.getRequestMethod();
-        long wait = waitMillis(exchange);
-        if (rest.isEmpty()) {
-            return new JobCall(method.equals("GET") ? JobCall.Kind.COUNT : null, null, null, wait);
+        long waitMillis = parseWaitMillis(exchange);
+        if (idText.isEmpty()) {
+            return new JobCall(
+                    method.equals("GET") ? JobCall.Kind.COUNT : null, null, null, waitMillis);
         }
-        JobId id = JobId.parse(rest);
+        JobId id = JobId.parse(idText);
         return switch (method) {
             case "POST" ->
-                    new JobCall(JobCall.Kind.SUBMIT, id, JobFormat.decode(id, queue, body), wait);
-            case "GET" -> new JobCall(JobCall.Kind.STATE, id, null, wait);
-            case "DELETE" -> new JobCall(JobCall.Kind.CANCEL, id, null, wait);
-            default -> new JobCall(null, id, null, wait);
+                    new JobCall(
+                            JobCall.Kind.SUBMIT, id, JobFormat.decode(id, queue, body), waitMillis);
+            case "GET" -> new JobCall(JobCall.Kind.STATE, id, null, waitMillis);
+            case "DELETE" -> new JobCall(JobCall.Kind.CANCEL, id, null, waitMillis);
+            default -> new JobCall(null, id, null, waitMillis);
         };
     }
 
-    private static long waitMillis(HttpExchange exchange) {
+    private static long parseWaitMillis(HttpExchange exchange) {
         String header = exchange.getRequestHeaders().getFirst(DEADLINE_HEADER);
         if (header == null) {
-            return DEADLINE_MILLIS;
+            return DEFAULT_DEADLINE_MILLIS;
         }
         try {
             return Math.max(1, Long.parseLong(header.trim()));
         } catch (NumberFormatException malformed) {
             throw new StandlinkException(
                     org.standlink.ErrorCode.INVALID_MESSAGE,
-                    DEADLINE_HEADER + " '" + header + "' is not a number",
-                    "write whole milliseconds, 1 or more");
+                    DEADLINE_HEADER + " '" + header + "' is not a whole number",
+                    "send whole milliseconds, 1 or more");
         }
     }
 
@@ -174,12 +183,12 @@
             exchange.getResponseHeaders().set("Retry-After", seconds);
         }
         exchange.getResponseHeaders().set("Content-Type", "application/json");
-        byte[] body = Json.write(body(reply));
+        byte[] body = Json.write(encodeBody(reply));
         exchange.sendResponseHeaders(reply.status(), body.length);
         exchange.getResponseBody().write(body);
     }
 
-    private static ObjectNode body(JobReply reply) {
+    private static ObjectNode encodeBody(JobReply reply) {
         ObjectNode body = Json.newObject();
         if (reply.state() != null) {
             body.put("state", reply.state().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/org/standlink/platform/ConfigurationFormat.java
+++ b/src/main/java/org/standlink/platform/ConfigurationFormat.java
@@ -24,23 +24,22 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * Reads what the operator publishes.
+ * Decodes the configuration that the operator publishes.
  *
  * <p>{@code ConfigurationFormat} is thread-safe and immutable.
  */
 public final class ConfigurationFormat {
 
-    /** The key of the newest configuration. */
+    /** The key of the configuration. */
     private static final String CONFIGURATION_KEY = "config";
 
-    /** No instances. */
     private ConfigurationFormat() {}
 
     /**
-     * Reads a record.
+     * Decodes a record.
      *
      * @param record the record
-     * @return the configuration, empty if the record holds something else
+     * @return the configuration, empty if the record has another key or no value
      */
     public static Optional<Configuration> decode(KeyedRecord record) {
         if (!record.key().equals(CONFIGURATION_KEY) || record.value().length == 0) {
@@ -48,22 +47,22 @@
         }
         JsonNode body = Json.read(record.value());
         List<QueueDefinition> queues = new ArrayList<>();
-        body.path("routes").forEach(route -> queues.add(queue(route)));
-        List<String> unguarded = new ArrayList<>();
+        body.path("routes").forEach(route -> queues.add(decodeQueue(route)));
+        List<String> unguardedServices = new ArrayList<>();
         for (JsonNode service : body.path("services")) {
             if (!service.path("enforces_capacity").asBoolean()) {
-                unguarded.add(service.path("name").asText());
+                unguardedServices.add(service.path("name").asText());
             }
         }
         return Optional.of(
                 new Configuration(
                         body.path("version").asLong(),
                         queues,
-                        unguarded,
+                        unguardedServices,
                         body.path("limits").path("max_body_bytes").asInt()));
     }
 
-    private static QueueDefinition queue(JsonNode route) {
+    private static QueueDefinition decodeQueue(JsonNode route) {
         return new QueueDefinition(
                 route.path("name").asText(),
                 route.path("host").asText(),
--- a/src/main/java/org/standlink/platform/EvacuationFormat.java
+++ b/src/main/java/org/standlink/platform/EvacuationFormat.java
@@ -21,31 +21,31 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * Reads requests of the operator to evacuate halls.
+ * Decodes the operator's requests to evacuate halls.
  *
  * <p>{@code EvacuationFormat} is thread-safe and immutable.
  */
 public final class EvacuationFormat {
 
-    /** The start of the keys; the name of the hall follows. */
-    private static final String KEY_START = "evacuate/";
+    /** The prefix of the keys; the name of the hall follows. */
+    private static final String KEY_PREFIX = "evacuate/";
 
-    /** No instances. */
     private EvacuationFormat() {}
 
     /**
-     * Reads a record. The key alone carries the request; a record without a value ends it.
+     * Decodes a record. The request is contained in the key alone; a record without a value revokes
+     * it.
      *
      * @param record the record
-     * @return the change, empty if the record holds something else
-     * @throws org.standlink.StandlinkException with code INVALID_IDENTIFIER if the key names no
-     *     hall
+     * @return the change, empty if the record has another kind of key
+     * @throws org.standlink.StandlinkException with code INVALID_IDENTIFIER if the key does not
+     *     contain a valid hall name
      */
     public static Optional<EvacuationChange> decode(KeyedRecord record) {
-        if (!record.key().startsWith(KEY_START)) {
+        if (!record.key().startsWith(KEY_PREFIX)) {
             return Optional.empty();
         }
-        HallId hall = HallId.parse(record.key().substring(KEY_START.length()));
+        HallId hall = HallId.parse(record.key().substring(KEY_PREFIX.length()));
         return Optional.of(new EvacuationChange(hall, record.value().length > 0));
     }
 }
--- a/src/main/java/org/standlink/platform/HeartbeatFormat.java
+++ b/src/main/java/org/standlink/platform/HeartbeatFormat.java
@@ -27,70 +27,69 @@
 import org.standlink.job.WorkerId;
 
 /**
- * Reads heartbeats of workers.
+ * Decodes heartbeats of workers.
  *
- * <p>All that is always sent has to be there, in its type: what comes from another writer, or cut
- * short, names no worker that may be used. What is not known is passed over.
+ * <p>All mandatory fields must be present and of their type: a heartbeat that is truncated or comes
+ * from another kind of sender does not describe a usable worker. Unknown fields are ignored.
  *
  * <p>{@code HeartbeatFormat} is thread-safe and immutable.
  */
 final class HeartbeatFormat {
 
-    /** The state of a worker that may be given runs. */
+    /** The state of a worker that accepts runs. */
     private static final String READY = "ready";
 
-    /** The state of a worker that is about to leave. */
+    /** The state of a worker that is about to shut down. */
     private static final String DRAINING = "draining";
 
-    /** The fields that are always texts, besides those that are read. */
-    private static final Set<String> OTHER_TEXTS = Set.of("version");
+    /** The mandatory text fields that are validated but not used. */
+    private static final Set<String> UNUSED_TEXT_FIELDS = Set.of("version");
 
-    /** The fields that are always whole numbers, besides those that are read. */
-    private static final Set<String> OTHER_NUMBERS = Set.of("slots", "cold_remaining_ms");
+    /** The mandatory integer fields that are validated but not used. */
+    private static final Set<String> UNUSED_INTEGER_FIELDS = Set.of("slots", "cold_remaining_ms");
 
-    /** No instances. */
     private HeartbeatFormat() {}
 
     /**
      * A heartbeat.
      *
-     * @param worker what the worker said of itself
-     * @param sequence the number of the heartbeat in the worker's life
+     * @param worker the description of the worker
+     * @param sequence the sequence number of the heartbeat within the incarnation
      */
     record Heartbeat(WorkerDescription worker, long sequence) {}
 
     /**
-     * Reads a heartbeat.
+     * Decodes a heartbeat.
      *
-     * @param id the id of the worker, as the path names it
+     * @param id the id of the worker, from the path
      * @param body the bytes
      * @return the heartbeat
-     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if anything is
-     *     missing, of another type or not known
+     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if a field is
+     *     missing, of the wrong type or has an invalid value
      */
     static Heartbeat decode(WorkerId id, byte[] body) {
         JsonNode fields = Json.read(body);
-        OTHER_TEXTS.forEach(name -> text(fields, name));
-        OTHER_NUMBERS.forEach(name -> number(fields, name));
-        String state = text(fields, "state");
+        UNUSED_TEXT_FIELDS.forEach(name -> decodeText(fields, name));
+        UNUSED_INTEGER_FIELDS.forEach(name -> decodeInteger(fields, name));
+        String state = decodeText(fields, "state");
         if (!state.equals(READY) && !state.equals(DRAINING)) {
             throw malformed("state");
         }
         WorkerDescription worker =
                 new WorkerDescription(
                         IncarnationFormat.decode(id, fields),
-                        text(fields, "service"),
-                        address(fields),
-                        capacity(fields.path("capacity")),
-                        hall(fields),
-                        labels(fields.path("labels")),
+                        decodeText(fields, "service"),
+                        decodeAddress(fields),
+                        decodeCapacity(fields.path("capacity")),
+                        decodeHall(fields),
+                        decodeLabels(fields.path("labels")),
                         state.equals(DRAINING),
-                        fields.has("remaining_ms") ? number(fields, "remaining_ms") : 0);
-        return new Heartbeat(worker, number(fields, "seq"));
+                        fields.has("remaining_ms") ? decodeInteger(fields, "remaining_ms") : 0);
+        return new Heartbeat(worker, decodeInteger(fields, "seq"));
     }
 
     // -----------------------------------------------------------------------
-    private static String text(JsonNode fields, String name) {
+    private static String decodeText(JsonNode fields, String name) {
         JsonNode field = fields.path(name);
         if (!field.isTextual() || field.textValue().isEmpty()) {
             throw malformed(name);
@@ -98,7 +97,7 @@
         return field.textValue();
     }
 
-    private static long number(JsonNode fields, String name) {
+    private static long decodeInteger(JsonNode fields, String name) {
         JsonNode field = fields.path(name);
         if (!field.isIntegralNumber() || !field.canConvertToLong() || field.longValue() < 0) {
             throw malformed(name);
@@ -106,28 +105,31 @@
         return field.longValue();
     }
 
-    private static String address(JsonNode fields) {
-        String address = text(fields, "address");
+    private static String decodeAddress(JsonNode fields) {
+        String address = decodeText(fields, "address");
         if (!address.matches("[^\\s:/]+:[0-9]{1,5}")) {
             throw malformed("address");
         }
         return address;
     }
 
-    private static Resources capacity(JsonNode room) {
-        return new Resources(number(room, "cpu"), number(room, "mem_mb"), number(room, "gpu"));
+    private static Resources decodeCapacity(JsonNode capacity) {
+        return new Resources(
+                decodeInteger(capacity, "cpu"),
+                decodeInteger(capacity, "mem_mb"),
+                decodeInteger(capacity, "gpu"));
     }
 
-    private static HallId hall(JsonNode fields) {
-        String name = text(fields, "zone");
+    private static HallId decodeHall(JsonNode fields) {
+        String name = decodeText(fields, "zone");
         try {
             return HallId.parse(name);
-        } catch (StandlinkException unknownForm) {
+        } catch (StandlinkException invalidName) {
             throw malformed("zone");
         }
     }
 
-    private static List<String> labels(JsonNode field) {
+    private static List<String> decodeLabels(JsonNode field) {
         if (!field.isArray()) {
             throw malformed("labels");
         }
@@ -144,7 +146,7 @@
     private static StandlinkException malformed(String field) {
         return new StandlinkException(
                 ErrorCode.INVALID_MESSAGE,
-                "a heartbeat whose " + field + " is missing, of another type or not known",
+                "field " + field + " of a heartbeat is missing, of the wrong type or invalid",
                 "check what the worker sends");
     }
 }
--- a/src/main/java/org/standlink/platform/HeartbeatServer.java
+++ b/src/main/java/org/standlink/platform/HeartbeatServer.java
@@ -30,53 +30,51 @@
 import org.standlink.runner.WorkerListener;
 
 /**
- * Takes the heartbeats of the worker on this machine.
+ * Receives the heartbeats of the worker on this machine.
  *
  * <p>{@code HeartbeatServer} is thread-safe.
  */
 public final class HeartbeatServer implements AutoCloseable {
 
-    /** The start of the path, before the id of the worker. */
-    private static final String PATH = "/v1/instances/";
+    /** The prefix of the path; the id of the worker follows. */
+    private static final String PATH_PREFIX = "/v1/instances/";
 
-    /** The longest heartbeat taken, in bytes: some kilobytes of labels, and a lot to spare. */
-    private static final int MOST_BYTES = 65_536;
+    /**
+     * The maximum length of a heartbeat, in bytes: a few kilobytes of labels and ample headroom.
+     */
+    private static final int MAX_BODY_BYTES = 65_536;
 
-    /** The status of a longer one. */
+    /** The HTTP status for a heartbeat that is too long. */
     private static final int TOO_LARGE = 413;
 
-    /** The time between two lines on refused heartbeats, in nanoseconds. */
-    private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** The minimum time between two log lines on refused heartbeats, in nanoseconds. */
+    private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** How much of a worker's name such a line holds. */
-    private static final int MOST_TOLD = 80;
+    /** The maximum length of a worker's id in such a line, in characters. */
+    private static final int MAX_LOGGED_ID_LENGTH = 80;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(HeartbeatServer.class);
 
-    /** The server. */
     private final HttpServer server;
-
-    /** What is told. */
     private final WorkerListener listener;
 
-    /** How many heartbeats were refused; guarded by this. */
-    private long refused;
+    /** The number of refused heartbeats; guarded by this. */
+    private long refusedCount;
 
-    /** When that was told last, by {@link System#nanoTime}; guarded by this. */
-    private long toldNanos;
+    /** When a refused heartbeat was last logged, by {@link System#nanoTime}; guarded by this. */
+    private long lastLoggedNanos;
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a server and starts to listen.
      *
-     * @param address where to listen
-     * @param executor where threads come from
-     * @param listener what is told
+     * @param address the address to listen on
+     * @param executor runs the request handlers
+     * @param listener notified of each heartbeat and departure
      */
     public HeartbeatServer(InetSocketAddress address, Executor executor, WorkerListener listener) {
         this.listener = listener;
         server = HttpService.newServer(address, executor);
-        HttpService.serve(server, PATH, 500, this::handle);
+        HttpService.serve(server, PATH_PREFIX, 500, this::handle);
         server.start();
     }
 
@@ -87,15 +85,15 @@
 
     // -----------------------------------------------------------------------
     private void handle(HttpExchange exchange) throws IOException {
-        Optional<byte[]> body = RequestBody.read(exchange, MOST_BYTES);
+        Optional<byte[]> body = RequestBody.read(exchange, MAX_BODY_BYTES);
         int status = body.isEmpty() ? TOO_LARGE : statusOf(exchange, body.get());
         exchange.sendResponseHeaders(status, -1);
     }
 
     private int statusOf(HttpExchange exchange, byte[] body) {
-        String last = exchange.getRequestURI().getPath().substring(PATH.length());
+        String idText = exchange.getRequestURI().getPath().substring(PATH_PREFIX.length());
         try {
-            WorkerId id = WorkerId.parse(last);
+            WorkerId id = WorkerId.parse(idText);
             switch (exchange.getRequestMethod()) {
                 case "PUT" -> {
                     HeartbeatFormat.Heartbeat heartbeat = HeartbeatFormat.decode(id, body);
@@ -108,21 +106,23 @@
             }
             return 200;
         } catch (StandlinkException malformed) {
-            tellRefused(last, malformed);
+            logRefused(idText, malformed);
             return 400;
         }
     }
 
-    /** Writes a line a second at most, whoever sends such heartbeats. */
-    private synchronized void tellRefused(String worker, StandlinkException cause) {
-        refused++;
+    /** Logs a refused heartbeat, at most one line per second for all senders together. */
+    private synchronized void logRefused(String worker, StandlinkException cause) {
+        refusedCount++;
         long now = System.nanoTime();
-        if (refused == 1 || now - toldNanos >= TELL_NANOS) {
-            toldNanos = now;
+        if (refusedCount == 1 || now - lastLoggedNanos >= LOG_INTERVAL_NANOS) {
+            lastLoggedNanos = now;
             LOG.warning("heartbeat-refused")
-                    .with("worker", worker.substring(0, Math.min(worker.length(), MOST_TOLD)))
+                    .with(
+                            "worker",
+                            worker.substring(0, Math.min(worker.length(), MAX_LOGGED_ID_LENGTH)))
                     .with("cause", cause.getMessage())
-                    .with("refused-so-far", refused)
+                    .with("refused-so-far", refusedCount)
                     .write();
         }
     }
--- a/src/main/java/org/standlink/platform/HttpStore.java
+++ b/src/main/java/org/standlink/platform/HttpStore.java
@@ -35,47 +35,48 @@
 import org.standlink.store.Writer;
 
 /**
- * The platform's store over HTTP.
+ * Client of the platform's store over HTTP.
  *
  * <p>{@code HttpStore} is thread-safe and immutable.
  */
 public final class HttpStore implements KeyedStore {
 
     /**
-     * How long a call may take, in milliseconds: an answer takes 4 ms, and 240 ms when the store is
-     * slowed sixtyfold.
+     * The timeout of a call, in milliseconds: an answer takes 4 ms, and 240 ms when the store is
+     * slowed down sixtyfold.
      */
-    private static final long CALL_MILLIS = 1000;
+    private static final long CALL_TIMEOUT_MILLIS = 1000;
 
     /**
-     * How much longer than it was asked to wait a read may take, in milliseconds: twice what an
-     * answer takes of a store that is slowed sixtyfold.
+     * How much longer than its requested wait a read may take, in milliseconds: twice what an
+     * answer takes from a store that is slowed down sixtyfold.
      */
-    private static final long WAIT_SPARE_MILLIS = 600;
+    private static final long READ_MARGIN_MILLIS = 600;
 
-    /** The name under which the cell's leader appends. */
+    /** The producer name under which the cell's leader appends. */
     private static final String PRODUCER = "leader";
 
-    /** The only partition used of each topic; newest records are kept for partition 0 only. */
-    private static final String PARTITION = "&part=0";
+    /**
+     * Selects partition 0, the only one for which the store retains the newest record of each key.
+     */
+    private static final String PARTITION_PARAMETER = "&part=0";
 
-    /** An offset that no topic reaches: a read from it answers the end and no record. */
-    private static final long BEYOND_ANY_END = 1L << 40;
+    /** An offset beyond the end of any topic: a read from it returns the end and no records. */
+    private static final long OFFSET_BEYOND_END = 1L << 40;
 
-    /** The client. */
-    private final PlatformHttpClient caller;
+    private final PlatformHttpClient client;
 
-    /** Host and port. */
+    /** The host and port of the store. */
     private final String address;
 
     /**
-     * Constructor.
+     * Creates a client of a store.
      *
-     * @param caller the client
-     * @param address host and port
+     * @param client the HTTP client
+     * @param address the host and port of the store
      */
-    public HttpStore(PlatformHttpClient caller, String address) {
-        this.caller = caller;
+    public HttpStore(PlatformHttpClient client, String address) {
+        this.client = client;
         this.address = address;
     }
 
@@ -90,39 +91,45 @@
     public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, Writer writer) {
         long end = writer.expectedEnd();
         String condition = end == Writer.ANYWHERE ? "" : "&at=" + end;
-        String query = producer(writer.epoch()) + "&seq=" + writer.sequence() + condition;
+        String query = producerParameters(writer.epoch()) + "&seq=" + writer.sequence() + condition;
         return append(topic, query, records);
     }
 
     @Override
     public CompletableFuture<Long> fence(Topic topic, Epoch epoch) {
-        return append(topic, producer(epoch), List.of());
+        return append(topic, producerParameters(epoch), List.of());
     }
 
     @Override
     public CompletableFuture<ReadResult> read(Topic topic, long from, long waitMillis) {
         String target =
                 "/v1/log-read?topic="
-                        + name(topic)
-                        + PARTITION
+                        + topicName(topic)
+                        + PARTITION_PARAMETER
                         + "&from="
                         + from
-                        + waitOf(waitMillis);
-        return caller.send(caller.newRequest(address, target, waitMillis + WAIT_SPARE_MILLIS).GET())
+                        + waitParameter(waitMillis);
+        return client.send(
+                        client.newRequest(address, target, waitMillis + READ_MARGIN_MILLIS).GET())
                 .thenApply(
                         response -> {
-                            check(response);
+                            checkStatus(response);
                             return RecordFormat.decodeReadAnswer(response.body(), from);
                         });
     }
 
     @Override
     public CompletableFuture<Long> readEnd(Topic topic) {
-        String target = "/v1/log-read?topic=" + name(topic) + PARTITION + "&from=" + BEYOND_ANY_END;
-        return caller.send(caller.newRequest(address, target, CALL_MILLIS).GET())
+        String target =
+                "/v1/log-read?topic="
+                        + topicName(topic)
+                        + PARTITION_PARAMETER
+                        + "&from="
+                        + OFFSET_BEYOND_END;
+        return client.send(client.newRequest(address, target, CALL_TIMEOUT_MILLIS).GET())
                 .thenApply(
                         response -> {
-                            check(response);
+                            checkStatus(response);
                             return ByteBuffer.wrap(response.body()).getLong();
                         });
     }
@@ -133,7 +140,7 @@
     }
 
     // -----------------------------------------------------------------------
-    private static String name(Topic topic) {
+    private static String topicName(Topic topic) {
         return switch (topic) {
             case CLAIMS -> "keyed.claims";
             case CELL -> "keyed.cell";
@@ -141,34 +148,34 @@
         };
     }
 
-    private static String producer(Epoch epoch) {
+    private static String producerParameters(Epoch epoch) {
         return "&producer=" + PRODUCER + "&epoch=" + epoch.getValue();
     }
 
-    private static String waitOf(long waitMillis) {
+    private static String waitParameter(long waitMillis) {
         return waitMillis == 0 ? "" : "&wait_ms=" + waitMillis;
     }
 
     private CompletableFuture<Long> append(Topic topic, String query, List<KeyedRecord> records) {
-        String target = "/v1/log-append?topic=" + name(topic) + PARTITION + query;
+        String target = "/v1/log-append?topic=" + topicName(topic) + PARTITION_PARAMETER + query;
         HttpRequest.BodyPublisher body =
                 HttpRequest.BodyPublishers.ofByteArray(RecordFormat.encode(records));
-        return caller.send(caller.newRequest(address, target, CALL_MILLIS).POST(body))
+        return client.send(client.newRequest(address, target, CALL_TIMEOUT_MILLIS).POST(body))
                 .thenApply(
                         response -> {
-                            check(response);
+                            checkStatus(response);
                             return Json.read(response.body()).path("end").asLong();
                         });
     }
 
-    /** Reads page after page; the end that the first page names misses nothing. */
+    /** Reads all pages. Reading on from the end that the first page names skips no record. */
     private CompletableFuture<ReadResult> readPages(
             Topic topic, String after, long firstEnd, List<KeyedRecord> found) {
-        String target = "/v1/log-newest?topic=" + name(topic) + PARTITION + after;
-        return caller.send(caller.newRequest(address, target, CALL_MILLIS).GET())
+        String target = "/v1/log-newest?topic=" + topicName(topic) + PARTITION_PARAMETER + after;
+        return client.send(client.newRequest(address, target, CALL_TIMEOUT_MILLIS).GET())
                 .thenCompose(
                         response -> {
-                            check(response);
+                            checkStatus(response);
                             JsonNode page = Json.read(response.body());
                             long end = firstEnd < 0 ? page.path("end").asLong() : firstEnd;
                             String last = addItems(page, found);
@@ -185,7 +192,7 @@
     private static String addItems(JsonNode page, List<KeyedRecord> found) {
         String last = "";
         for (JsonNode item : page.path("items")) {
-            // The field that is named after TLS holds the record's key.
+            // Despite its name, this field contains the record's key.
             last = item.path("tls_key").asText();
             byte[] value = Base64.getDecoder().decode(item.path("value").asText());
             found.add(new KeyedRecord(last, value));
@@ -193,7 +200,7 @@
         return last;
     }
 
-    private static void check(HttpResponse<byte[]> response) {
+    private static void checkStatus(HttpResponse<byte[]> response) {
         int status = response.statusCode();
         if (status == 200) {
             return;
@@ -208,27 +215,33 @@
                         ? new StandlinkException(
                                 ErrorCode.EPOCH_FENCED, problem, "stop leading the cell")
                         : new StandlinkException(
-                                ErrorCode.INTERNAL, problem, "report a defect of the numbering");
+                                ErrorCode.INTERNAL,
+                                problem,
+                                "report a defect: the sequence numbers are inconsistent");
             }
             case 410 ->
                     throw new StandlinkException(
                             ErrorCode.LOG_GAP, problem, "read the newest record of each key");
             case 412 ->
                     throw new StandlinkException(
-                            ErrorCode.CONDITION_FAILED, problem, "read what was written meanwhile");
+                            ErrorCode.CONDITION_FAILED,
+                            problem,
+                            "read the records that were written in the meantime");
             default ->
                     throw new StandlinkException(
-                            ErrorCode.PLATFORM_UNAVAILABLE, problem, "try again later");
+                            ErrorCode.PLATFORM_UNAVAILABLE, problem, "retry later");
         }
     }
 
-    /** The binary form of records: lengths of four bytes, keys with a length of one byte. */
+    /** The binary format of records, with four-byte record lengths and one-byte key lengths. */
     static final class RecordFormat {
 
-        /** Where the records of an answer begin: behind its end and its first offset. */
+        /**
+         * The length of the header of a read answer: the end and the first retained offset of the
+         * topic.
+         */
         static final int HEADER_BYTES = 16;
 
-        /** No instances. */
         private RecordFormat() {}
 
         /**
@@ -252,11 +265,11 @@
         }
 
         /**
-         * Decodes the answer to a read.
+         * Decodes a read answer.
          *
          * @param body the answer
-         * @param from the offset that was asked for
-         * @return the records
+         * @param from the offset that was requested
+         * @return the records and the offset that follows them
          */
         static ReadResult decodeReadAnswer(byte[] body, long from) {
             ByteBuffer bytes = ByteBuffer.wrap(body);
@@ -268,7 +281,7 @@
         /**
          * Decodes records.
          *
-         * @param bytes the records, and nothing behind them
+         * @param bytes the records, without anything after them
          * @return the records
          */
         static List<KeyedRecord> decodeRecords(ByteBuffer bytes) {
--- a/src/main/java/org/standlink/platform/HttpWorkerClient.java
+++ b/src/main/java/org/standlink/platform/HttpWorkerClient.java
@@ -39,35 +39,34 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * The calls of a worker over HTTP.
+ * Client of workers over HTTP.
  *
  * <p>{@code HttpWorkerClient} is thread-safe and immutable.
  */
 public final class HttpWorkerClient implements WorkerClient {
 
-    /** How long a call may take, in milliseconds; the worker is beside and answers in about 10. */
-    private static final long CALL_MILLIS = 500;
+    /** The timeout of a call, in milliseconds; a worker on the same machine answers in about 10. */
+    private static final long CALL_TIMEOUT_MILLIS = 500;
 
-    /** The header that names the worker that a call is meant for, by its id alone. */
-    private static final String LIFE_HEADER = "X-Expect-Instance";
+    /** The header with the id of the addressed worker; it does not contain the start time. */
+    private static final String WORKER_ID_HEADER = "X-Expect-Instance";
 
-    /** The client. */
-    private final PlatformHttpClient caller;
+    private final PlatformHttpClient client;
 
     /**
-     * Constructor.
+     * Creates a client.
      *
-     * @param caller the client
+     * @param client the HTTP client
      */
-    public HttpWorkerClient(PlatformHttpClient caller) {
-        this.caller = caller;
+    public HttpWorkerClient(PlatformHttpClient client) {
+        this.client = client;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public CompletableFuture<CallResult> start(
             WorkerDescription worker, StartOrder order, long leaseUntil, Fence fence) {
-        ObjectNode body = run(order.run(), fence);
+        ObjectNode body = newRunBody(order.run(), fence);
         body.put("spec", order.specification());
         body.put("until_ms", leaseUntil);
         if (!order.checkpoint().isEmpty()) {
@@ -78,13 +77,13 @@
 
     @Override
     public CompletableFuture<CallResult> stop(WorkerDescription worker, RunId run, Fence fence) {
-        return call(worker, "/v1/run-stop", run(run, fence));
+        return call(worker, "/v1/run-stop", newRunBody(run, fence));
     }
 
     @Override
     public CompletableFuture<CallResult> throttle(
             WorkerDescription worker, RunId run, int percent, Fence fence) {
-        ObjectNode body = run(run, fence);
+        ObjectNode body = newRunBody(run, fence);
         body.put("percent", percent);
         return call(worker, "/v1/pace", body);
     }
@@ -101,23 +100,23 @@
             body.put("until_ms", leaseUntil);
         }
         body.put("fencing_token", fence.toToken());
-        // The name means the last end that was recorded, not merely read.
+        // Despite its name, this is the last end that was recorded, not the last one that was read.
         body.put("last_seen", recordedEnd);
         if (waitMillis > 0) {
             body.put("wait_ms", waitMillis);
         }
-        return post(worker, "/v1/hold", body, CALL_MILLIS + waitMillis)
+        return post(worker, "/v1/hold", body, CALL_TIMEOUT_MILLIS + waitMillis)
                 .handle(
                         (response, failure) ->
                                 failure == null
-                                        ? renewalResult(worker, response)
+                                        ? decodeRenewal(worker, response)
                                         : noAnswer(failure))
-                // An answer that cannot be read is none: whoever waits must go on asking.
+                // A malformed answer counts as none: without a result, the renewal loop would end.
                 .exceptionally(HttpWorkerClient::noAnswer);
     }
 
     // -----------------------------------------------------------------------
-    private static ObjectNode run(RunId run, Fence fence) {
+    private static ObjectNode newRunBody(RunId run, Fence fence) {
         ObjectNode body = Json.newObject();
         body.put("task", run.task().toString());
         body.put("run_id", run.number());
@@ -127,25 +126,25 @@
 
     private CompletableFuture<CallResult> call(
             WorkerDescription worker, String path, ObjectNode body) {
-        return post(worker, path, body, CALL_MILLIS)
+        return post(worker, path, body, CALL_TIMEOUT_MILLIS)
                 .handle(
                         (response, failure) ->
-                                failure == null ? result(response) : unknown(failure));
+                                failure == null ? decodeResult(response) : unknownOutcome(failure));
     }
 
     private CompletableFuture<HttpResponse<byte[]>> post(
             WorkerDescription worker, String path, ObjectNode body, long timeoutMillis) {
         HttpRequest.Builder request =
-                caller.newRequest(worker.address(), path, timeoutMillis)
+                client.newRequest(worker.address(), path, timeoutMillis)
                         .header("Content-Type", "application/json")
-                        .header(LIFE_HEADER, worker.incarnation().getId().toString())
+                        .header(WORKER_ID_HEADER, worker.incarnation().getId().toString())
                         .POST(HttpRequest.BodyPublishers.ofByteArray(Json.write(body)));
-        return caller.send(request);
+        return client.send(request);
     }
 
-    private static CallResult unknown(Throwable failure) {
+    private static CallResult unknownOutcome(Throwable failure) {
         if (WorkFailures.causeOf(failure) instanceof Error error) {
-            // The worker may have heard; that it is this process that fails must not go unseen.
+            // The worker may have received the call; the failure of this process is logged.
             WorkFailures.note("worker-call", error);
         }
         return new CallResult(
@@ -153,38 +152,38 @@
     }
 
     private static RenewalResult noAnswer(Throwable failure) {
-        return RenewalResult.notDone(unknown(failure));
+        return RenewalResult.notDone(unknownOutcome(failure));
     }
 
-    private static CallResult result(HttpResponse<byte[]> response) {
+    private static CallResult decodeResult(HttpResponse<byte[]> response) {
         int status = response.statusCode();
-        JsonNode body = body(response);
+        JsonNode body = decodeBody(response);
         long clock = body.path("clock_ms").asLong(-1);
         String reason = body.path("reason").asText("");
-        return new CallResult(kind(status, reason), clock, status + " " + reason);
+        return new CallResult(kindOf(status, reason), clock, status + " " + reason);
     }
 
-    private static JsonNode body(HttpResponse<byte[]> response) {
+    private static JsonNode decodeBody(HttpResponse<byte[]> response) {
         try {
             return Json.read(response.body());
         } catch (StandlinkException notJson) {
-            // An error page has no clock and no reason; the status says enough.
+            // An error page contains neither clock nor reason; the status is sufficient.
             return Json.newObject();
         }
     }
 
-    private static CallResult.Kind kind(int status, String reason) {
+    private static CallResult.Kind kindOf(int status, String reason) {
         return switch (status) {
             case 200 -> CallResult.Kind.DONE;
             case 400 -> CallResult.Kind.INVALID;
             case 421 -> CallResult.Kind.OTHER_LIFE;
             case 429, 503 -> CallResult.Kind.UNWELL;
-            case 409 -> conflict(reason);
+            case 409 -> kindOfConflict(reason);
             default -> CallResult.Kind.UNKNOWN;
         };
     }
 
-    private static CallResult.Kind conflict(String reason) {
+    private static CallResult.Kind kindOfConflict(String reason) {
         return switch (reason) {
             case "fence" -> CallResult.Kind.FENCED;
             case "old" -> CallResult.Kind.SUPERSEDED;
@@ -193,19 +192,19 @@
         };
     }
 
-    private static RenewalResult renewalResult(
-            WorkerDescription asked, HttpResponse<byte[]> response) {
-        CallResult result = result(response);
+    private static RenewalResult decodeRenewal(
+            WorkerDescription called, HttpResponse<byte[]> response) {
+        CallResult result = decodeResult(response);
         if (result.kind() != CallResult.Kind.DONE) {
             return RenewalResult.notDone(result);
         }
-        JsonNode body = body(response);
-        WorkerIncarnation life = IncarnationFormat.decodeAnswer(asked.incarnation(), body);
+        JsonNode body = decodeBody(response);
+        WorkerIncarnation incarnation = IncarnationFormat.decodeAnswer(called.incarnation(), body);
         List<RunProgress> running = new ArrayList<>();
         for (JsonNode row : body.path("running")) {
             running.add(
                     new RunProgress(
-                            runId(row.path(0), row.path(1)),
+                            decodeRunId(row.path(0), row.path(1)),
                             row.path(2).asText(""),
                             row.path(3).asInt(),
                             row.path(4).asLong()));
@@ -215,14 +214,14 @@
             ended.add(
                     new RunEnd(
                             row.path(0).asLong(),
-                            runId(row.path(1), row.path(2)),
+                            decodeRunId(row.path(1), row.path(2)),
                             RunEndKind.valueOf(row.path(3).asText().toUpperCase(Locale.ROOT)),
                             row.path(4).asText("")));
         }
-        return new RenewalResult(result, life, running, ended);
+        return new RenewalResult(result, incarnation, running, ended);
     }
 
-    private static RunId runId(JsonNode task, JsonNode number) {
+    private static RunId decodeRunId(JsonNode task, JsonNode number) {
         return new RunId(TaskName.parse(task.asText()), number.asInt());
     }
 }
--- a/src/main/java/org/standlink/platform/IncarnationFormat.java
+++ b/src/main/java/org/standlink/platform/IncarnationFormat.java
@@ -22,54 +22,57 @@
 import org.standlink.job.WorkerIncarnation;
 
 /**
- * Reads which life of a worker speaks.
+ * Decodes the incarnation of the worker that sent a message.
  *
  * <p>{@code IncarnationFormat} is thread-safe and immutable.
  */
 final class IncarnationFormat {
 
-    /** The field with the birth. */
-    private static final String BIRTH = "born";
+    private static final String START_TIME_FIELD = "born";
 
-    /** No instances. */
     private IncarnationFormat() {}
 
     /**
-     * Reads the life that speaks; a worker that tells no birth has another id in each life.
+     * Decodes the incarnation that sent a message. Workers that send no start time use a new id for
+     * each incarnation.
      *
      * @param id the id of the worker
-     * @param fields what it said
-     * @return the life
-     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the birth is
-     *     there and not a whole number of milliseconds: what the worker says then counts for none
-     *     of its lives
+     * @param fields the message
+     * @return the incarnation
+     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the start
+     *     time is present but not a whole number of milliseconds; the message then applies to no
+     *     incarnation
      */
     static WorkerIncarnation decode(WorkerId id, JsonNode fields) {
-        return fields.has(BIRTH)
-                ? WorkerIncarnation.of(id, birth(fields.path(BIRTH)))
+        return fields.has(START_TIME_FIELD)
+                ? WorkerIncarnation.of(id, decodeStartTime(fields.path(START_TIME_FIELD)))
                 : WorkerIncarnation.withoutStartTime(id);
     }
 
     /**
-     * Reads which life of a worker answers.
+     * Decodes the incarnation that sent an answer.
      *
-     * @param asked the life that was asked
-     * @param fields what it said
-     * @return the life
-     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the birth is
-     *     not a whole number of milliseconds, or missing though the worker has told one before
+     * @param called the incarnation that was called
+     * @param fields the answer
+     * @return the incarnation that answered
+     * @throws StandlinkException with code INVALID_MESSAGE, which names the field, if the start
+     *     time is not a whole number of milliseconds, or is missing although the worker has sent
+     *     one before
      */
-    static WorkerIncarnation decodeAnswer(WorkerIncarnation asked, JsonNode fields) {
-        return asked.hasStartTime()
-                ? WorkerIncarnation.of(asked.getId(), birth(fields.path(BIRTH)))
-                : decode(asked.getId(), fields);
+    static WorkerIncarnation decodeAnswer(WorkerIncarnation called, JsonNode fields) {
+        return called.hasStartTime()
+                ? WorkerIncarnation.of(
+                        called.getId(), decodeStartTime(fields.path(START_TIME_FIELD)))
+                : decode(called.getId(), fields);
     }
 
-    private static long birth(JsonNode field) {
+    private static long decodeStartTime(JsonNode field) {
         if (!field.isIntegralNumber() || !field.canConvertToLong() || field.longValue() < 0) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
-                    "a worker's " + BIRTH + " is missing or not a whole number",
+                    "field "
+                            + START_TIME_FIELD
+                            + " of a worker is missing or not a non-negative whole number",
                     "check what the worker sends");
         }
         return field.longValue();
--- a/src/main/java/org/standlink/platform/JobFormat.java
+++ b/src/main/java/org/standlink/platform/JobFormat.java
@@ -26,32 +26,31 @@
 import org.standlink.job.StepDefinition;
 
 /**
- * Reads the body of a submitted job.
+ * Decodes the body of a submitted job.
  *
  * <p>{@code JobFormat} is thread-safe and immutable.
  */
 final class JobFormat {
 
-    /** No instances. */
     private JobFormat() {}
 
     /**
-     * Reads a job.
+     * Decodes a job.
      *
-     * @param id the identifier that the caller chose
+     * @param id the identifier chosen by the caller
      * @param queue the name of the queue
      * @param body the body
      * @return the job
-     * @throws StandlinkException with code INVALID_MESSAGE if it is not a job
+     * @throws StandlinkException with code INVALID_MESSAGE if the body is not a valid job
      */
     static JobDefinition decode(JobId id, String queue, byte[] body) {
         JsonNode job = Json.read(body);
         List<StepDefinition> steps = new ArrayList<>();
         for (JsonNode step : job.path("steps")) {
-            steps.add(step(step, steps.size()));
+            steps.add(decodeStep(step, steps.size()));
         }
         if (steps.isEmpty()) {
-            throw invalid("the job has no steps", "name one step at least");
+            throw invalid("the job has no steps", "define at least one step");
         }
         return new JobDefinition(
                 id,
@@ -63,17 +62,19 @@
                 job.path("repeat_count").asInt());
     }
 
-    private static StepDefinition step(JsonNode step, int number) {
+    private static StepDefinition decodeStep(JsonNode step, int number) {
         List<Integer> after = new ArrayList<>();
-        for (JsonNode earlier : step.path("after")) {
-            if (earlier.asInt() < 0 || earlier.asInt() >= number) {
-                throw invalid("step " + number + " is after " + earlier, "name earlier steps");
+        for (JsonNode dependency : step.path("after")) {
+            if (dependency.asInt() < 0 || dependency.asInt() >= number) {
+                throw invalid(
+                        "step " + number + " depends on " + dependency,
+                        "list only earlier steps in 'after'");
             }
-            after.add(earlier.asInt());
+            after.add(dependency.asInt());
         }
         return new StepDefinition(
                 Math.max(1, step.path("count").asInt(1)),
-                resources(step),
+                decodeResources(step),
                 step.path("estimated_ms").asLong(),
                 after,
                 step.path("checkpointing").asBoolean(),
@@ -94,8 +95,8 @@
         return new StandlinkException(ErrorCode.INVALID_MESSAGE, problem, remedy);
     }
 
-    /** Reads an amount of processors, memory and accelerators; what is left out is 0. */
-    private static Resources resources(JsonNode step) {
+    /** Decodes the resources of a step; a missing amount is 0. */
+    private static Resources decodeResources(JsonNode step) {
         return new Resources(
                 step.path("cpu").asLong(), step.path("mem_mb").asLong(), step.path("gpu").asLong());
     }
--- a/src/main/java/org/standlink/platform/Json.java
+++ b/src/main/java/org/standlink/platform/Json.java
@@ -23,17 +23,19 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Reads and writes the JSON bodies of the platform. */
+/**
+ * Parses and serialises the JSON bodies of the platform's protocols.
+ *
+ * <p>{@code Json} is thread-safe.
+ */
 final class Json {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** No instances. */
     private Json() {}
 
     /**
-     * Makes an empty object.
+     * Creates an empty object.
      *
      * @return the object
      */
@@ -42,11 +44,11 @@
     }
 
     /**
-     * Reads a body.
+     * Parses a body.
      *
      * @param body the bytes
      * @return the value, an empty object for an empty body
-     * @throws StandlinkException with code INVALID_MESSAGE if it is not JSON
+     * @throws StandlinkException with code INVALID_MESSAGE if the body is not valid JSON
      */
     static JsonNode read(byte[] body) {
         try {
@@ -55,14 +57,14 @@
         } catch (IOException malformed) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
-                    "a body of " + body.length + " bytes is not JSON",
-                    "check what the sender writes",
+                    "a body of " + body.length + " bytes is not valid JSON",
+                    "check the sender of the message",
                     malformed);
         }
     }
 
     /**
-     * Writes a body.
+     * Serialises a body.
      *
      * @param value the value
      * @return the bytes
@@ -70,9 +72,12 @@
     static byte[] write(JsonNode value) {
         try {
             return MAPPER.writeValueAsBytes(value);
-        } catch (JsonProcessingException impossible) {
+        } catch (JsonProcessingException unexpected) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "value not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "a JSON value could not be serialised",
+                    "report a defect",
+                    unexpected);
         }
     }
 }
--- a/src/main/java/org/standlink/platform/PlaintextSslContextSpi.java
+++ b/src/main/java/org/standlink/platform/PlaintextSslContextSpi.java
@@ -29,45 +29,47 @@
 import javax.net.ssl.TrustManager;
 
 /**
- * A TLS context for a client that makes plain connections only. The JDK's client wants one; making
- * one of the JDK's reads providers, ciphers and curves, which takes a tenth of a start.
+ * An SSL context for a client that opens plaintext connections only. The JDK's HTTP client requires
+ * a context, and creating one of the JDK's loads providers, ciphers and curves, which takes a tenth
+ * of the start-up time.
+ *
+ * <p>{@code PlaintextSslContextSpi} is thread-safe and immutable.
  */
 final class PlaintextSslContextSpi extends SSLContextSpi {
 
-    /** No instances but the one behind the context. */
     private PlaintextSslContextSpi() {}
 
-    /** A provider of nothing. */
-    private static final class NoProvider extends Provider {
+    /** A provider without any algorithms. */
+    private static final class EmptyProvider extends Provider {
 
         private static final long serialVersionUID = 1L;
 
-        NoProvider() {
+        EmptyProvider() {
             super("standlink-plain", "1", "connections without TLS");
         }
     }
 
-    /** The context; its constructor is open to subclasses only. */
-    private static final class PlainContext extends SSLContext {
+    /** The context; the constructor of the superclass is protected. */
+    private static final class PlaintextSslContext extends SSLContext {
 
-        PlainContext() {
-            super(new PlaintextSslContextSpi(), new NoProvider(), "none");
+        PlaintextSslContext() {
+            super(new PlaintextSslContextSpi(), new EmptyProvider(), "none");
         }
     }
 
     /**
-     * Makes the context.
+     * Creates the context.
      *
-     * @return a context that refuses to encrypt
+     * @return a context that does not support TLS
      */
     static SSLContext newContext() {
-        return new PlainContext();
+        return new PlaintextSslContext();
     }
 
     @Override
     protected void engineInit(KeyManager[] keys, TrustManager[] trust, SecureRandom random)
             throws KeyManagementException {
-        throw new KeyManagementException("this context makes plain connections only");
+        throw new KeyManagementException("this context supports plaintext connections only");
     }
 
     @Override
@@ -111,6 +113,6 @@
     }
 
     private static UnsupportedOperationException unsupported() {
-        return new UnsupportedOperationException("calls of the platform are plain HTTP");
+        return new UnsupportedOperationException("calls to the platform use plaintext HTTP");
     }
 }
--- a/src/main/java/org/standlink/platform/PlatformHttpClient.java
+++ b/src/main/java/org/standlink/platform/PlatformHttpClient.java
@@ -31,49 +31,52 @@
 import org.standlink.process.WorkFailures;
 
 /**
- * The one HTTP client for calls to the platform and to workers.
+ * HTTP client for calls to the platform and to workers.
  *
- * <p>A call without an answer in its time fails; its connection is closed and not used again, nor
- * are those that were idle then: open connections may go silent together, and each would hold up
- * one more call for its whole time.
+ * <p>A call that is not answered within its timeout fails. Its connection is closed, and neither it
+ * nor the connections that are idle at that time are used again: open connections may stall
+ * together, and each of them would delay one more call by its whole timeout.
  *
  * <p>{@code PlatformHttpClient} is thread-safe.
  */
 public final class PlatformHttpClient {
 
-    /** How long to wait for a connection; links of the platform take a few milliseconds. */
+    /** The connect timeout; connecting takes a few milliseconds on the platform's links. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-    /** The most often that connections are given up, in milliseconds; a call takes as long. */
-    private static final long RENEW_MILLIS = 500;
+    /** The minimum age at which a client is replaced, in milliseconds; a call may take as long. */
+    private static final long MIN_REPLACEMENT_AGE_MILLIS = 500;
 
-    /** Where the client's threads come from. */
     private final Executor executor;
 
-    /** The client, whose idle connections are used again. */
+    /** The current client, which reuses its idle connections. */
     private volatile HttpClient client;
 
-    /** When the client was made, by {@link System#nanoTime}; guarded by this. */
-    private long madeAtNanos;
+    /** When the client was created, by {@link System#nanoTime}; guarded by this. */
+    private long createdNanos;
 
     /**
-     * Constructor.
+     * Creates a client without open connections.
      *
-     * @param executor where the client's threads come from
+     * @param executor runs the client's tasks
      */
     public PlatformHttpClient(Executor executor) {
         this.executor = executor;
-        renew(null);
+        replaceClient(null);
     }
 
-    /** Makes a new client, unless that has been done since the one in question was used. */
-    private synchronized void renew(HttpClient used) {
+    /**
+     * Replaces the client, and with it all connections, unless the given one was replaced already
+     * or is too new.
+     */
+    private synchronized void replaceClient(HttpClient usedClient) {
         long now = System.nanoTime();
-        boolean soon = now - madeAtNanos < TimeUnit.MILLISECONDS.toNanos(RENEW_MILLIS);
-        if (client != used || used != null && soon) {
+        boolean tooNew =
+                now - createdNanos < TimeUnit.MILLISECONDS.toNanos(MIN_REPLACEMENT_AGE_MILLIS);
+        if (client != usedClient || usedClient != null && tooNew) {
             return;
         }
-        madeAtNanos = now;
+        createdNanos = now;
         client =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
@@ -84,11 +87,11 @@
     }
 
     /**
-     * Makes a request to be completed and sent.
+     * Creates a request, whose method and body the caller has to add.
      *
-     * @param address host and port
-     * @param target the path, with its query if any
-     * @param timeoutMillis how long to wait for the answer, in milliseconds
+     * @param address the host and port
+     * @param target the path, with the query if there is one
+     * @param timeoutMillis the timeout of the answer, in milliseconds
      * @return the request
      */
     HttpRequest.Builder newRequest(String address, String target, long timeoutMillis) {
@@ -100,43 +103,44 @@
      * Sends a request.
      *
      * @param request the request
-     * @return the answer; fails with PLATFORM_UNAVAILABLE if nothing was sent, else with
-     *     PLATFORM_OUTCOME_UNKNOWN
+     * @return the answer; fails with PLATFORM_UNAVAILABLE if no connection could be opened and
+     *     nothing was sent, with PLATFORM_OUTCOME_UNKNOWN if the answer did not arrive
      */
     CompletableFuture<HttpResponse<byte[]>> send(HttpRequest.Builder request) {
-        HttpClient used = client;
-        return used.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray())
+        HttpClient usedClient = client;
+        return usedClient
+                .sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray())
                 .exceptionally(
                         failure -> {
                             Throwable cause = WorkFailures.causeOf(failure);
-                            if (isSilence(cause)) {
-                                renew(used);
+                            if (isAnswerTimeout(cause)) {
+                                replaceClient(usedClient);
                             }
                             throw translate(cause);
                         });
     }
 
-    private static boolean isSilence(Throwable cause) {
+    private static boolean isAnswerTimeout(Throwable cause) {
         return cause instanceof HttpTimeoutException
                 && !(cause instanceof HttpConnectTimeoutException);
     }
 
     private static StandlinkException translate(Throwable cause) {
         if (cause instanceof Error error) {
-            // No answer of the platform, but a failure of this process that calling again hides.
+            // A failure of this process, not of the platform; a retry would hide it.
             throw error;
         }
         if (cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException) {
             return new StandlinkException(
                     ErrorCode.PLATFORM_UNAVAILABLE,
-                    "no connection: " + cause,
-                    "try again later; nothing was sent",
+                    "connection failed: " + cause,
+                    "retry later; nothing was sent",
                     cause);
         }
         return new StandlinkException(
                 ErrorCode.PLATFORM_OUTCOME_UNKNOWN,
-                "no answer: " + cause,
-                "repeat the call under the same number or read the state back",
+                "no answer received: " + cause,
+                "retry with the same sequence number or read the state back",
                 cause);
     }
 }
--- a/src/main/java/org/standlink/platform/ReadinessServer.java
+++ b/src/main/java/org/standlink/platform/ReadinessServer.java
@@ -24,24 +24,21 @@
 import org.standlink.process.HttpService;
 
 /**
- * Tells the platform's balancer whether this process takes new connections.
+ * Reports to the platform's load balancer whether this process accepts new connections.
  *
  * <p>{@code ReadinessServer} is thread-safe.
  */
 public final class ReadinessServer implements AutoCloseable {
 
-    /** The server. */
     private final HttpServer server;
-
-    /** Tells whether the process is ready. */
     private final BooleanSupplier ready;
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a server and starts to listen.
      *
-     * @param address where to listen
-     * @param executor where threads come from
-     * @param ready tells whether the process is ready
+     * @param address the address to listen on
+     * @param executor runs the request handlers
+     * @param ready returns true if the process accepts new connections
      */
     public ReadinessServer(InetSocketAddress address, Executor executor, BooleanSupplier ready) {
         this.ready = ready;
--- a/src/main/java/org/standlink/platform/StandInCaller.java
+++ b/src/main/java/org/standlink/platform/StandInCaller.java
@@ -24,20 +24,20 @@
 import org.standlink.JobId;
 
 /**
- * A stand-in for what calls entries and agents on the platform: callers, the balancer and a
- * worker's heartbeats. It waits for each answer and gives its status.
+ * Stand-in for the clients of entries and agents on the platform: callers, the load balancer and
+ * workers that send heartbeats. Each method waits for the answer and returns its status.
  *
  * <p>{@code StandInCaller} is thread-safe and immutable.
  */
 public final class StandInCaller {
 
-    /** How long a call may take, in milliseconds. */
-    private static final long CALL_MILLIS = 2000;
+    /** The timeout of a call, in milliseconds. */
+    private static final long CALL_TIMEOUT_MILLIS = 2000;
 
-    /** The status of a call without an answer. */
+    /** The status returned for a call without an answer. */
     private static final int NO_ANSWER = 0;
 
-    /** The configuration: one queue. */
+    /** A configuration with one queue. */
     private static final String CONFIGURATION =
             "{\"version\":1,\"routes\":[{\"name\":\"q\",\"host\":\"127.0.0.1\",\"path_prefix\":\"/q/\","
                     + "\"service\":\"s\",\"priority\":1,\"max_attempts\":3,"
@@ -45,37 +45,36 @@
                     + "\"services\":[{\"name\":\"s\",\"enforces_capacity\":false}],"
                     + "\"limits\":{\"max_body_bytes\":262144}}";
 
-    /** A job of two steps, of best-effort work and of other work. */
-    private static final String BATCH =
+    /** A job with a best-effort step and an ordinary step. */
+    private static final String BATCH_JOB =
             "{\"spec\":\"text\",\"steps\":[{\"count\":2,\"cpu\":500,\"mem_mb\":256,"
                     + "\"estimated_ms\":400,\"checkpointing\":true,\"fills\":true,\"image\":\"b\"},"
                     + "{\"count\":2,\"cpu\":500,\"mem_mb\":256,\"estimated_ms\":400,"
                     + "\"after\":[0],\"anti_affinity\":2,\"colocate\":\"r1\"}]}";
 
-    /** A job that lasts until it is cancelled. */
-    private static final String LASTING =
+    /** A job that runs until it is cancelled. */
+    private static final String LONG_RUNNING_JOB =
             "{\"spec\":\"text\",\"steps\":[{\"count\":2,\"cpu\":500,\"mem_mb\":256,"
                     + "\"perpetual\":true,\"image\":\"a\",\"target_ms\":50}]}";
 
-    /** The client. */
     private final HttpClient client = HttpClient.newHttpClient();
 
-    /** Where the entry takes callers, host and port. */
-    private final String callers;
+    /** The host and port on which the entry serves callers. */
+    private final String entryAddress;
 
     /**
-     * Constructor.
+     * Creates a caller.
      *
-     * @param callers where the entry takes callers, host and port
+     * @param entryAddress the host and port on which the entry serves callers
      */
-    public StandInCaller(String callers) {
-        this.callers = callers;
+    public StandInCaller(String entryAddress) {
+        this.entryAddress = entryAddress;
     }
 
     /**
-     * Publishes a configuration of one queue, which this caller uses.
+     * Publishes a configuration with the queue that this caller uses.
      *
-     * @param store where to publish it
+     * @param store the store
      */
     public static void publishConfiguration(StandInStore store) {
         store.publishConfiguration(CONFIGURATION);
@@ -83,101 +82,105 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Submits a job of two steps that ends.
+     * Submits a job with two steps, which ends by itself.
      *
      * @param job its identifier
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int submitBatch(JobId job) throws InterruptedException {
-        return call("POST", callers, "/q/" + job, BATCH);
+        return call("POST", entryAddress, "/q/" + job, BATCH_JOB);
     }
 
     /**
-     * Submits a job that lasts until it is cancelled.
+     * Submits a job that runs until it is cancelled.
      *
      * @param job its identifier
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int submitLongRunning(JobId job) throws InterruptedException {
-        return call("POST", callers, "/q/" + job, LASTING);
+        return call("POST", entryAddress, "/q/" + job, LONG_RUNNING_JOB);
     }
 
     /**
      * Submits a job to a queue that does not exist.
      *
      * @param job its identifier
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int submitToUnknownQueue(JobId job) throws InterruptedException {
-        return call("POST", callers, "/none/" + job, LASTING);
+        return call("POST", entryAddress, "/none/" + job, LONG_RUNNING_JOB);
     }
 
     /**
-     * Asks for the state of a job.
+     * Queries the state of a job.
      *
      * @param job its identifier
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int queryState(JobId job) throws InterruptedException {
-        return get(callers, "/q/" + job);
+        return get(entryAddress, "/q/" + job);
     }
 
     /**
-     * Asks how many jobs of the queue have not begun.
+     * Queries the number of jobs of the queue that have not started.
      *
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int queryCount() throws InterruptedException {
-        return get(callers, "/q/");
+        return get(entryAddress, "/q/");
     }
 
     /**
      * Cancels a job.
      *
      * @param job its identifier
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int cancel(JobId job) throws InterruptedException {
-        return call("DELETE", callers, "/q/" + job, "");
+        return call("DELETE", entryAddress, "/q/" + job, "");
     }
 
     /**
-     * Asks as the balancer does.
+     * Queries the readiness of an entry, as the load balancer does.
      *
-     * @param ready where the entry tells whether it is ready, host and port
-     * @return the status, 0 without an answer
+     * @param readinessAddress the host and port on which the entry reports its readiness
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int queryReadiness(String ready) throws InterruptedException {
-        return get(ready, "/v1/ready");
+    public int queryReadiness(String readinessAddress) throws InterruptedException {
+        return get(readinessAddress, "/v1/ready");
     }
 
     /**
      * Sends a heartbeat of a worker.
      *
-     * @param heartbeats where the agent takes it, host and port
+     * @param heartbeatAddress the host and port on which the agent receives heartbeats
      * @param worker the worker
-     * @param sequence the number of the heartbeat
-     * @return the status, 0 without an answer
+     * @param sequence the sequence number of the heartbeat
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
-    public int sendHeartbeat(String heartbeats, StandInWorker worker, long sequence)
+    public int sendHeartbeat(String heartbeatAddress, StandInWorker worker, long sequence)
             throws InterruptedException {
-        return call("PUT", heartbeats, "/v1/instances/i-1", worker.createHeartbeat("s", sequence));
+        return call(
+                "PUT",
+                heartbeatAddress,
+                "/v1/instances/i-1",
+                worker.createHeartbeat("s", sequence));
     }
 
     /**
-     * Gets a page.
+     * Sends a GET request.
      *
-     * @param address host and port
+     * @param address the host and port
      * @param path the path
-     * @return the status, 0 without an answer
+     * @return the HTTP status, 0 without an answer
      * @throws InterruptedException if the thread is interrupted
      */
     public int get(String address, String path) throws InterruptedException {
@@ -188,15 +191,15 @@
             throws InterruptedException {
         HttpRequest request =
                 HttpRequest.newBuilder(URI.create("http://" + address + path))
-                        .timeout(Duration.ofMillis(CALL_MILLIS))
+                        .timeout(Duration.ofMillis(CALL_TIMEOUT_MILLIS))
                         .header("Content-Type", "application/json")
-                        .header("X-Deadline-Ms", Long.toString(CALL_MILLIS))
+                        .header("X-Deadline-Ms", Long.toString(CALL_TIMEOUT_MILLIS))
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
                         .build();
         try {
             return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
-        } catch (IOException notYet) {
-            // It does not listen yet; the caller tries again.
+        } catch (IOException unreachable) {
+            // The process does not listen yet; callers of this method retry.
             return NO_ANSWER;
         }
     }
--- a/src/main/java/org/standlink/platform/StandInStore.java
+++ b/src/main/java/org/standlink/platform/StandInStore.java
@@ -32,30 +32,29 @@
 import org.standlink.store.KeyedRecord;
 
 /**
- * A stand-in for the platform's store, in memory: keyed topics of one partition, conditions and
- * writers' epochs. It forgets nothing and never fails.
+ * In-memory stand-in for the platform's store: keyed topics of one partition, conditional appends
+ * and the epochs of writers. It retains all records and never fails.
  *
  * <p>{@code StandInStore} is thread-safe.
  */
 public final class StandInStore implements AutoCloseable {
 
-    /** The longest wait of a read, in milliseconds. */
-    private static final long MOST_WAIT_MILLIS = 30_000;
+    /** The maximum time for which a read waits for a record, in milliseconds. */
+    private static final long MAX_WAIT_MILLIS = 30_000;
 
     /** The topics by name; guarded by this. */
-    private final Map<String, Log> topics = new HashMap<>();
+    private final Map<String, TopicLog> topics = new HashMap<>();
 
-    /** The server. */
     private final HttpService server;
 
     /** The records of one topic. */
-    private static final class Log {
+    private static final class TopicLog {
 
         private final List<KeyedRecord> records = new ArrayList<>();
         private long epoch;
 
-        /** The newest record of each key, those without a value left out. */
-        private Map<String, KeyedRecord> newest() {
+        /** Finds the newest record of each key, without those whose newest record has no value. */
+        private Map<String, KeyedRecord> findNewest() {
             Map<String, KeyedRecord> newest = new LinkedHashMap<>();
             for (KeyedRecord record : records) {
                 newest.remove(record.key());
@@ -68,21 +67,21 @@
     }
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a store and starts to listen.
      *
-     * @param address where to listen; port 0 takes a free port
-     * @param threads the threads that answer; a read that waits holds one
+     * @param address the address to listen on; port 0 for any free port
+     * @param threads runs the request handlers; a read that waits occupies a thread
      */
     public StandInStore(InetSocketAddress address, ExecutorService threads) {
         server =
                 new HttpService(address, threads)
                         .on("POST", "/v1/log-append", this::append)
                         .on("GET", "/v1/log-read", this::read)
-                        .on("GET", "/v1/log-newest", this::newest);
+                        .on("GET", "/v1/log-newest", this::readNewest);
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port on which the store listens.
      *
      * @return the port
      */
@@ -97,7 +96,7 @@
      */
     public synchronized void publishConfiguration(String configuration) {
         byte[] value = Json.write(Json.read(configuration.getBytes(StandardCharsets.UTF_8)));
-        log("keyed.op").records.add(new KeyedRecord("config", value));
+        getLog("keyed.op").records.add(new KeyedRecord("config", value));
         notifyAll();
     }
 
@@ -107,28 +106,28 @@
     }
 
     // -----------------------------------------------------------------------
-    private Log log(String topic) {
-        return topics.computeIfAbsent(topic, name -> new Log());
+    private TopicLog getLog(String topic) {
+        return topics.computeIfAbsent(topic, name -> new TopicLog());
     }
 
     private synchronized HttpService.Answer append(HttpService.Request request) {
-        Log log = log(request.getParameter("topic", ""));
+        TopicLog log = getLog(request.getParameter("topic", ""));
         long end = log.records.size();
         if (Long.parseLong(request.getParameter("at", Long.toString(end))) != end) {
-            return json(412, Json.newObject().put("end", end));
+            return jsonAnswer(412, Json.newObject().put("end", end));
         }
         long epoch = Long.parseLong(request.getParameter("epoch", Long.toString(log.epoch)));
         if (epoch < log.epoch) {
-            return json(409, Json.newObject().put("reason", "fenced"));
+            return jsonAnswer(409, Json.newObject().put("reason", "fenced"));
         }
         log.epoch = epoch;
         log.records.addAll(HttpStore.RecordFormat.decodeRecords(ByteBuffer.wrap(request.body())));
         notifyAll();
-        return json(200, Json.newObject().put("offset", end).put("end", log.records.size()));
+        return jsonAnswer(200, Json.newObject().put("offset", end).put("end", log.records.size()));
     }
 
     private synchronized HttpService.Answer read(HttpService.Request request) {
-        Log log = log(request.getParameter("topic", ""));
+        TopicLog log = getLog(request.getParameter("topic", ""));
         long from = Long.parseLong(request.getParameter("from", "0"));
         awaitRecord(log, from, Long.parseLong(request.getParameter("wait_ms", "0")));
         int end = log.records.size();
@@ -143,32 +142,32 @@
         return new HttpService.Answer(200, "application/octet-stream", body);
     }
 
-    private void awaitRecord(Log log, long from, long waitMillis) {
-        long end = System.nanoTime() + Math.min(waitMillis, MOST_WAIT_MILLIS) * 1_000_000;
+    private void awaitRecord(TopicLog log, long from, long waitMillis) {
+        long end = System.nanoTime() + Math.min(waitMillis, MAX_WAIT_MILLIS) * 1_000_000;
         try {
-            for (long left = end - System.nanoTime();
-                    log.records.size() == from && left > 0;
-                    left = end - System.nanoTime()) {
-                wait(left / 1_000_000 + 1);
+            for (long remainingNanos = end - System.nanoTime();
+                    log.records.size() == from && remainingNanos > 0;
+                    remainingNanos = end - System.nanoTime()) {
+                wait(remainingNanos / 1_000_000 + 1);
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized HttpService.Answer newest(HttpService.Request request) {
-        Log log = log(request.getParameter("topic", ""));
+    private synchronized HttpService.Answer readNewest(HttpService.Request request) {
+        TopicLog log = getLog(request.getParameter("topic", ""));
         ObjectNode answer = Json.newObject();
         ArrayNode items = answer.putArray("items");
-        for (KeyedRecord record : log.newest().values()) {
+        for (KeyedRecord record : log.findNewest().values()) {
             items.addObject()
                     .put("tls_key", record.key())
                     .put("value", Base64.getEncoder().encodeToString(record.value()));
         }
-        return json(200, answer.put("more", false).put("end", log.records.size()));
+        return jsonAnswer(200, answer.put("more", false).put("end", log.records.size()));
     }
 
-    private static HttpService.Answer json(int status, JsonNode body) {
+    private static HttpService.Answer jsonAnswer(int status, JsonNode body) {
         return new HttpService.Answer(status, "application/json", Json.write(body));
     }
 }
--- a/src/main/java/org/standlink/platform/StandInWorker.java
+++ b/src/main/java/org/standlink/platform/StandInWorker.java
@@ -29,67 +29,63 @@
 import org.standlink.process.HttpService;
 
 /**
- * A stand-in for a worker of the platform: it starts what it is told, and each run ends well after
- * a while. It checks neither room nor leases and never fails. It can start again under its id, and
- * then knows nothing of before.
+ * Stand-in for a worker of the platform. It starts every run that is requested, and each run ends
+ * successfully after a fixed time. It checks neither capacity nor leases and never fails. It can be
+ * restarted under its id, which discards all of its state.
  *
  * <p>{@code StandInWorker} is thread-safe.
  */
 public final class StandInWorker implements AutoCloseable {
 
-    /** The figure that every run reports, a tail in milliseconds or thousandths of a core. */
-    private static final long FIGURE = 20;
+    /** The measurement reported for each run: a tail latency in milliseconds, or millicores. */
+    private static final long MEASUREMENT = 20;
 
-    /** The clock, in milliseconds. */
     private final LongSupplier clock;
 
-    /** How long a run works, in milliseconds. */
-    private final long workMillis;
+    /** The duration of a run, in milliseconds. */
+    private final long runMillis;
 
-    /** The runs and when they began, by task and number; guarded by this. */
+    /** The start times of the running runs; guarded by this. */
     private final Map<Run, Long> running = new LinkedHashMap<>();
 
-    /** The ends, oldest first; guarded by this. */
+    /** The ended runs, oldest first; guarded by this. */
     private final List<End> ended = new ArrayList<>();
 
-    /** When the present life began, in milliseconds since 1970; guarded by this. */
-    private long bornMillis;
+    /** The start time of the current incarnation, in milliseconds since 1970; guarded by this. */
+    private long startMillis;
 
-    /** The server. */
     private final HttpService server;
 
-    /** A run. */
     private record Run(String task, int number) {}
 
-    /** How a run ended. */
-    private record End(Run run, String how) {}
+    private record End(Run run, String outcome) {}
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a worker and starts to listen.
      *
-     * @param address where to listen; port 0 takes a free port
-     * @param threads the threads that answer
+     * @param address the address to listen on; port 0 for any free port
+     * @param threads runs the request handlers
      * @param clock the worker's clock, in milliseconds
-     * @param workMillis how long a run works, in milliseconds
+     * @param runMillis the duration of a run, in milliseconds
      */
     public StandInWorker(
             InetSocketAddress address,
             ExecutorService threads,
             LongSupplier clock,
-            long workMillis) {
+            long runMillis) {
         this.clock = clock;
-        this.workMillis = workMillis;
-        this.bornMillis = System.currentTimeMillis();
+        this.runMillis = runMillis;
+        this.startMillis = System.currentTimeMillis();
         server =
                 new HttpService(address, threads)
                         .on("POST", "/v1/run-start", this::start)
                         .on("POST", "/v1/run-stop", this::stop)
-                        .on("POST", "/v1/pace", request -> done())
-                        .on("POST", "/v1/hold", this::hold);
+                        .on("POST", "/v1/pace", request -> okAnswer())
+                        .on("POST", "/v1/hold", this::renew);
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port on which the worker listens.
      *
      * @return the port
      */
@@ -97,18 +93,18 @@
         return server.getPort();
     }
 
-    /** Ends the present life with all that runs, and begins another one under the same id. */
+    /** Ends the current incarnation with its runs and starts another one under the same id. */
     public synchronized void restart() {
-        bornMillis = Math.max(bornMillis + 1, System.currentTimeMillis());
+        startMillis = Math.max(startMillis + 1, System.currentTimeMillis());
         running.clear();
         ended.clear();
     }
 
     /**
-     * Makes the body of a heartbeat of this worker.
+     * Creates the body of a heartbeat of this worker.
      *
      * @param service the service whose tasks it runs
-     * @param sequence the number of the heartbeat
+     * @param sequence the sequence number of the heartbeat
      * @return the JSON text
      */
     public synchronized String createHeartbeat(String service, long sequence) {
@@ -121,7 +117,7 @@
                         .put("slots", 8)
                         .put("state", "ready")
                         .put("cold_remaining_ms", 0)
-                        .put("born", bornMillis)
+                        .put("born", startMillis)
                         .put("seq", sequence);
         body.putObject("capacity").put("cpu", 16_000).put("mem_mb", 32_768).put("gpu", 0);
         body.putArray("labels").add("a");
@@ -135,29 +131,29 @@
 
     // -----------------------------------------------------------------------
     private synchronized HttpService.Answer start(HttpService.Request request) {
-        running.putIfAbsent(run(request), clock.getAsLong());
-        return done();
+        running.putIfAbsent(decodeRun(request), clock.getAsLong());
+        return okAnswer();
     }
 
     private synchronized HttpService.Answer stop(HttpService.Request request) {
-        Run run = run(request);
+        Run run = decodeRun(request);
         if (running.remove(run) != null) {
             ended.add(new End(run, "stopped"));
         }
-        return done();
+        return okAnswer();
     }
 
-    private synchronized HttpService.Answer hold(HttpService.Request request) {
+    private synchronized HttpService.Answer renew(HttpService.Request request) {
         long now = clock.getAsLong();
         for (Run run : List.copyOf(running.keySet())) {
-            if (now - running.get(run) >= workMillis) {
+            if (now - running.get(run) >= runMillis) {
                 running.remove(run);
                 ended.add(new End(run, "done"));
             }
         }
-        ObjectNode answer = Json.newObject().put("born", bornMillis).put("clock_ms", now);
+        ObjectNode answer = Json.newObject().put("born", startMillis).put("clock_ms", now);
         ArrayNode runningRows = answer.putArray("running");
-        running.forEach((run, began) -> add(runningRows, run, now - began));
+        running.forEach((run, start) -> addRunning(runningRows, run, now - start));
         ArrayNode endedRows = answer.putArray("ended");
         for (int i = Json.read(request.body()).path("last_seen").asInt(); i < ended.size(); i++) {
             End end = ended.get(i);
@@ -166,32 +162,32 @@
                     .add(i + 1)
                     .add(end.run().task())
                     .add(end.run().number())
-                    .add(end.how())
+                    .add(end.outcome())
                     .add("");
         }
-        return answer(answer);
+        return jsonAnswer(answer);
     }
 
-    private void add(ArrayNode rows, Run run, long millis) {
-        long percent = Math.min(100, 100 * millis / workMillis);
+    private void addRunning(ArrayNode rows, Run run, long millis) {
+        long percent = Math.min(100, 100 * millis / runMillis);
         rows.addArray()
                 .add(run.task())
                 .add(run.number())
                 .add(Long.toHexString(millis))
                 .add(percent)
-                .add(FIGURE);
+                .add(MEASUREMENT);
     }
 
-    private static Run run(HttpService.Request request) {
+    private static Run decodeRun(HttpService.Request request) {
         JsonNode body = Json.read(request.body());
         return new Run(body.path("task").asText(), body.path("run_id").asInt());
     }
 
-    private HttpService.Answer done() {
-        return answer(Json.newObject().put("clock_ms", clock.getAsLong()));
+    private HttpService.Answer okAnswer() {
+        return jsonAnswer(Json.newObject().put("clock_ms", clock.getAsLong()));
     }
 
-    private static HttpService.Answer answer(ObjectNode body) {
+    private static HttpService.Answer jsonAnswer(ObjectNode body) {
         return new HttpService.Answer(200, "application/json", Json.write(body));
     }
 }
--- a/src/main/java/org/standlink/platform/package-info.java
+++ b/src/main/java/org/standlink/platform/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The adapter to the users' platform: its names, formats and calls. Nothing here decides.
+ * Adapter to the users' platform: its names, formats and protocols. No scheduling decision is made
+ * here.
  *
- * <p>What comes in is decoded once into types of the project; what goes out is encoded here. Other
- * packages define the interfaces that these classes implement.
+ * <p>Incoming messages are decoded once, into the project's own types, and outgoing messages are
+ * encoded here. Other packages define the interfaces that these classes implement.
  */
 package org.standlink.platform;
--- a/src/test/java/org/standlink/platform/StallingProxy.java
+++ b/src/test/java/org/standlink/platform/StallingProxy.java
@@ -27,25 +27,25 @@
 import java.util.concurrent.Executor;
 
 /**
- * Passes connections on to a server, and lets those that are open go silent for good on demand,
- * without a reset, while new ones work.
+ * Forwards connections to a server. On demand, all open connections stall for good, without a
+ * reset, while new ones work.
  */
 final class StallingProxy implements AutoCloseable {
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
     private final Executor threads;
-    private final List<Link> links = new ArrayList<>();
+    private final List<ProxiedConnection> connections = new ArrayList<>();
 
     /** The two sides of one connection. */
-    private static final class Link {
+    private static final class ProxiedConnection {
 
-        private final Socket caller;
+        private final Socket client;
         private final Socket server;
-        private volatile boolean silent;
+        private volatile boolean stalled;
 
-        Link(Socket caller, Socket server) {
-            this.caller = caller;
+        ProxiedConnection(Socket client, Socket server) {
+            this.client = client;
             this.server = server;
         }
     }
@@ -61,19 +61,19 @@
         return listener.getLocalPort();
     }
 
-    /** Lets all connections that are open now go silent; tells how many these were. */
+    /** Stalls all open connections and returns their number. */
     synchronized int stallOpenConnections() {
-        links.removeIf(link -> link.caller.isClosed());
-        links.forEach(link -> link.silent = true);
-        return links.size();
+        connections.removeIf(connection -> connection.client.isClosed());
+        connections.forEach(connection -> connection.stalled = true);
+        return connections.size();
     }
 
     @Override
     public synchronized void close() throws IOException {
         listener.close();
-        for (Link link : links) {
-            link.caller.close();
-            link.server.close();
+        for (ProxiedConnection connection : connections) {
+            connection.client.close();
+            connection.server.close();
         }
     }
 
@@ -81,14 +81,14 @@
     private void acceptAll() {
         while (!listener.isClosed()) {
             try {
-                Socket caller = listener.accept();
+                Socket client = listener.accept();
                 Socket server = new Socket(target.getAddress(), target.getPort());
-                Link link = new Link(caller, server);
+                ProxiedConnection connection = new ProxiedConnection(client, server);
                 synchronized (this) {
-                    links.add(link);
+                    connections.add(connection);
                 }
-                threads.execute(() -> pass(link, caller, server));
-                threads.execute(() -> pass(link, server, caller));
+                threads.execute(() -> forward(connection, client, server));
+                threads.execute(() -> forward(connection, server, client));
             } catch (IOException closed) {
                 // The test has ended.
                 return;
@@ -96,7 +96,7 @@
         }
     }
 
-    private static void pass(Link link, Socket from, Socket to) {
+    private static void forward(ProxiedConnection connection, Socket from, Socket to) {
         byte[] buffer = new byte[8192];
         try (from;
                 to) {
@@ -104,13 +104,13 @@
             OutputStream out = to.getOutputStream();
             int length = in.read(buffer);
             while (length >= 0) {
-                if (!link.silent) {
+                if (!connection.stalled) {
                     out.write(buffer, 0, length);
                 }
                 length = in.read(buffer);
             }
         } catch (IOException ended) {
-            // One side has closed the connection; the other one is closed with it.
+            // One side has closed the connection, so the other side is closed as well.
             return;
         }
     }
--- a/src/test/java/org/standlink/platform/TestCallerHttpServer.java
+++ b/src/test/java/org/standlink/platform/TestCallerHttpServer.java
@@ -38,10 +38,10 @@
 import org.standlink.process.ConnectionDrain;
 import org.standlink.process.ProcessThreads;
 
-/** Tests what a caller is told that sends too much. */
+/** Tests the answers to callers whose body is too long. */
 public class TestCallerHttpServer {
 
-    private static final int MOST_BODY_BYTES = 1000;
+    private static final int MAX_BODY_BYTES = 1000;
 
     private final FakeClock clock = new FakeClock();
     private final ExecutorService threads = ProcessThreads.newCached("test");
@@ -53,7 +53,7 @@
         LeaderLink leader = new LeaderLink(threads, (connection, call, message) -> {}, clock);
         JobGateway gateway = new JobGateway(leader, clock, new SimpleMeterRegistry());
         QueueDefinition queue = new QueueDefinition("q", "h", "/q/", "s", 0, 2, 250, 1.5, false);
-        gateway.offer(new Configuration(1, List.of(queue), List.of(), MOST_BODY_BYTES));
+        gateway.offer(new Configuration(1, List.of(queue), List.of(), MAX_BODY_BYTES));
         server =
                 new CallerHttpServer(
                         new InetSocketAddress("127.0.0.1", 0),
@@ -69,7 +69,7 @@
         threads.shutdownNow();
     }
 
-    /** Sends a request as it is and reads the first line and the header of the answer. */
+    /** Sends a raw request and reads the status line and the headers of the answer. */
     private String send(String request) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(5000);
@@ -104,20 +104,20 @@
 
     @Test
     public void bodyLimitComesFromTheConfigurationInForce() throws IOException {
-        String longest = "x".repeat(MOST_BODY_BYTES);
-        assertTrue(send(post(MOST_BODY_BYTES, longest)).startsWith("HTTP/1.1 400"));
-        assertTrue(send(post(MOST_BODY_BYTES + 1, longest + "x")).startsWith("HTTP/1.1 413"));
-        assertEquals(MOST_BODY_BYTES, longest.length());
+        String longest = "x".repeat(MAX_BODY_BYTES);
+        assertTrue(send(post(MAX_BODY_BYTES, longest)).startsWith("HTTP/1.1 400"));
+        assertTrue(send(post(MAX_BODY_BYTES + 1, longest + "x")).startsWith("HTTP/1.1 413"));
+        assertEquals(MAX_BODY_BYTES, longest.length());
     }
 
     @Test
     public void chunkedBodyHasTheSameLimit() throws IOException {
-        String chunk = Integer.toHexString(MOST_BODY_BYTES + 1);
+        String chunk = Integer.toHexString(MAX_BODY_BYTES + 1);
         String request =
                 "POST /q/5c0e7a21d94b36f8 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunk
                         + "\r\n"
-                        + "x".repeat(MOST_BODY_BYTES + 1)
+                        + "x".repeat(MAX_BODY_BYTES + 1)
                         + "\r\n0\r\n\r\n";
         assertTrue(send(request).startsWith("HTTP/1.1 413"));
     }
--- a/src/test/java/org/standlink/platform/TestFormats.java
+++ b/src/test/java/org/standlink/platform/TestFormats.java
@@ -31,7 +31,7 @@
 import org.standlink.job.StepDefinition;
 import org.standlink.store.KeyedRecord;
 
-/** Tests that the platform's formats are decoded into what they mean. */
+/** Tests the decoding of jobs and configurations. */
 public class TestFormats {
 
     private static final JobId ID = JobId.parse("5c0e7a21d94b36f8");
@@ -100,14 +100,14 @@
 
     @Test
     public void rejectsInvalidJobs() {
-        for (String wrong :
+        for (String invalid :
                 List.of(
                         "not json",
                         "{}",
                         "{\"steps\":[]}",
                         "{\"steps\":[{\"after\":[0]}]}",
                         "{\"steps\":[{},{\"after\":[-1]}]}")) {
-            assertThrows(StandlinkException.class, () -> job(wrong), wrong);
+            assertThrows(StandlinkException.class, () -> job(invalid), invalid);
         }
     }
 
--- a/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatFormat.java
@@ -35,12 +35,12 @@
 import org.standlink.job.WorkerId;
 import org.standlink.job.WorkerIncarnation;
 
-/** Tests that a heartbeat counts only if it is whole and of the types that are agreed on. */
+/** Tests that a heartbeat is accepted only if it is complete and its fields are of their types. */
 public class TestHeartbeatFormat {
 
     private static final WorkerId ID = WorkerId.parse("i-1");
 
-    private static final String WHOLE =
+    private static final String COMPLETE_HEARTBEAT =
             "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v1\","
                     + "\"slots\":8,\"state\":\"ready\",\"cold_remaining_ms\":0,\"capacity\":"
                     + "{\"cpu\":16000,\"mem_mb\":100,\"gpu\":0},\"labels\":[\"a\"],\"born\":1784553600123,\"seq\":4}";
@@ -49,107 +49,111 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static ObjectNode whole() {
-        return (ObjectNode) Json.read(bytes(WHOLE));
+    private static ObjectNode completeHeartbeat() {
+        return (ObjectNode) Json.read(bytes(COMPLETE_HEARTBEAT));
     }
 
-    private static void assertRefused(JsonNode body) {
-        assertRefused(Json.write(body), body.toString());
+    private static void assertRejected(JsonNode body) {
+        assertRejected(Json.write(body), body.toString());
     }
 
-    private static void assertRefused(byte[] body, String told) {
-        StandlinkException refused =
+    private static void assertRejected(byte[] body, String description) {
+        StandlinkException rejected =
                 assertThrows(
-                        StandlinkException.class, () -> HeartbeatFormat.decode(ID, body), told);
-        assertEquals(ErrorCode.INVALID_MESSAGE, refused.getCode());
+                        StandlinkException.class,
+                        () -> HeartbeatFormat.decode(ID, body),
+                        description);
+        assertEquals(ErrorCode.INVALID_MESSAGE, rejected.getCode());
     }
 
     private static List<String> fields() {
         List<String> names = new ArrayList<>();
-        whole().fieldNames().forEachRemaining(names::add);
+        completeHeartbeat().fieldNames().forEachRemaining(names::add);
         return names;
     }
 
     @Test
     public void completeHeartbeatIsDecoded() {
-        HeartbeatFormat.Heartbeat read = HeartbeatFormat.decode(ID, bytes(WHOLE));
-        assertEquals(4, read.sequence());
-        assertEquals(WorkerIncarnation.of(ID, 1784553600123L), read.worker().incarnation());
-        assertEquals("10.0.0.1:80", read.worker().address());
-        assertEquals(16000, read.worker().capacity().milliCores());
-        assertEquals(List.of("a"), read.worker().labels());
+        HeartbeatFormat.Heartbeat heartbeat = HeartbeatFormat.decode(ID, bytes(COMPLETE_HEARTBEAT));
+        assertEquals(4, heartbeat.sequence());
+        assertEquals(WorkerIncarnation.of(ID, 1784553600123L), heartbeat.worker().incarnation());
+        assertEquals("10.0.0.1:80", heartbeat.worker().address());
+        assertEquals(16000, heartbeat.worker().capacity().milliCores());
+        assertEquals(List.of("a"), heartbeat.worker().labels());
     }
 
     @Test
     public void unknownFieldsAreIgnored() {
-        ObjectNode body = whole().put("newer", 1).put("state", "draining").put("remaining_ms", 5);
-        HeartbeatFormat.Heartbeat read = HeartbeatFormat.decode(ID, Json.write(body));
-        assertTrue(read.worker().draining());
-        assertEquals(5, read.worker().remainingMillis());
+        ObjectNode body =
+                completeHeartbeat().put("newer", 1).put("state", "draining").put("remaining_ms", 5);
+        HeartbeatFormat.Heartbeat heartbeat = HeartbeatFormat.decode(ID, Json.write(body));
+        assertTrue(heartbeat.worker().draining());
+        assertEquals(5, heartbeat.worker().remainingMillis());
     }
 
     @Test
     public void missingFieldsAreRejected() {
         for (String name : fields()) {
             if (!name.equals("born")) {
-                assertRefused(whole().without(name));
+                assertRejected(completeHeartbeat().without(name));
             }
         }
         for (String part : List.of("cpu", "mem_mb", "gpu")) {
-            ObjectNode body = whole();
+            ObjectNode body = completeHeartbeat();
             ((ObjectNode) body.get("capacity")).remove(part);
-            assertRefused(body);
+            assertRejected(body);
         }
     }
 
-    /** Workers that have another id in each life tell none. */
+    /** Workers that use a new id for each incarnation send no start time. */
     @Test
     public void workerWithoutStartTimeIsIdentifiedByItsId() {
-        HeartbeatFormat.Heartbeat read =
-                HeartbeatFormat.decode(ID, Json.write(whole().without("born")));
-        assertEquals(WorkerIncarnation.withoutStartTime(ID), read.worker().incarnation());
+        HeartbeatFormat.Heartbeat heartbeat =
+                HeartbeatFormat.decode(ID, Json.write(completeHeartbeat().without("born")));
+        assertEquals(WorkerIncarnation.withoutStartTime(ID), heartbeat.worker().incarnation());
     }
 
     @Test
     public void fieldsOfAnotherTypeAreRejected() {
         for (String name : fields()) {
-            boolean number = whole().get(name).isNumber();
-            assertRefused(whole().putNull(name));
-            assertRefused(whole().put(name, true));
-            assertRefused(number ? whole().put(name, "8") : whole().put(name, 8));
-            assertRefused(whole().put(name, -1.5));
-            assertRefused(whole().set(name, whole()));
+            boolean number = completeHeartbeat().get(name).isNumber();
+            assertRejected(completeHeartbeat().putNull(name));
+            assertRejected(completeHeartbeat().put(name, true));
+            assertRejected(
+                    number ? completeHeartbeat().put(name, "8") : completeHeartbeat().put(name, 8));
+            assertRejected(completeHeartbeat().put(name, -1.5));
+            assertRejected(completeHeartbeat().set(name, completeHeartbeat()));
         }
-        assertRefused(whole().put("remaining_ms", "5"));
+        assertRejected(completeHeartbeat().put("remaining_ms", "5"));
     }
 
     @Test
     public void invalidValuesAreRejected() {
-        assertRefused(whole().put("state", "asleep"));
-        assertRefused(whole().put("service", ""));
-        assertRefused(whole().put("address", "10.0.0.1"));
-        assertRefused(whole().put("address", "http://10.0.0.1:80/"));
-        assertRefused(whole().put("seq", -1));
-        assertRefused(whole().put("born", -1));
-        assertRefused(whole().put("born", 17.0));
-        assertRefused(whole().put("born", new BigInteger("9223372036854775808")));
-        assertRefused(bytes("[]"), "a list");
-        assertRefused(bytes(""), "nothing");
-        assertRefused(bytes("[".repeat(5000)), "nested");
+        assertRejected(completeHeartbeat().put("state", "asleep"));
+        assertRejected(completeHeartbeat().put("service", ""));
+        assertRejected(completeHeartbeat().put("address", "10.0.0.1"));
+        assertRejected(completeHeartbeat().put("address", "http://10.0.0.1:80/"));
+        assertRejected(completeHeartbeat().put("seq", -1));
+        assertRejected(completeHeartbeat().put("born", -1));
+        assertRejected(completeHeartbeat().put("born", 17.0));
+        assertRejected(completeHeartbeat().put("born", new BigInteger("9223372036854775808")));
+        assertRejected(bytes("[]"), "a list");
+        assertRejected(bytes(""), "nothing");
+        assertRejected(bytes("[".repeat(5000)), "nested");
     }
 
     @Property(tries = 300)
     public void truncatedHeartbeatsAreRejected(@ForAll @IntRange(max = 200) int length) {
-        byte[] all = bytes(WHOLE);
-        assertRefused(Arrays.copyOf(all, Math.min(length, all.length - 1)), "cut at " + length);
+        byte[] all = bytes(COMPLETE_HEARTBEAT);
+        assertRejected(Arrays.copyOf(all, Math.min(length, all.length - 1)), "cut at " + length);
     }
 
     @Property(tries = 500)
     public void arbitraryBytesCauseNoOtherError(@ForAll byte[] body) {
         try {
             HeartbeatFormat.decode(ID, body);
-        } catch (StandlinkException refused) {
-            assertEquals(ErrorCode.INVALID_MESSAGE, refused.getCode());
+        } catch (StandlinkException rejected) {
+            assertEquals(ErrorCode.INVALID_MESSAGE, rejected.getCode());
         }
     }
 }
--- a/src/test/java/org/standlink/platform/TestHeartbeatServer.java
+++ b/src/test/java/org/standlink/platform/TestHeartbeatServer.java
@@ -41,15 +41,15 @@
 import org.standlink.process.ProcessThreads;
 import org.standlink.runner.WorkerListener;
 
-/** Tests that heartbeats with a spoilt birth change nothing, beside good ones that count. */
+/** Tests that heartbeats with a malformed start time are rejected while valid ones are accepted. */
 public class TestHeartbeatServer {
 
-    private static final String WHOLE =
+    private static final String COMPLETE_HEARTBEAT =
             "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\",\"version\":\"v1\","
                     + "\"slots\":8,\"state\":\"ready\",\"cold_remaining_ms\":0,\"capacity\":"
                     + "{\"cpu\":16000,\"mem_mb\":100,\"gpu\":0},\"labels\":[\"a\"],\"seq\":4}";
 
-    private static final List<String> HEARD = new CopyOnWriteArrayList<>();
+    private static final List<String> RECEIVED = new CopyOnWriteArrayList<>();
     private static final ExecutorService THREADS = ProcessThreads.newCached("test");
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
     private static HeartbeatServer server;
@@ -67,12 +67,12 @@
                         new WorkerListener() {
                             @Override
                             public void heartbeatReceived(WorkerDescription worker, long sequence) {
-                                HEARD.add(worker.incarnation().toString());
+                                RECEIVED.add(worker.incarnation().toString());
                             }
 
                             @Override
                             public void workerLeft(WorkerId worker) {
-                                HEARD.add("left " + worker);
+                                RECEIVED.add("left " + worker);
                             }
                         });
     }
@@ -91,9 +91,13 @@
         return CLIENT.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** A heartbeat of some form: four are spoilt, one names no birth, the others some. */
+    /**
+     * Creates a heartbeat. The four forms 1 to 4 have a malformed start time, form 0 has none, all
+     * others a valid one.
+     */
     private static ObjectNode heartbeat(int form) {
-        ObjectNode body = (ObjectNode) Json.read(WHOLE.getBytes(StandardCharsets.UTF_8));
+        ObjectNode body =
+                (ObjectNode) Json.read(COMPLETE_HEARTBEAT.getBytes(StandardCharsets.UTF_8));
         return switch (form) {
             case 0 -> body;
             case 1 -> body.putNull("born");
@@ -108,15 +112,15 @@
     public void malformedStartTimesAreRejected(
             @ForAll @Size(max = 12) List<@IntRange(max = 9) Integer> forms)
             throws IOException, InterruptedException {
-        HEARD.clear();
-        List<String> good = new ArrayList<>();
+        RECEIVED.clear();
+        List<String> accepted = new ArrayList<>();
         for (int form : forms) {
-            boolean whole = form == 0 || form > 4;
-            assertEquals(whole ? 200 : 400, put(heartbeat(form)), "form " + form);
-            if (whole) {
-                good.add(form == 0 ? "i-1" : "i-1@" + form);
+            boolean valid = form == 0 || form > 4;
+            assertEquals(valid ? 200 : 400, put(heartbeat(form)), "form " + form);
+            if (valid) {
+                accepted.add(form == 0 ? "i-1" : "i-1@" + form);
             }
         }
-        assertEquals(good, HEARD);
+        assertEquals(accepted, RECEIVED);
     }
 }
--- a/src/test/java/org/standlink/platform/TestHttpStore.java
+++ b/src/test/java/org/standlink/platform/TestHttpStore.java
@@ -36,7 +36,7 @@
 import org.standlink.store.Topic;
 import org.standlink.store.Writer;
 
-/** Tests the client of the store against its stand-in, over real connections. */
+/** Tests the client of the store against the stand-in, over real connections. */
 public class TestHttpStore {
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
--- a/src/test/java/org/standlink/platform/TestHttpWorkerClient.java
+++ b/src/test/java/org/standlink/platform/TestHttpWorkerClient.java
@@ -48,9 +48,7 @@
 import org.standlink.runner.RenewalResult;
 import org.standlink.wire.StartOrder;
 
-/**
- * Tests the calls of workers against answers written out by hand, after the platform's examples.
- */
+/** Tests calls of workers against literal answers that follow the platform's examples. */
 public class TestHttpWorkerClient {
 
     private static final RunId RUN = new RunId(TaskName.parse("5c0e7a21d94b36f8.0.1.17"), 2);
@@ -59,12 +57,12 @@
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private HttpServer server;
-    private HttpWorkerClient calls;
+    private HttpWorkerClient client;
     private WorkerDescription worker;
     private volatile int status = 200;
     private volatile String answer = "{\"clock_ms\":482113}";
     private volatile String path;
-    private volatile String life;
+    private volatile String workerIdHeader;
     private volatile JsonNode body;
 
     @BeforeEach
@@ -72,7 +70,7 @@
         server = HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
         server.createContext("/", this::handle);
         server.start();
-        calls = new HttpWorkerClient(new PlatformHttpClient(threads));
+        client = new HttpWorkerClient(new PlatformHttpClient(threads));
         worker =
                 new WorkerDescription(
                         WorkerIncarnation.parse("i-7f3a91c2@1000"),
@@ -94,7 +92,7 @@
     private void handle(HttpExchange exchange) throws IOException {
         try (exchange) {
             path = exchange.getRequestURI().getPath();
-            life = exchange.getRequestHeaders().getFirst("X-Expect-Instance");
+            workerIdHeader = exchange.getRequestHeaders().getFirst("X-Expect-Instance");
             body = Json.read(exchange.getRequestBody().readAllBytes());
             byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(status, bytes.length);
@@ -104,33 +102,33 @@
 
     private CallResult start(String checkpoint) {
         StartOrder order = new StartOrder(RUN, "(text)", checkpoint, false, 0, "");
-        return calls.start(worker, order, 486000, FENCE).join();
+        return client.start(worker, order, 486000, FENCE).join();
     }
 
-    /** Whoever waits for a list goes on asking only if each call ends with a result. */
+    /** Renewals continue only if each call ends with a result, also after a malformed answer. */
     @Test
     public void malformedListsAreTreatedAsNoAnswer() {
         for (String row : List.of("[58,\"task\",1,\"done\",\"\"]", "[58,7]", "7", "null")) {
             answer = "{\"born\":1000,\"clock_ms\":1,\"running\":[],\"ended\":[" + row + "]}";
-            RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
+            RenewalResult result = client.renew(worker, 486000, FENCE, 57, 0).join();
             assertEquals(CallResult.Kind.UNKNOWN, result.result().kind(), row);
         }
     }
 
-    /** Without it nobody can tell of which life the lists are. */
+    /** Without a start time, the lists cannot be attributed to an incarnation. */
     @Test
     public void listsWithAMalformedStartTimeAreTreatedAsNoAnswer() {
-        List<String> births =
+        List<String> startTimes =
                 List.of(
                         "",
                         "\"born\":null,",
                         "\"born\":\"1000\",",
                         "\"born\":1000.5,",
                         "\"born\":-1,");
-        for (String birth : births) {
-            answer = "{" + birth + "\"clock_ms\":1,\"running\":[],\"ended\":[]}";
-            RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
-            assertEquals(CallResult.Kind.UNKNOWN, result.result().kind(), birth);
+        for (String startTime : startTimes) {
+            answer = "{" + startTime + "\"clock_ms\":1,\"running\":[],\"ended\":[]}";
+            RenewalResult result = client.renew(worker, 486000, FENCE, 57, 0).join();
+            assertEquals(CallResult.Kind.UNKNOWN, result.result().kind(), startTime);
         }
     }
 
@@ -147,14 +145,14 @@
                         worker.draining(),
                         worker.remainingMillis());
         answer = "{\"clock_ms\":1,\"running\":[],\"ended\":[]}";
-        RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
+        RenewalResult result = client.renew(worker, 486000, FENCE, 57, 0).join();
         assertEquals(worker.incarnation(), result.incarnation());
     }
 
     @Test
     public void answerNamesTheIncarnation() {
         answer = "{\"born\":2000,\"clock_ms\":1,\"running\":[],\"ended\":[]}";
-        RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 0).join();
+        RenewalResult result = client.renew(worker, 486000, FENCE, 57, 0).join();
         assertEquals(WorkerIncarnation.parse("i-7f3a91c2@2000"), result.incarnation());
     }
 
@@ -164,7 +162,7 @@
         assertEquals(CallResult.Kind.DONE, result.kind());
         assertEquals(482113, result.clockMillis());
         assertEquals("/v1/run-start", path);
-        assertEquals("i-7f3a91c2", life);
+        assertEquals("i-7f3a91c2", workerIdHeader);
         assertEquals("5c0e7a21d94b36f8.0.1.17", body.path("task").asText());
         assertEquals(2, body.path("run_id").asInt());
         assertEquals("(text)", body.path("spec").asText());
@@ -211,7 +209,7 @@
         answer =
                 "{\"born\":1000,\"clock_ms\":482113,\"running\":[[\"5c0e7a21d94b36f8.0.1.17\",2,\"0b\",41,12]],"
                         + "\"ended\":[[58,\"5c0e7a21d94b36f8.0.1.9\",1,\"done\",\"\"]]}";
-        RenewalResult result = calls.renew(worker, 486000, FENCE, 57, 400).join();
+        RenewalResult result = client.renew(worker, 486000, FENCE, 57, 400).join();
         assertTrue(result.isDone());
         assertEquals(List.of(new RunProgress(RUN, "0b", 41, 12)), result.running());
         RunId other = new RunId(TaskName.parse("5c0e7a21d94b36f8.0.1.9"), 1);
@@ -223,7 +221,7 @@
 
     @Test
     public void renewalWithoutExtensionOmitsTheLeaseEnd() {
-        calls.renew(worker, -1, FENCE, 0, 0).join();
+        client.renew(worker, -1, FENCE, 0, 0).join();
         assertFalse(body.has("until_ms"));
         assertFalse(body.has("wait_ms"));
     }
--- a/src/test/java/org/standlink/platform/TestPlatformHttpClient.java
+++ b/src/test/java/org/standlink/platform/TestPlatformHttpClient.java
@@ -37,18 +37,18 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.process.ProcessThreads;
 
-/** Tests what becomes of calls when open connections go silent while new ones work. */
+/** Tests calls while open connections are stalled and new ones work. */
 public class TestPlatformHttpClient {
 
-    /** How many connections are open when they go silent. */
-    private static final int OPEN = 3;
+    /** The number of connections that stall. */
+    private static final int STALLED_CONNECTIONS = 3;
 
-    /** How long a call that is answered may take, in milliseconds; a bound on a failing test. */
-    private static final long PATIENT_MILLIS = 60_000;
+    /** The timeout of a call that is answered, in milliseconds; it only bounds a failing test. */
+    private static final long ANSWERED_CALL_TIMEOUT_MILLIS = 60_000;
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
-    private final PlatformHttpClient caller = new PlatformHttpClient(threads);
-    private final CountDownLatch allOpen = new CountDownLatch(OPEN);
+    private final PlatformHttpClient client = new PlatformHttpClient(threads);
+    private final CountDownLatch allOpen = new CountDownLatch(STALLED_CONNECTIONS);
     private ServerSocket listener;
 
     @BeforeEach
@@ -67,32 +67,32 @@
         for (int number = 0; !listener.isClosed(); number++) {
             try {
                 Socket socket = listener.accept();
-                boolean goesSilent = number < OPEN;
-                threads.execute(() -> serve(socket, goesSilent));
+                boolean stalls = number < STALLED_CONNECTIONS;
+                threads.execute(() -> serve(socket, stalls));
             } catch (IOException closed) {
                 return;
             }
         }
     }
 
-    /** Answers every request, or the first one only, once all connections are open. */
-    private void serve(Socket socket, boolean goesSilent) {
+    /** Answers every request, or only the first one, once all connections are open. */
+    private void serve(Socket socket, boolean stalls) {
         try (socket) {
             BufferedReader reader =
                     new BufferedReader(
                             new InputStreamReader(
                                     socket.getInputStream(), StandardCharsets.US_ASCII));
-            boolean silent = false;
+            boolean stalled = false;
             String line = reader.readLine();
             while (line != null) {
-                if (line.isEmpty() && !silent) {
+                if (line.isEmpty() && !stalled) {
                     allOpen.countDown();
                     allOpen.await();
                     byte[] answer =
                             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
                                     .getBytes(StandardCharsets.US_ASCII);
                     socket.getOutputStream().write(answer);
-                    silent = goesSilent;
+                    stalled = stalls;
                 }
                 line = reader.readLine();
             }
@@ -104,13 +104,15 @@
 
     private CompletableFuture<HttpResponse<byte[]>> call(long millis) {
         String address = "127.0.0.1:" + listener.getLocalPort();
-        return caller.send(caller.newRequest(address, "/", millis).GET());
+        return client.send(client.newRequest(address, "/", millis).GET());
     }
 
     @Test
     public void idleConnectionsAreDiscardedAfterATimeout() {
         List<CompletableFuture<HttpResponse<byte[]>>> first =
-                IntStream.range(0, OPEN).mapToObj(one -> call(PATIENT_MILLIS)).toList();
+                IntStream.range(0, STALLED_CONNECTIONS)
+                        .mapToObj(one -> call(ANSWERED_CALL_TIMEOUT_MILLIS))
+                        .toList();
         first.forEach(CompletableFuture::join);
         assertThrows(CompletionException.class, () -> call(700).join());
         assertEquals(200, call(700).join().statusCode());
--- a/src/test/java/org/standlink/platform/TestRecordFormat.java
+++ b/src/test/java/org/standlink/platform/TestRecordFormat.java
@@ -24,7 +24,7 @@
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.ReadResult;
 
-/** Tests the binary form of records against bytes written out by hand. */
+/** Tests the binary format of records against literal bytes. */
 public class TestRecordFormat {
 
     @Test
--- a/src/test/java/org/standlink/platform/TestStalledStoreConnections.java
+++ b/src/test/java/org/standlink/platform/TestStalledStoreConnections.java
@@ -38,12 +38,12 @@
 import org.standlink.store.Writer;
 
 /**
- * Tests each kind of call to the store on connections that go silent for good while new ones work.
+ * Tests each kind of call to the store on connections that stall for good while new ones work.
  *
- * <p>Only the time limit of a call can find such a connection. Each test opens a connection by a
- * first call, lets it go silent, and shows that the next call ends as not known within its own
- * limit, and that what follows gets a connection that works: nobody waits behind a silent one for
- * longer than one limit. The tests ask what ends and how, never how fast.
+ * <p>Only the timeout of a call detects such a connection. Each test opens a connection with a
+ * first call and stalls it. The next call must end with an unknown outcome at its own timeout, and
+ * the call after it must use a working connection: no call may wait behind a stalled one for longer
+ * than one timeout. The tests check outcomes, not durations.
  */
 public class TestStalledStoreConnections {
 
@@ -75,10 +75,11 @@
         return List.of(new KeyedRecord(key, new byte[] {1}));
     }
 
-    /** The first call ends as not known, the same call then ends well. */
-    private <T> T secondOf(Supplier<CompletableFuture<T>> call) {
-        CompletionException lost = assertThrows(CompletionException.class, () -> call.get().join());
-        ErrorCode code = ((StandlinkException) lost.getCause()).getCode();
+    /** Checks that the first call has an unknown outcome, and gets the result of a second one. */
+    private <T> T resultOfSecondCall(Supplier<CompletableFuture<T>> call) {
+        CompletionException unknown =
+                assertThrows(CompletionException.class, () -> call.get().join());
+        ErrorCode code = ((StandlinkException) unknown.getCause()).getCode();
         assertEquals(ErrorCode.PLATFORM_OUTCOME_UNKNOWN, code);
         return call.get().join();
     }
@@ -86,39 +87,39 @@
     // -----------------------------------------------------------------------
     @Test
     public void appendIsRetriedUnderItsSequenceNumberAndExecutedOnce() {
-        assertEquals(2, secondOf(() -> store.append(Topic.CELL, records("b"), SECOND)));
+        assertEquals(2, resultOfSecondCall(() -> store.append(Topic.CELL, records("b"), SECOND)));
         assertEquals(2, store.readEnd(Topic.CELL).join());
     }
 
     @Test
     public void claimIsRetriedUnderItsCondition() {
-        assertEquals(1, secondOf(() -> store.appendAt(Topic.CLAIMS, records("c"), 0)));
+        assertEquals(1, resultOfSecondCall(() -> store.appendAt(Topic.CLAIMS, records("c"), 0)));
     }
 
     @Test
     public void fenceIsRetried() {
-        assertEquals(1, secondOf(() -> store.fence(Topic.CELL, Epoch.of(2))));
+        assertEquals(1, resultOfSecondCall(() -> store.fence(Topic.CELL, Epoch.of(2))));
     }
 
     @Test
     public void readIsRetried() {
-        assertEquals(1, secondOf(() -> store.read(Topic.CELL, 0, 0)).records().size());
+        assertEquals(1, resultOfSecondCall(() -> store.read(Topic.CELL, 0, 0)).records().size());
     }
 
     @Test
     public void readOfTheEndIsRetried() {
-        assertEquals(1, secondOf(() -> store.readEnd(Topic.CELL)));
+        assertEquals(1, resultOfSecondCall(() -> store.readEnd(Topic.CELL)));
     }
 
     @Test
     public void readOfTheNewestRecordsIsRetried() {
-        assertEquals(1, secondOf(() -> store.readNewest(Topic.CELL)).records().size());
+        assertEquals(1, resultOfSecondCall(() -> store.readNewest(Topic.CELL)).records().size());
     }
 
     @Test
     public void longPollOnAStalledConnectionTimesOutAndIsRetried() {
-        // Leaves one idle connection that works, which the read takes.
-        secondOf(() -> store.readEnd(Topic.CELL));
+        // Leaves one idle, working connection, which the read uses.
+        resultOfSecondCall(() -> store.readEnd(Topic.CELL));
         CompletableFuture<?> waiting = store.read(Topic.CELL, 1, 300);
         proxy.stallOpenConnections();
         assertThrows(CompletionException.class, waiting::join);
@@ -127,14 +128,14 @@
 
     @Test
     public void callIsNotQueuedBehindOneOnAStalledConnection() {
-        CompletableFuture<Boolean> read = endsWell(store.readEnd(Topic.CELL));
+        CompletableFuture<Boolean> read = succeeds(store.readEnd(Topic.CELL));
         CompletableFuture<Boolean> append =
-                endsWell(store.append(Topic.CELL, records("b"), SECOND));
-        // Whichever takes the silent connection is alone on it.
+                succeeds(store.append(Topic.CELL, records("b"), SECOND));
+        // Whichever call uses the stalled connection is the only one that fails.
         assertTrue(read.join() != append.join());
     }
 
-    private static CompletableFuture<Boolean> endsWell(CompletableFuture<?> call) {
+    private static CompletableFuture<Boolean> succeeds(CompletableFuture<?> call) {
         return call.handle((value, failure) -> failure == null);
     }
 }
--- a/src/test/java/org/standlink/platform/TestStandInWorker.java
+++ b/src/test/java/org/standlink/platform/TestStandInWorker.java
@@ -38,20 +38,21 @@
 import org.standlink.wire.StartOrder;
 
 /**
- * Tests that the stand-in of a worker starts again as a worker does: under its id, knowing nothing.
+ * Tests that the stand-in of a worker restarts as a worker does: under the same id and without
+ * state.
  */
 public class TestStandInWorker {
 
     private static final WorkerId ID = WorkerId.parse("i-1");
     private static final Fence FENCE = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
-    private static final long WORK_MILLIS = 1000;
+    private static final long RUN_MILLIS = 1000;
 
     private final FakeClock clock = new FakeClock();
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private final StandInWorker worker =
             new StandInWorker(
-                    new InetSocketAddress("127.0.0.1", 0), threads, clock::nowMillis, WORK_MILLIS);
-    private final HttpWorkerClient calls = new HttpWorkerClient(new PlatformHttpClient(threads));
+                    new InetSocketAddress("127.0.0.1", 0), threads, clock::nowMillis, RUN_MILLIS);
+    private final HttpWorkerClient client = new HttpWorkerClient(new PlatformHttpClient(threads));
 
     @AfterEach
     public void close() {
@@ -67,18 +68,18 @@
     private void start(WorkerDescription to, int index) {
         RunId run = new RunId(TaskName.parse("5c0e7a21d94b36f8.0.0." + index), 1);
         StartOrder order = new StartOrder(run, "text", "", false, 0, "");
-        assertEquals(CallResult.Kind.DONE, calls.start(to, order, 60_000, FENCE).join().kind());
+        assertEquals(CallResult.Kind.DONE, client.start(to, order, 60_000, FENCE).join().kind());
     }
 
     private RenewalResult renew(WorkerDescription to) {
-        return calls.renew(to, 60_000, FENCE, 0, 0).join();
+        return client.renew(to, 60_000, FENCE, 0, 0).join();
     }
 
     @Test
     public void restartedWorkerListsNoRunsAndNumbersItsEndsAnew() {
         WorkerDescription former = describe();
         start(former, 0);
-        clock.advance(WORK_MILLIS);
+        clock.advance(RUN_MILLIS);
         start(former, 1);
         RenewalResult before = renew(former);
         assertEquals(former.incarnation(), before.incarnation());
@@ -89,10 +90,10 @@
         assertTrue(after.incarnation().isOtherIncarnationOf(former.incarnation()));
         assertEquals(List.of(), after.running());
         assertEquals(List.of(), after.ended());
-        WorkerDescription present = describe();
-        assertEquals(present.incarnation(), after.incarnation());
-        start(present, 2);
-        clock.advance(WORK_MILLIS);
-        assertEquals(1, renew(present).ended().get(0).number());
+        WorkerDescription current = describe();
+        assertEquals(current.incarnation(), after.incarnation());
+        start(current, 2);
+        clock.advance(RUN_MILLIS);
+        assertEquals(1, renew(current).ended().get(0).number());
     }
 }
