--- a/src/main/java/org/standlink/platform/StandInCaller.java
+++ b/src/main/java/org/standlink/platform/StandInCaller.java
@@ -45,7 +45,7 @@
                     + "\"services\":[{\"name\":\"s\",\"enforces_capacity\":false}],"
                     + "\"limits\":{\"max_body_bytes\":262144}}";
 
-    /** A job with a best-effort step and an ordinary step. */
+    /** A job with two steps, one of best-effort work and one of ordinary work. */
     private static final String BATCH_JOB =
             "{\"spec\":\"text\",\"steps\":[{\"count\":2,\"cpu\":500,\"mem_mb\":256,"
                     + "\"estimated_ms\":400,\"checkpointing\":true,\"fills\":true,\"image\":\"b\"},"
