--- a/src/main/java/org/standlink/platform/HttpStore.java
+++ b/src/main/java/org/standlink/platform/HttpStore.java
@@ -229,7 +229,7 @@
                             "read the records that were written in the meantime");
             default ->
                     throw new StandlinkException(
-                            ErrorCode.PLATFORM_UNAVAILABLE, problem, "retry later");
+                            ErrorCode.PLATFORM_UNAVAILABLE, problem, "try again later");
         }
     }
 
--- a/src/main/java/org/standlink/platform/PlatformHttpClient.java
+++ b/src/main/java/org/standlink/platform/PlatformHttpClient.java
@@ -134,7 +134,7 @@
             return new StandlinkException(
                     ErrorCode.PLATFORM_UNAVAILABLE,
                     "connection failed: " + cause,
-                    "retry later; nothing was sent",
+                    "try again later; nothing was sent",
                     cause);
         }
         return new StandlinkException(
