--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -52,82 +52,61 @@
 import org.standlink.wire.WireServer;
 
 /**
- * A running agent: it wires the parts together and drives them by timers.
+ * The process of an agent: it connects the components and runs them by timers.
  *
  * <p>{@code AgentProcess} is thread-safe.
  */
 public final class AgentProcess implements AutoCloseable {
 
-    /** How long the others may take to read the last answers, in milliseconds. */
-    private static final long READ_MILLIS = 2000;
+    /** How long the peers may take to read the last answers, in milliseconds. */
+    private static final long READ_TIMEOUT_MILLIS = 2000;
 
-    /** The log of changes of state. */
     private static final System.Logger LOGGER = System.getLogger(AgentProcess.class.getName());
 
-    /** The time between two ticks of the tasks, and of the leader, in milliseconds. */
-    private static final long TICK_MILLIS = 500;
+    /**
+     * The interval between ticks of the task supervisor and of the leader role, in milliseconds.
+     */
+    private static final long TICK_INTERVAL_MILLIS = 500;
 
-    /** The time between two broadcasts of the load, in milliseconds. */
-    private static final long LOAD_MILLIS = 250;
+    /** The interval between broadcasts of the load, in milliseconds. */
+    private static final long LOAD_INTERVAL_MILLIS = 250;
 
-    /** How long to wait for a bundle from a peer, in milliseconds. */
-    private static final long BUNDLE_MILLIS = 2000;
+    /** The timeout of a query for a bundle to a peer, in milliseconds. */
+    private static final long BUNDLE_TIMEOUT_MILLIS = 2000;
 
-    /** The time between two readings of the VM list, in milliseconds. */
-    private static final long LIST_MILLIS = 1000;
+    /** The interval between reads of the VM list, in milliseconds. */
+    private static final long VM_LIST_INTERVAL_MILLIS = 1000;
 
-    /** The settings. */
     private final AgentSettings settings;
-
-    /** The run of this process. */
     private final Incarnation incarnation = Incarnation.ofRandom();
-
-    /** The clock. */
     private final MonotonicClock clock = MonotonicClock.ofSystem();
-
-    /** The timers. */
     private final Timers timers;
-
-    /** Where counters go. */
     private final MeterRegistry registry;
-
-    /** The platform's VM list. */
     private final VmListPort vmList;
-
-    /** The bundle in force. */
     private final BundleHolder holder = new BundleHolder();
-
-    /** The tasks. */
     private final TaskSupervisor supervisor;
-
-    /** The requests. */
     private final RequestHandler requests;
-
-    /** The leader role, and the way to the leader. */
     private final LeaderRole leaderRole;
 
-    /** What the next heartbeat tells; used by its timer alone. */
-    private final ReportDelta delta = new ReportDelta();
-
-    /** Requests that are not over for those who sent them. */
-    private final RequestDrain openRequests = new RequestDrain();
+    /** Selects the reports of the next heartbeat; it is used by the heartbeat timer only. */
+    private final ReportDelta reportDelta = new ReportDelta();
 
-    /** The server. */
+    private final RequestDrain requestDrain = new RequestDrain();
     private final WireServer server;
 
     /** Whether the VM is leaving. */
     private volatile boolean leaving;
 
-    /** The reports that the leader has answered last, null if none. */
-    private volatile SupervisorReport answeredReport;
+    /** The last report that the leader has acknowledged, null if none. */
+    private volatile SupervisorReport acknowledgedReport;
 
     /**
-     * Constructor, which starts everything.
+     * Creates an agent and starts its server and timers.
      *
      * @param settings the settings
-     * @param executor where threads come from
-     * @param scheduler the timers, with at least four threads
-     * @param registry where counters go
+     * @param executor the executor for connections and HTTP calls
+     * @param scheduler the scheduler for timers, with at least four threads
+     * @param registry the registry for metrics
      */
     public AgentProcess(
             AgentSettings settings,
@@ -172,16 +151,16 @@
                         new Hello(settings.vm(), incarnation),
                         this::handle);
         addGauges();
-        timers.every("heartbeat", settings.heartbeatMillis(), this::heartbeat);
-        timers.every("tasks", TICK_MILLIS, this::tickTasks);
-        timers.every("leader", TICK_MILLIS, () -> leaderRole.tick(leaving));
-        timers.every("load", LOAD_MILLIS, this::broadcastLoad);
-        timers.every("list", LIST_MILLIS, this::readList);
+        timers.every("heartbeat", settings.heartbeatMillis(), this::sendHeartbeat);
+        timers.every("tasks", TICK_INTERVAL_MILLIS, this::tickTasks);
+        timers.every("leader", TICK_INTERVAL_MILLIS, () -> leaderRole.tick(leaving));
+        timers.every("load", LOAD_INTERVAL_MILLIS, this::broadcastLoad);
+        timers.every("list", VM_LIST_INTERVAL_MILLIS, this::readVmList);
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Gets the bundle in force.
+     * Gets the holder of the bundle in force.
      *
      * @return the holder
      */
@@ -190,7 +169,7 @@
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port of the server.
      *
      * @return the port
      */
@@ -199,7 +178,7 @@
     }
 
     /**
-     * Checks whether the agent takes work.
+     * Checks whether the agent accepts requests and tasks.
      *
      * @return true if it has a bundle and is not leaving
      */
@@ -208,26 +187,30 @@
     }
 
     /**
-     * Ends in order: no new work, requests end, tasks are checkpointed and handed back. It ends
-     * only once everybody who is connected has answered that it sends no more requests.
+     * Stops the agent gracefully: it accepts no new work, completes running requests, and stops its
+     * tasks and reports their checkpoints to the leader. Before the agent closes, it waits until
+     * all connected peers have acknowledged that they send no more requests, at most for the drain
+     * time of the settings.
      *
      * @throws InterruptedException if the thread is interrupted
      */
     public void drain() throws InterruptedException {
         BooleanSupplier drained = () -> isDrained() && server.isLeavingAcknowledged();
         leave();
-        server.awaitPendingAccepts(READ_MILLIS);
+        server.awaitPendingAccepts(READ_TIMEOUT_MILLIS);
         server.leave();
-        long until = clock.nowMillis() + settings.drainMillis();
-        Polling.await(drained, clock, until);
-        server.awaitPendingAccepts(READ_MILLIS);
-        Polling.await(drained, clock, until);
-        // Whoever connects from now on is refused and knows that nothing was sent.
+        long deadlineMillis = clock.nowMillis() + settings.drainMillis();
+        Polling.await(drained, clock, deadlineMillis);
+        server.awaitPendingAccepts(READ_TIMEOUT_MILLIS);
+        Polling.await(drained, clock, deadlineMillis);
+        // From now on connections are refused, so peers know that nothing was sent.
         server.stopListening();
-        Polling.await(drained, clock, until);
+        Polling.await(drained, clock, deadlineMillis);
         server.shutDownOutput();
         Polling.await(
-                server::hasNoConnections, clock, Math.min(until, clock.nowMillis() + READ_MILLIS));
+                server::hasNoConnections,
+                clock,
+                Math.min(deadlineMillis, clock.nowMillis() + READ_TIMEOUT_MILLIS));
         close();
     }
 
@@ -241,7 +224,9 @@
     // -----------------------------------------------------------------------
     private void leave() {
         if (!leaving) {
-            LOGGER.log(System.Logger.Level.INFO, "leaving: no new work from now on");
+            LOGGER.log(
+                    System.Logger.Level.INFO,
+                    "the VM is leaving: no new requests and tasks are accepted");
         }
         leaving = true;
         requests.leave();
@@ -249,12 +234,12 @@
     }
 
     private boolean isDrained() {
-        SupervisorReport report = answeredReport;
+        SupervisorReport report = acknowledgedReport;
         boolean tasksHandedBack =
                 supervisor.getRunning() == 0 && report != null && report == supervisor.getReport();
-        boolean requestsOver =
-                requests.getOutstanding() == 0 && openRequests.isDrained(clock.nowMillis());
-        return requestsOver && (tasksHandedBack || supervisor.getReport().tasks().isEmpty());
+        boolean requestsDrained =
+                requests.getOutstanding() == 0 && requestDrain.isDrained(clock.nowMillis());
+        return requestsDrained && (tasksHandedBack || supervisor.getReport().tasks().isEmpty());
     }
 
     private void addGauges() {
@@ -264,45 +249,47 @@
         registry.gauge(
                 "standlink.agent.bundle.version",
                 holder,
-                present -> present.getVersion().getValue());
+                bundleHolder -> bundleHolder.getVersion().getValue());
     }
 
     // -----------------------------------------------------------------------
-    private void heartbeat() {
+    private void sendHeartbeat() {
         if (!leaderRole.isLeaderKnown()) {
             return;
         }
         SupervisorReport report = supervisor.getReport();
-        ReportDelta.Selection part = delta.selectNext(report.tasks(), leaderRole.getEpoch());
-        long asked = clock.nowMillis();
+        ReportDelta.Selection selection =
+                reportDelta.selectNext(report.tasks(), leaderRole.getEpoch());
+        long sentMillis = clock.nowMillis();
         Heartbeat heartbeat =
                 new Heartbeat(
                         settings.vm(),
                         incarnation,
-                        part.number(),
-                        part.full(),
+                        selection.number(),
+                        selection.full(),
                         report.epoch(),
                         report.generation(),
                         holder.getVersion(),
                         report.revision(),
                         leaving,
                         report.workerReady(),
-                        part.tasks(),
-                        part.gone(),
-                        requests.getMeter().createReports(asked));
+                        selection.tasks(),
+                        selection.gone(),
+                        requests.getMeter().createReports(sentMillis));
         Message answer = leaderRole.send(heartbeat);
-        if (answer instanceof HeartbeatAnswer granted) {
-            take(granted, asked, report);
+        if (answer instanceof HeartbeatAnswer heartbeatAnswer) {
+            acceptAnswer(heartbeatAnswer, sentMillis, report);
         }
     }
 
-    private void take(HeartbeatAnswer granted, long asked, SupervisorReport report) {
-        boolean current = granted.epoch().compareTo(leaderRole.getEpoch()) >= 0;
-        if (current && supervisor.accept(granted, asked)) {
-            delta.answerReceived(granted.epoch());
-            leaderRole.answerReceived(granted);
-            holder.offer(granted.signedBundle(), granted.bundle());
-            answeredReport = report;
+    private void acceptAnswer(
+            HeartbeatAnswer heartbeatAnswer, long sentMillis, SupervisorReport report) {
+        boolean isCurrent = heartbeatAnswer.epoch().compareTo(leaderRole.getEpoch()) >= 0;
+        if (isCurrent && supervisor.accept(heartbeatAnswer, sentMillis)) {
+            reportDelta.answerReceived(heartbeatAnswer.epoch());
+            leaderRole.answerReceived(heartbeatAnswer);
+            holder.offer(heartbeatAnswer.signedBundle(), heartbeatAnswer.bundle());
+            acknowledgedReport = report;
         }
     }
 
@@ -330,14 +317,14 @@
         server.broadcast(requests.getLoad());
     }
 
-    private void readList() {
-        boolean listed =
+    private void readVmList() {
+        boolean listedAsLeaving =
                 vmList.list().stream()
                         .anyMatch(entry -> entry.vm().equals(settings.vm()) && entry.leaving());
-        if (listed && !leaving) {
+        if (listedAsLeaving && !leaving) {
             leave();
         }
-        if (listed) {
+        if (listedAsLeaving) {
             requests.setUpstreamLeaving();
         }
     }
@@ -345,20 +332,20 @@
     // -----------------------------------------------------------------------
     private void handle(Connection connection, long call, Message message) {
         if (message instanceof ForwardRequest forward) {
-            openRequests.requestReceived(connection, clock.nowMillis() + forward.budgetMillis());
+            requestDrain.requestReceived(connection, clock.nowMillis() + forward.budgetMillis());
             answerWhenDone(connection, call, requests.forward(forward));
-            askForBundle(connection);
+            requestBundle(connection);
         } else if (message instanceof OutcomeQuery query) {
-            openRequests.requestReceived(connection, clock.nowMillis());
+            requestDrain.requestReceived(connection, clock.nowMillis());
             answerWhenDone(connection, call, requests.queryOutcome(query));
         } else if (message instanceof Heartbeat heartbeat) {
             connection.answer(call, leaderRole.answer(heartbeat));
-        } else if (message instanceof LeaderAnnouncement news) {
-            leaderRole.announcementReceived(news);
+        } else if (message instanceof LeaderAnnouncement announcement) {
+            leaderRole.announcementReceived(announcement);
         } else if (message instanceof StatusQuery query) {
             connection.answer(call, leaderRole.answer(query));
         } else if (message instanceof BundleQuery query) {
-            connection.answer(call, bundleFor(query));
+            connection.answer(call, createBundleAnswer(query));
         }
     }
 
@@ -371,28 +358,28 @@
                     try {
                         connection.answer(call, answer);
                     } finally {
-                        openRequests.requestAnswered();
+                        requestDrain.requestAnswered();
                     }
                 });
     }
 
-    private void askForBundle(Connection connection) {
+    private void requestBundle(Connection connection) {
         if (holder.getBundle() == null) {
             Guarded.then(
                     "bundle-query",
-                    connection.call(new BundleQuery(holder.getVersion()), BUNDLE_MILLIS),
-                    (answer, failure) -> offer(answer));
+                    connection.call(new BundleQuery(holder.getVersion()), BUNDLE_TIMEOUT_MILLIS),
+                    (answer, failure) -> offerBundle(answer));
         }
     }
 
-    private void offer(Message answer) {
+    private void offerBundle(Message answer) {
         if (answer instanceof BundleAnswer bundle) {
             holder.offer(bundle.signedBundle(), bundle.version());
         }
     }
 
-    private BundleAnswer bundleFor(BundleQuery query) {
-        boolean newer = holder.getVersion().isAfter(query.held());
-        return new BundleAnswer(holder.getVersion(), newer ? holder.getSignedText() : null);
+    private BundleAnswer createBundleAnswer(BundleQuery query) {
+        boolean isNewer = holder.getVersion().isAfter(query.held());
+        return new BundleAnswer(holder.getVersion(), isNewer ? holder.getSignedText() : null);
     }
 }
--- a/src/main/java/org/standlink/agent/AgentSettings.java
+++ b/src/main/java/org/standlink/agent/AgentSettings.java
@@ -30,16 +30,17 @@
  * <p>{@code AgentSettings} is thread-safe and immutable.
  *
  * @param vm this VM
- * @param listen where other processes of standlink reach this one
- * @param adminListen where health and metrics are served
- * @param platform the platform's log and VM list
- * @param worker the local worker
- * @param upstream the upstream beside this agent
- * @param times the lengths of leases
- * @param heartbeatMillis the time between heartbeats, in milliseconds
- * @param claimAfterMillis how long the leader is silent before it is replaced, in milliseconds
- * @param logRetentionMillis how long the log keeps records, in milliseconds
- * @param drainMillis how long a planned stop may take, in milliseconds
+ * @param listen the address for connections of other standlink processes
+ * @param adminListen the address for health checks and metrics
+ * @param platform the address of the platform's log and VM list
+ * @param worker the address of the local worker
+ * @param upstream the address of the upstream on this VM
+ * @param times the lengths of the leases
+ * @param heartbeatMillis the interval between heartbeats, in milliseconds
+ * @param claimAfterMillis how long the leader may be unresponsive before an agent claims its place,
+ *     in milliseconds
+ * @param logRetentionMillis how long the log retains records, in milliseconds
+ * @param drainMillis the maximum duration of a planned stop, in milliseconds
  */
 public record AgentSettings(
         VmId vm,
@@ -55,29 +56,29 @@
         long drainMillis) {
 
     /**
-     * Reads and checks the settings.
+     * Parses and validates the settings.
      *
      * @param text the JSON text
      * @return the settings
-     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
+     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing all errors
      */
     public static AgentSettings read(String text) {
         Faults faults = new Faults();
-        JsonSection top = JsonSection.parse(text, faults);
+        JsonSection root = JsonSection.parse(text, faults);
         AgentSettings settings =
                 new AgentSettings(
-                        top.requiredValue("vm", VmId::parse),
-                        top.requiredValue("listen", Addresses::parse),
-                        top.requiredValue("adminListen", Addresses::parse),
-                        top.requiredValue("platform", Addresses::parseHttp),
-                        top.requiredValue("worker", Addresses::parseHttp),
-                        top.requiredValue("upstream", Addresses::parseHttp),
-                        times(top.section("leases")),
-                        top.integer("heartbeatMillis", 1000, 50, 10_000),
-                        top.integer("claimAfterMillis", 4000, 100, 60_000),
-                        top.integer("logRetentionMillis", 3_600_000, 1000, 604_800_000),
-                        top.integer("drainMillis", 30_000, 100, 600_000));
-        top.finish();
+                        root.requiredValue("vm", VmId::parse),
+                        root.requiredValue("listen", Addresses::parse),
+                        root.requiredValue("adminListen", Addresses::parse),
+                        root.requiredValue("platform", Addresses::parseHttp),
+                        root.requiredValue("worker", Addresses::parseHttp),
+                        root.requiredValue("upstream", Addresses::parseHttp),
+                        readLeaseTimes(root.section("leases")),
+                        root.integer("heartbeatMillis", 1000, 50, 10_000),
+                        root.integer("claimAfterMillis", 4000, 100, 60_000),
+                        root.integer("logRetentionMillis", 3_600_000, 1000, 604_800_000),
+                        root.integer("drainMillis", 30_000, 100, 600_000));
+        root.finish();
         if (settings.times().nodeMillis() <= 2 * settings.heartbeatMillis()) {
             faults.add(
                     "leases.nodeMillis",
@@ -88,16 +89,16 @@
         return settings;
     }
 
-    private static LeaseTimes times(JsonSection from) {
-        LeaseTimes standard = LeaseTimes.DEFAULT;
+    private static LeaseTimes readLeaseTimes(JsonSection section) {
+        LeaseTimes defaults = LeaseTimes.DEFAULT;
         LeaseTimes times =
                 new LeaseTimes(
-                        from.integer("nodeMillis", standard.nodeMillis(), 200, 600_000),
-                        from.integer("workerMillis", standard.workerMillis(), 200, 600_000),
-                        from.integer(
-                                "authorityMillis", standard.authorityMillis(), 500, 86_400_000),
-                        from.integer("marginMillis", standard.marginMillis(), 10, 600_000));
-        from.finish();
+                        section.integer("nodeMillis", defaults.nodeMillis(), 200, 600_000),
+                        section.integer("workerMillis", defaults.workerMillis(), 200, 600_000),
+                        section.integer(
+                                "authorityMillis", defaults.authorityMillis(), 500, 86_400_000),
+                        section.integer("marginMillis", defaults.marginMillis(), 10, 600_000));
+        section.finish();
         return times;
     }
 }
--- a/src/main/java/org/standlink/agent/AnswerFactory.java
+++ b/src/main/java/org/standlink/agent/AnswerFactory.java
@@ -20,24 +20,23 @@
 import org.standlink.wire.ForwardAnswer;
 
 /**
- * Makes the answers to forwarded requests that did not come from the upstream.
+ * Creates answers to forwarded requests on behalf of the agent, without an answer of the upstream.
  *
  * <p>{@code AnswerFactory} is thread-safe and immutable.
  */
 final class AnswerFactory {
 
-    /** No body. */
     private static final byte[] EMPTY = {};
 
-    /** No instances. */
+    /** Restricted constructor. */
     private AnswerFactory() {}
 
     /**
-     * Makes the answer of a request that did not run and never will under its id.
+     * Creates the answer to a request that has not run and will never run under its id.
      *
-     * @param reason why
-     * @param retryAfterMillis when to come back, in milliseconds
-     * @param outstanding requests running or queued at the agent
+     * @param reason the reason
+     * @param retryAfterMillis the delay before a retry, in milliseconds
+     * @param outstanding the number of requests running or queued at the agent
      * @return the answer
      */
     static ForwardAnswer notRun(String reason, long retryAfterMillis, int outstanding) {
@@ -46,10 +45,10 @@
     }
 
     /**
-     * Makes the answer of a request of which it is not known whether it ran.
+     * Creates the answer to a request that may have run or not.
      *
-     * @param reason why
-     * @param outstanding requests running or queued at the agent
+     * @param reason the reason
+     * @param outstanding the number of requests running or queued at the agent
      * @return the answer
      */
     static ForwardAnswer unknown(String reason, int outstanding) {
--- a/src/main/java/org/standlink/agent/CapacityUsage.java
+++ b/src/main/java/org/standlink/agent/CapacityUsage.java
@@ -18,68 +18,67 @@
 import org.standlink.Resources;
 
 /**
- * What a VM has granted to services and tasks; never more than it has.
+ * The resources of a VM that are allocated to services and tasks. New allocations never exceed the
+ * capacity of the VM.
  *
  * <p>{@code CapacityUsage} is mutable and not thread-safe; its owner guards it.
  */
 final class CapacityUsage {
 
-    /** What the VM has. */
     private final Resources capacity;
-
-    /** What is granted. */
-    private Resources granted;
+    private Resources allocated;
 
     /**
-     * Constructor.
+     * Creates an instance without tasks.
      *
-     * @param capacity what the VM has
-     * @param reserved what services take of it
+     * @param capacity the capacity of the VM
+     * @param reserved the resources reserved for services
      */
     CapacityUsage(Resources capacity, Resources reserved) {
         this.capacity = capacity;
-        this.granted = reserved;
+        this.allocated = reserved;
     }
 
     /**
-     * Notes an amount that is held already, whether it fits or not.
+     * Adds resources that are already in use, even if they exceed the capacity.
      *
-     * @param amount the amount
+     * @param amount the resources
      */
     void addAllocated(Resources amount) {
-        granted = granted.plus(amount);
+        allocated = allocated.plus(amount);
     }
 
     /**
-     * Grants an amount if it fits.
+     * Allocates resources if they fit into the capacity.
      *
-     * @param amount the amount
-     * @return true if granted
+     * @param amount the resources
+     * @return true if they were allocated
      */
     boolean tryAllocate(Resources amount) {
-        Resources sum = granted.plus(amount);
-        if (!sum.fitsIn(capacity)) {
+        Resources total = allocated.plus(amount);
+        if (!total.fitsIn(capacity)) {
             return false;
         }
-        granted = sum;
+        allocated = total;
         return true;
     }
 
     /**
-     * Gives an amount back.
+     * Releases resources.
      *
-     * @param amount the amount
+     * @param amount the resources
      */
     void release(Resources amount) {
-        granted = granted.minus(amount);
+        allocated = allocated.minus(amount);
     }
 
     /**
-     * Checks whether more is held than the VM has, as after a change of services.
+     * Checks whether the allocated resources exceed the capacity. This happens when the resources
+     * reserved for services are raised.
      *
      * @return true if so
      */
     boolean isOvercommitted() {
-        return !granted.fitsIn(capacity);
+        return !allocated.fitsIn(capacity);
     }
 }
--- a/src/main/java/org/standlink/agent/HttpUpstream.java
+++ b/src/main/java/org/standlink/agent/HttpUpstream.java
@@ -33,24 +33,24 @@
 import org.standlink.wire.ForwardRequest;
 
 /**
- * The upstream over HTTP.
+ * Runs requests at the upstream over HTTP.
  *
- * <p>The JDK's client repeats GET and HEAD on its own when a kept connection turns out to be
- * closed; so the checks of a bundle refuse classes that may not be repeated and contain these
- * methods.
+ * <p>The JDK's HTTP client repeats GET and HEAD requests by itself when a pooled connection turns
+ * out to be closed. Therefore the validation of a bundle rejects request classes that contain these
+ * methods and are not repeatable.
  *
  * <p>{@code HttpUpstream} is thread-safe and immutable.
  */
 public final class HttpUpstream implements UpstreamPort {
 
-    /** How long an upstream may take before its slot is given up, in seconds. */
-    private static final long LONGEST_SECONDS = 60;
+    /** The timeout after which a request fails and its slot is released, in seconds. */
+    private static final long REQUEST_TIMEOUT_SECONDS = 60;
 
-    /** When to come back after the upstream could not be reached, in milliseconds. */
-    private static final long RETRY_MILLIS = 1000;
+    /** The retry delay for callers if the upstream cannot be reached, in milliseconds. */
+    private static final long RETRY_AFTER_MILLIS = 1000;
 
-    /** Headers that belong to one connection and are not passed on. */
-    private static final Set<String> OF_CONNECTION =
+    /** Headers that apply to a single connection and are not forwarded. */
+    private static final Set<String> CONNECTION_HEADERS =
             Set.of(
                     "connection",
                     "content-length",
@@ -63,82 +63,82 @@
                     "transfer-encoding",
                     "upgrade");
 
-    /** The client. */
     private final HttpClient client;
-
-    /** The start of every address. */
-    private final URI base;
+    private final URI baseUri;
 
     /**
-     * Constructor.
+     * Creates an instance.
      *
-     * @param client the client
-     * @param base the start of every address
+     * @param client the HTTP client
+     * @param baseUri the URI against which the targets of requests are resolved
      */
-    public HttpUpstream(HttpClient client, URI base) {
+    public HttpUpstream(HttpClient client, URI baseUri) {
         this.client = client;
-        this.base = base;
+        this.baseUri = baseUri;
     }
 
     @Override
     public CompletableFuture<ForwardAnswer> run(ForwardRequest request) {
-        HttpRequest sent;
+        HttpRequest httpRequest;
         try {
-            sent = request(request);
+            httpRequest = createHttpRequest(request);
         } catch (IllegalArgumentException malformed) {
             String reason = "the request cannot be sent: " + malformed.getMessage();
             return CompletableFuture.completedFuture(AnswerFactory.notRun(reason, 0, 0));
         }
-        return client.sendAsync(sent, HttpResponse.BodyHandlers.ofByteArray())
+        return client.sendAsync(httpRequest, HttpResponse.BodyHandlers.ofByteArray())
                 .handle(
                         (response, failure) ->
-                                failure == null ? answered(response) : failed(failure));
+                                failure == null
+                                        ? createAnswer(response)
+                                        : createFailureAnswer(failure));
     }
 
     // -----------------------------------------------------------------------
-    private HttpRequest request(ForwardRequest forward) {
+    private HttpRequest createHttpRequest(ForwardRequest request) {
         HttpRequest.Builder builder =
-                HttpRequest.newBuilder(base.resolve(forward.target()))
-                        .timeout(Duration.ofSeconds(LONGEST_SECONDS))
+                HttpRequest.newBuilder(baseUri.resolve(request.target()))
+                        .timeout(Duration.ofSeconds(REQUEST_TIMEOUT_SECONDS))
                         .method(
-                                forward.method(),
-                                forward.body().length == 0
+                                request.method(),
+                                request.body().length == 0
                                         ? HttpRequest.BodyPublishers.noBody()
-                                        : HttpRequest.BodyPublishers.ofByteArray(forward.body()));
-        withoutConnection(forward.headers()).forEach(builder::header);
+                                        : HttpRequest.BodyPublishers.ofByteArray(request.body()));
+        withoutConnectionHeaders(request.headers()).forEach(builder::header);
         return builder.build();
     }
 
-    private static ForwardAnswer answered(HttpResponse<byte[]> response) {
+    private static ForwardAnswer createAnswer(HttpResponse<byte[]> response) {
         Map<String, String> headers = new HashMap<>();
         response.headers().map().forEach((name, values) -> headers.put(name, values.get(0)));
         return new ForwardAnswer(
                 Outcome.ANSWERED,
                 response.statusCode(),
-                withoutConnection(headers),
+                withoutConnectionHeaders(headers),
                 response.body(),
                 "",
                 0,
                 0);
     }
 
-    private static ForwardAnswer failed(Throwable failure) {
+    private static ForwardAnswer createFailureAnswer(Throwable failure) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         if (cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException) {
-            return AnswerFactory.notRun("the upstream cannot be reached", RETRY_MILLIS, 0);
+            return AnswerFactory.notRun("the upstream cannot be reached", RETRY_AFTER_MILLIS, 0);
         }
         return AnswerFactory.unknown("the upstream's answer was lost: " + cause, 0);
     }
 
-    private static Map<String, String> withoutConnection(Map<String, String> headers) {
-        Map<String, String> kept = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+    private static Map<String, String> withoutConnectionHeaders(Map<String, String> headers) {
+        Map<String, String> remaining = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         headers.forEach(
                 (name, value) -> {
-                    String lower = name.toLowerCase(java.util.Locale.ROOT);
-                    if (!OF_CONNECTION.contains(lower) && !lower.startsWith(":")) {
-                        kept.put(name, value);
+                    String lowerCaseName = name.toLowerCase(java.util.Locale.ROOT);
+                    if (!CONNECTION_HEADERS.contains(lowerCaseName)
+                            && !lowerCaseName.startsWith(":")) {
+                        remaining.put(name, value);
                     }
                 });
-        return kept;
+        return remaining;
     }
 }
--- a/src/main/java/org/standlink/agent/KeyedAnswers.java
+++ b/src/main/java/org/standlink/agent/KeyedAnswers.java
@@ -23,135 +23,136 @@
 import org.standlink.wire.ForwardAnswer;
 
 /**
- * The answers to requests with an idempotency key, kept for the length of the service's window.
+ * The answers to requests with an idempotency key, retained for the service's key window.
  *
- * <p>A second request with the same key gets the answer of the first, also while that one still
- * runs. One whose key stands for a different request is told so.
+ * <p>A second request with the same key receives the answer to the first, also if that one is still
+ * running. A different request with the same key is rejected.
  *
  * <p>{@code KeyedAnswers} is thread-safe.
  */
 final class KeyedAnswers {
 
-    /** The most bytes of answers kept. */
-    private static final long MOST_BYTES = 8L * 1024 * 1024;
+    /** The maximum size of the retained answers, in bytes. */
+    private static final long MAX_BYTES = 8L * 1024 * 1024;
 
-    /** The bytes counted for a key itself. */
+    /** The assumed size of a key without an answer, in bytes. */
     private static final int BYTES_PER_KEY = 200;
 
-    /** What a key stands for. */
-    private static final class Kept {
+    /** The request with a key, and its answer. */
+    private static final class Entry {
 
-        /** A digest of the request. */
+        /** A hash of the request. */
         private final int fingerprint;
 
-        /** The answer, complete when there is one. */
+        /** The answer; complete once the request has ended. */
         private final CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
 
-        /** When it may be forgotten, in milliseconds; never while it runs. */
-        private long untilMillis = Long.MAX_VALUE;
+        /** When the entry expires, in milliseconds; never while the request is running. */
+        private long expiryMillis = Long.MAX_VALUE;
 
-        /** The bytes counted for it. */
+        /** The size of the key and the answer, in bytes. */
         private long bytes = BYTES_PER_KEY;
 
-        private Kept(int fingerprint) {
+        private Entry(int fingerprint) {
             this.fingerprint = fingerprint;
         }
     }
 
-    /** What a request with a key shall do. */
+    /** How a request with a key is handled. */
     enum Decision {
-        /** Run it, and call {@link #complete} after. */
+        /** The request is run, and {@link #complete} must be called afterwards. */
         RUN,
-        /** Take the answer of the first request. */
+        /** The request receives the answer to the first one. */
         REPLAY,
-        /** The key stands for a different request. */
+        /** The key belongs to a different request. */
         MISMATCH,
-        /** There is no room to keep another answer. */
+        /** There is no space for another answer. */
         FULL
     }
 
-    /** The keys. */
-    private final Map<String, Kept> keys = new HashMap<>();
+    /** The entries by key. */
+    private final Map<String, Entry> entries = new HashMap<>();
 
-    /** The bytes kept. */
+    /** The total size of the entries, in bytes. */
     private long bytes;
 
     /**
-     * Decides what a request with a key shall do.
+     * Decides how a request with a key is handled, and adds the key if it is new.
      *
      * @param key the key, with service and team
-     * @param fingerprint a digest of the request
-     * @param nowMillis the time, in milliseconds
-     * @return the verdict
+     * @param fingerprint a hash of the request
+     * @param nowMillis the current time, in milliseconds
+     * @return the decision
      */
     synchronized Decision begin(String key, int fingerprint, long nowMillis) {
-        Kept present = keys.get(key);
-        if (present != null && nowMillis >= present.untilMillis) {
-            drop(key);
-            present = null;
+        Entry entry = entries.get(key);
+        if (entry != null && nowMillis >= entry.expiryMillis) {
+            remove(key);
+            entry = null;
         }
-        if (present != null) {
-            return present.fingerprint == fingerprint ? Decision.REPLAY : Decision.MISMATCH;
+        if (entry != null) {
+            return entry.fingerprint == fingerprint ? Decision.REPLAY : Decision.MISMATCH;
         }
-        if (bytes >= MOST_BYTES) {
-            dropOld(nowMillis);
+        if (bytes >= MAX_BYTES) {
+            removeExpired(nowMillis);
         }
-        if (bytes >= MOST_BYTES) {
+        if (bytes >= MAX_BYTES) {
             return Decision.FULL;
         }
-        keys.put(key, new Kept(fingerprint));
+        entries.put(key, new Entry(fingerprint));
         bytes += BYTES_PER_KEY;
         return Decision.RUN;
     }
 
     /**
-     * Gets the answer that a key stands for.
+     * Gets the answer to the request with a key.
      *
      * @param key the key, with service and team
-     * @return the answer, complete when there is one; empty if the key is gone
+     * @return the answer, complete once the request has ended; empty if the key is not present
      */
     synchronized Optional<CompletableFuture<ForwardAnswer>> get(String key) {
-        return Optional.ofNullable(keys.get(key)).map(kept -> kept.answer);
+        return Optional.ofNullable(entries.get(key)).map(entry -> entry.answer);
     }
 
     /**
-     * Notes what became of the request that runs under a key.
+     * Records the answer to the running request with a key. The key is removed if the request did
+     * not run, so that it can be used again.
      *
      * @param key the key, with service and team
-     * @param answer what became of it; after "not run" the key is free again
-     * @param untilMillis when the answer may be forgotten, in milliseconds
+     * @param answer the answer
+     * @param expiryMillis when the answer expires, in milliseconds
      */
-    void complete(String key, ForwardAnswer answer, long untilMillis) {
-        Kept kept;
+    void complete(String key, ForwardAnswer answer, long expiryMillis) {
+        Entry entry;
         synchronized (this) {
-            kept = keys.get(key);
-            if (kept == null) {
+            entry = entries.get(key);
+            if (entry == null) {
                 return;
             }
             if (answer.outcome() == Outcome.NOT_RUN) {
-                drop(key);
+                remove(key);
             } else {
-                kept.untilMillis = untilMillis;
-                kept.bytes += answer.body().length;
+                entry.expiryMillis = expiryMillis;
+                entry.bytes += answer.body().length;
                 bytes += answer.body().length;
             }
         }
-        kept.answer.complete(answer);
+        entry.answer.complete(answer);
     }
 
     // -----------------------------------------------------------------------
-    private void drop(String key) {
-        Kept kept = keys.remove(key);
-        if (kept != null) {
-            bytes -= kept.bytes;
+    private void remove(String key) {
+        Entry entry = entries.remove(key);
+        if (entry != null) {
+            bytes -= entry.bytes;
         }
     }
 
-    private void dropOld(long nowMillis) {
-        keys.entrySet().stream()
-                .filter(entry -> nowMillis >= entry.getValue().untilMillis)
+    private void removeExpired(long nowMillis) {
+        entries.entrySet().stream()
+                .filter(entry -> nowMillis >= entry.getValue().expiryMillis)
                 .map(Map.Entry::getKey)
                 .toList()
-                .forEach(this::drop);
+                .forEach(this::remove);
     }
 }
--- a/src/main/java/org/standlink/agent/KeyedRequests.java
+++ b/src/main/java/org/standlink/agent/KeyedRequests.java
@@ -31,64 +31,57 @@
 import org.standlink.wire.ForwardRequest;
 
 /**
- * Runs requests with an idempotency key once, and answers the others with the same key alike.
+ * Runs each request with an idempotency key once, and returns its answer to later requests with the
+ * same key.
  *
- * <p>A key is taken only while the agent has a live node lease, sees the same upstreams as the
- * entry and may vouch that the key has not run elsewhere.
+ * <p>A key is accepted only while the agent holds a live node lease, knows the same upstreams of
+ * the service as the entry, and can exclude that a request with the key has run elsewhere.
  *
  * <p>{@code KeyedRequests} is thread-safe.
  */
 final class KeyedRequests {
 
-    /** When to come back after a refusal that will soon be over, in milliseconds. */
-    private static final long SOON_MILLIS = 200;
+    /** The retry delay for callers after a refusal with a temporary cause, in milliseconds. */
+    private static final long RETRY_AFTER_MILLIS = 200;
 
-    /** Milliseconds in a second. */
-    private static final long SECOND_MILLIS = 1000;
+    private static final long MILLIS_PER_SECOND = 1000;
 
-    /** The HTTP status of a key that stands for a different request. */
-    private static final int UNPROCESSABLE = 422;
+    /** The HTTP status for a key that belongs to a different request. */
+    private static final int HTTP_UNPROCESSABLE_CONTENT = 422;
 
-    /** Tells whether the node lease is live. */
-    private final BooleanSupplier nodeLease;
-
-    /** The clock. */
+    private final BooleanSupplier nodeLeaseLive;
     private final MonotonicClock clock;
-
-    /** The answers kept. */
     private final KeyedAnswers answers = new KeyedAnswers();
-
-    /** The keys that may be vouched for. */
-    private final RosterTracker rosters;
+    private final RosterTracker rosterTracker;
 
     /**
-     * Constructor.
+     * Creates an instance.
      *
      * @param self this VM
-     * @param nodeLease tells whether the node lease is live
+     * @param nodeLeaseLive supplies whether the node lease is live
      * @param clock the clock
      */
-    KeyedRequests(VmId self, BooleanSupplier nodeLease, MonotonicClock clock) {
-        this.nodeLease = nodeLease;
+    KeyedRequests(VmId self, BooleanSupplier nodeLeaseLive, MonotonicClock clock) {
+        this.nodeLeaseLive = nodeLeaseLive;
         this.clock = clock;
-        this.rosters = new RosterTracker(self, clock.nowMillis());
+        this.rosterTracker = new RosterTracker(self, clock.nowMillis());
     }
 
     /**
-     * Notes the bundle in force.
+     * Updates the known upstreams from the bundle in force.
      *
-     * @param bundle the bundle
+     * @param bundle the bundle in force
      */
     void observeBundle(Bundle bundle) {
-        rosters.observeBundle(bundle, clock.nowMillis());
+        rosterTracker.observeBundle(bundle, clock.nowMillis());
     }
 
     /**
      * Runs a request, or answers it without running it.
      *
-     * @param request a request with a key, of a service that is here
+     * @param request a request with a key, for a service of this upstream
      * @param bundle the bundle in force
-     * @param answer completed with what becomes of it
+     * @param answer completed with the answer
      * @param runner runs the request and completes the answer
      */
     void run(
@@ -97,59 +90,72 @@
             CompletableFuture<ForwardAnswer> answer,
             Runnable runner) {
         ServiceSpecification service = bundle.findService(request.service()).orElseThrow();
-        String key = keyOf(request);
-        Optional<ForwardAnswer> refusal = refusal(request, bundle, service, key);
+        String key = createScopedKey(request);
+        Optional<ForwardAnswer> refusal = findRefusal(request, bundle, service, key);
         if (refusal.isPresent()) {
             answer.complete(refusal.get());
             return;
         }
-        switch (answers.begin(key, fingerprint(request), clock.nowMillis())) {
+        switch (answers.begin(key, computeFingerprint(request), clock.nowMillis())) {
             case RUN -> {
-                long window = service.keyWindowSeconds() * SECOND_MILLIS;
+                long windowMillis = service.keyWindowSeconds() * MILLIS_PER_SECOND;
                 Guarded.then(
                         "keyed-end",
                         answer,
                         (value, failure) ->
-                                answers.complete(key, value, clock.nowMillis() + window));
+                                answers.complete(key, value, clock.nowMillis() + windowMillis));
                 runner.run();
             }
             case REPLAY -> replay(key, answer);
-            case MISMATCH -> answer.complete(mismatch());
+            case MISMATCH -> answer.complete(createMismatchAnswer());
             default ->
-                    answer.complete(AnswerFactory.notRun("too many keys are kept", SOON_MILLIS, 0));
+                    answer.complete(
+                            AnswerFactory.notRun(
+                                    "no space for another idempotency key", RETRY_AFTER_MILLIS, 0));
         }
     }
 
     // -----------------------------------------------------------------------
-    private Optional<ForwardAnswer> refusal(
+    private Optional<ForwardAnswer> findRefusal(
             ForwardRequest request, Bundle bundle, ServiceSpecification service, String key) {
-        if (!nodeLease.getAsBoolean()) {
-            return Optional.of(AnswerFactory.notRun("keys need a live node lease", SOON_MILLIS, 0));
+        if (!nodeLeaseLive.getAsBoolean()) {
+            return Optional.of(
+                    AnswerFactory.notRun(
+                            "the agent has no live node lease, which idempotency keys require",
+                            RETRY_AFTER_MILLIS,
+                            0));
         }
         if (request.roster() != service.rosterDigest()) {
-            return Optional.of(AnswerFactory.notRun("the upstreams have changed", SOON_MILLIS, 0));
+            return Optional.of(
+                    AnswerFactory.notRun(
+                            "the upstreams of the service have changed", RETRY_AFTER_MILLIS, 0));
         }
-        long wait = rosters.getWaitMillis(bundle, service, key, clock.nowMillis());
-        if (wait > 0) {
-            return Optional.of(AnswerFactory.notRun("the key may have run elsewhere", wait, 0));
+        long waitMillis = rosterTracker.getWaitMillis(bundle, service, key, clock.nowMillis());
+        if (waitMillis > 0) {
+            return Optional.of(
+                    AnswerFactory.notRun(
+                            "a request with this key may have run at another upstream",
+                            waitMillis,
+                            0));
         }
         return Optional.empty();
     }
 
     private void replay(String key, CompletableFuture<ForwardAnswer> answer) {
-        Optional<CompletableFuture<ForwardAnswer>> first = answers.get(key);
-        if (first.isEmpty()) {
-            answer.complete(AnswerFactory.notRun("the first request did not run", 0, 0));
+        Optional<CompletableFuture<ForwardAnswer>> firstAnswer = answers.get(key);
+        if (firstAnswer.isEmpty()) {
+            answer.complete(
+                    AnswerFactory.notRun("the first request with this key did not run", 0, 0));
         } else {
-            Guarded.then("replay", first.get(), (value, failure) -> answer.complete(value));
+            Guarded.then("replay", firstAnswer.get(), (value, failure) -> answer.complete(value));
         }
     }
 
-    private static ForwardAnswer mismatch() {
+    private static ForwardAnswer createMismatchAnswer() {
         String reason = "the Idempotency-Key stands for a different request\n";
         return new ForwardAnswer(
                 Outcome.ANSWERED,
-                UNPROCESSABLE,
+                HTTP_UNPROCESSABLE_CONTENT,
                 Map.of("content-type", "text/plain"),
                 reason.getBytes(StandardCharsets.UTF_8),
                 "",
@@ -157,11 +163,11 @@
                 0);
     }
 
-    private static String keyOf(ForwardRequest request) {
+    private static String createScopedKey(ForwardRequest request) {
         return request.service() + "\n" + request.team() + "\n" + request.idempotencyKey();
     }
 
-    private static int fingerprint(ForwardRequest request) {
+    private static int computeFingerprint(ForwardRequest request) {
         return Arrays.hashCode(request.body())
                 + 31 * (request.method() + request.target()).hashCode();
     }
--- a/src/main/java/org/standlink/agent/LeaderRole.java
+++ b/src/main/java/org/standlink/agent/LeaderRole.java
@@ -47,74 +47,55 @@
 import org.standlink.wire.StatusQuery;
 
 /**
- * What an agent does about leadership: it finds the leader, sends to it, and becomes it when it is
- * silent.
+ * The part of an agent that concerns leadership: it finds the leader, sends messages to it, and
+ * claims its place when it is unresponsive.
  *
- * <p>An agent that does not lead reads the log only at its start and while its leader is silent.
+ * <p>An agent that does not lead reads the log only at its start and while the leader is
+ * unresponsive.
  *
  * <p>{@code LeaderRole} is thread-safe.
  */
 final class LeaderRole implements AutoCloseable {
 
-    /** The log of changes of state. */
     private static final System.Logger LOGGER = System.getLogger(LeaderRole.class.getName());
 
-    /** The least time between two readings of the log while there is no leader, in milliseconds. */
-    private static final long READ_MILLIS = 500;
+    /** The minimum interval between reads of the log while no leader responds, in milliseconds. */
+    private static final long LOG_READ_INTERVAL_MILLIS = 500;
 
-    /** The settings. */
     private final AgentSettings settings;
-
-    /** The run of this process. */
     private final Incarnation incarnation;
-
-    /** The platform's log. */
     private final LogPort log;
-
-    /** The fold of the log. */
     private final LogFollower follower;
-
-    /** The bundle in force. */
     private final BundleHolder holder;
-
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** Where threads come from. */
     private final ExecutorService executor;
-
-    /** What answers messages on the connections made from here. */
     private final MessageHandler handler;
-
-    /** Where counters go. */
     private final MeterRegistry registry;
+    private final LeaderTracker leaderTracker;
 
-    /** Who leads. */
-    private final LeaderTracker finder;
-
-    /** The other agents of the cell. */
+    /** The connections to the other agents of the cell. */
     private final Map<VmId, PeerConnection> peers = new ConcurrentHashMap<>();
 
-    /** The leader's work, null until the cell is known. */
+    /** The leader service, null until the cell is known. */
     private volatile LeaderService service;
 
-    /** Whether the log was read to its end since the start. */
+    /** Whether the log has been read since the start. */
     private volatile boolean logRead;
 
-    /** When the log may be read again while there is no leader, in milliseconds. */
-    private volatile long nextReadMillis = Long.MIN_VALUE;
+    /** When the log may be read next while no leader responds, in milliseconds. */
+    private volatile long nextLogReadMillis = Long.MIN_VALUE;
 
     /**
-     * Constructor.
+     * Creates an instance without a known leader.
      *
      * @param settings the settings
-     * @param incarnation the run of this process
+     * @param incarnation the incarnation of this process
      * @param log the platform's log
-     * @param holder the bundle in force
+     * @param holder the holder of the bundle in force
      * @param clock the clock
-     * @param executor where threads come from
-     * @param handler what answers messages on the connections made from here
-     * @param registry where counters go
+     * @param executor the executor for connections and announcements
+     * @param handler the handler of messages on the connections to other agents
+     * @param registry the registry for counters
      */
     LeaderRole(
             AgentSettings settings,
@@ -134,25 +115,27 @@
         this.executor = executor;
         this.handler = handler;
         this.registry = registry;
-        this.finder =
+        this.leaderTracker =
                 new LeaderTracker(settings.vm(), settings.claimAfterMillis(), clock.nowMillis());
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Does what is due: leads, or looks for the leader, or replaces it.
+     * Performs what is due: runs the leader service, or reads the log for the leader and claims its
+     * place.
      *
-     * @param leaving whether the VM is leaving, so that it must not become leader
+     * @param leaving whether the VM is leaving, so that this agent must not claim
      */
     void tick(boolean leaving) {
-        long now = clock.nowMillis();
-        LeaderService present = service;
-        if (present != null && !present.getEpoch().equals(Epoch.NONE)) {
-            present.runOnce();
-            learn(present);
-            announce(present);
-        } else if (now >= nextReadMillis && (!logRead || finder.isLeaderUnresponsive(now))) {
-            nextReadMillis = now + READ_MILLIS;
+        long nowMillis = clock.nowMillis();
+        LeaderService leaderService = service;
+        if (leaderService != null && !leaderService.getEpoch().equals(Epoch.NONE)) {
+            leaderService.runOnce();
+            updateLeader(leaderService);
+            announce(leaderService);
+        } else if (nowMillis >= nextLogReadMillis
+                && (!logRead || leaderTracker.isLeaderUnresponsive(nowMillis))) {
+            nextLogReadMillis = nowMillis + LOG_READ_INTERVAL_MILLIS;
             lookForLeader(leaving);
         }
     }
@@ -160,10 +143,10 @@
     /**
      * Checks whether heartbeats can be sent.
      *
-     * @return true once the log was read since the start and a leader is known
+     * @return true once the log has been read since the start and a leader is known
      */
     boolean isLeaderKnown() {
-        return logRead && finder.getLeader() != null;
+        return logRead && leaderTracker.getLeader() != null;
     }
 
     /**
@@ -174,38 +157,38 @@
      * @throws StandlinkException with code LEASE_LAPSED or PEER_UNREACHABLE
      */
     Message send(Heartbeat heartbeat) {
-        VmId leader = finder.getLeader();
+        VmId leader = leaderTracker.getLeader();
         if (leader.equals(settings.vm())) {
             return answer(heartbeat);
         }
-        return peer(leader).call(heartbeat, settings.times().nodeMillis() / 2).join();
+        return getOrCreatePeer(leader).call(heartbeat, settings.times().nodeMillis() / 2).join();
     }
 
     /**
-     * Notes an answer of the leader.
+     * Records an answer of the leader.
      *
      * @param answer the answer
      */
     void answerReceived(HeartbeatAnswer answer) {
-        finder.answerReceived(answer.logAgeMillis(), clock.nowMillis());
+        leaderTracker.answerReceived(answer.logAgeMillis(), clock.nowMillis());
     }
 
     /**
-     * Hears who leads.
+     * Updates the leader from an announcement.
      *
-     * @param news the announcement
+     * @param announcement the announcement
      */
-    void announcementReceived(LeaderAnnouncement news) {
-        finder.update(news.epoch(), news.leader(), clock.nowMillis());
+    void announcementReceived(LeaderAnnouncement announcement) {
+        leaderTracker.update(announcement.epoch(), announcement.leader(), clock.nowMillis());
     }
 
     /**
-     * Gets the highest epoch heard of.
+     * Gets the highest known epoch.
      *
      * @return the epoch
      */
     Epoch getEpoch() {
-        return finder.getEpoch();
+        return leaderTracker.getEpoch();
     }
 
     /**
@@ -215,25 +198,30 @@
      * @return the answer, or a refusal
      */
     Message answer(Heartbeat heartbeat) {
-        LeaderService present = service;
+        LeaderService leaderService = service;
         try {
-            return present == null ? notLeading() : present.handleHeartbeat(heartbeat);
+            return leaderService == null
+                    ? createNotLeadingRefusal()
+                    : leaderService.handleHeartbeat(heartbeat);
         } catch (StandlinkException refused) {
             return new Refusal(refused.getCode(), refused.getMessage());
         }
     }
 
     /**
-     * Answers how the cell stands, if this agent leads.
+     * Answers a query for the state of the cell, if this agent leads.
      *
-     * @param query the question
+     * @param query the query
      * @return the answer, or a refusal
      */
     Message answer(StatusQuery query) {
-        LeaderService present = service;
+        LeaderService leaderService = service;
         try {
-            boolean mine = present != null && present.getCell().equals(query.cell());
-            return mine ? new StatusAnswer(present.getStatus()) : notLeading();
+            boolean leadsCell =
+                    leaderService != null && leaderService.getCell().equals(query.cell());
+            return leadsCell
+                    ? new StatusAnswer(leaderService.getStatus())
+                    : createNotLeadingRefusal();
         } catch (StandlinkException refused) {
             return new Refusal(refused.getCode(), refused.getMessage());
         }
@@ -245,7 +233,7 @@
     }
 
     // -----------------------------------------------------------------------
-    private Refusal notLeading() {
+    private Refusal createNotLeadingRefusal() {
         return new Refusal(ErrorCode.LEASE_LAPSED, "'" + settings.vm() + "' does not lead");
     }
 
@@ -261,21 +249,21 @@
         if (cell == null) {
             return;
         }
-        LeaderService present = serviceOf(cell);
-        learn(present);
+        LeaderService leaderService = getOrCreateService(cell);
+        updateLeader(leaderService);
         logRead = true;
-        if (!leaving && finder.isClaimDue(cell, clock.nowMillis())) {
-            finder.claimStarted(clock.nowMillis());
-            present.claim();
-            learn(present);
-            announce(present);
+        if (!leaving && leaderTracker.isClaimDue(cell, clock.nowMillis())) {
+            leaderTracker.claimStarted(clock.nowMillis());
+            leaderService.claim();
+            updateLeader(leaderService);
+            announce(leaderService);
         }
     }
 
-    private LeaderService serviceOf(CellSpecification cell) {
-        LeaderService present = service;
-        if (present == null) {
-            present =
+    private LeaderService getOrCreateService(CellSpecification cell) {
+        LeaderService leaderService = service;
+        if (leaderService == null) {
+            leaderService =
                     new LeaderService(
                             cell.id(),
                             settings.vm(),
@@ -288,52 +276,53 @@
                             clock,
                             () -> LocalTime.now(ZoneOffset.UTC).getHour(),
                             registry);
-            service = present;
+            service = leaderService;
         }
-        return present;
+        return leaderService;
     }
 
-    private void learn(LeaderService present) {
-        CellState state = follower.read(fold -> fold.getCell(present.getCell()));
-        if (finder.update(state.getEpoch(), state.getLeader(), clock.nowMillis())) {
+    private void updateLeader(LeaderService leaderService) {
+        CellState state = follower.read(fold -> fold.getCell(leaderService.getCell()));
+        if (leaderTracker.update(state.getEpoch(), state.getLeader(), clock.nowMillis())) {
             LOGGER.log(
                     System.Logger.Level.INFO,
                     "cell {0} is led by {1} under epoch {2}",
-                    present.getCell(),
-                    finder.getLeader(),
-                    finder.getEpoch());
+                    leaderService.getCell(),
+                    leaderTracker.getLeader(),
+                    leaderTracker.getEpoch());
         }
     }
 
-    private void announce(LeaderService present) {
-        if (!present.isLeading() || !present.isAnnouncementDue()) {
+    private void announce(LeaderService leaderService) {
+        if (!leaderService.isLeading() || !leaderService.isAnnouncementDue()) {
             return;
         }
-        LeaderAnnouncement news =
-                new LeaderAnnouncement(present.getCell(), present.getEpoch(), settings.vm());
-        CellSpecification cell = holder.getBundle().findCell(present.getCell()).orElse(null);
+        LeaderAnnouncement announcement =
+                new LeaderAnnouncement(
+                        leaderService.getCell(), leaderService.getEpoch(), settings.vm());
+        CellSpecification cell = holder.getBundle().findCell(leaderService.getCell()).orElse(null);
         if (cell != null) {
             cell.workers().stream()
                     .map(WorkerSpecification::vm)
                     .filter(vm -> !vm.equals(settings.vm()))
-                    .forEach(vm -> executor.execute(() -> tell(vm, news)));
+                    .forEach(vm -> executor.execute(() -> sendAnnouncement(vm, announcement)));
         }
     }
 
-    private void tell(VmId vm, LeaderAnnouncement news) {
+    private void sendAnnouncement(VmId vm, LeaderAnnouncement announcement) {
         try {
-            peer(vm).connect().send(news);
+            getOrCreatePeer(vm).connect().send(announcement);
         } catch (StandlinkException unreachable) {
             registry.counter("standlink.agent.announcements.lost").increment();
         }
     }
 
-    private PeerConnection peer(VmId vm) {
+    private PeerConnection getOrCreatePeer(VmId vm) {
         return peers.computeIfAbsent(
-                vm, key -> new PeerConnection(() -> addressOf(key), executor, handler));
+                vm, key -> new PeerConnection(() -> findAddress(key), executor, handler));
     }
 
-    private java.net.InetSocketAddress addressOf(VmId vm) {
+    private java.net.InetSocketAddress findAddress(VmId vm) {
         return holder.getBundle()
                 .findWorker(vm)
                 .map(worker -> Addresses.parse(worker.address()))
--- a/src/main/java/org/standlink/agent/LeaderTracker.java
+++ b/src/main/java/org/standlink/agent/LeaderTracker.java
@@ -24,107 +24,109 @@
 import org.standlink.bundle.WorkerSpecification;
 
 /**
- * Knows which agent leads the cell, and when it is this agent's turn to replace it.
+ * Tracks which agent leads the cell, and determines when this agent may claim its place.
  *
- * <p>The agents of a cell take turns in an order drawn for each epoch, so that seldom two of them
- * claim at once; if they do, the log settles it.
+ * <p>The agents of a cell claim in an order that is derived from the epoch by hashing, so that
+ * simultaneous claims are rare; if they happen, the log decides between them.
  *
  * <p>{@code LeaderTracker} is thread-safe.
  */
 final class LeaderTracker {
 
-    /** How much later each next agent claims, in milliseconds. */
-    private static final long TURN_MILLIS = 700;
+    /** The delay between the claims of successive agents in the order, in milliseconds. */
+    private static final long CLAIM_STAGGER_MILLIS = 700;
 
-    /** This VM. */
     private final VmId self;
-
-    /** How long the leader is silent before it is replaced, in milliseconds. */
     private final long claimAfterMillis;
 
-    /** The highest epoch heard of. */
+    /** The highest known epoch. */
     private Epoch epoch = Epoch.NONE;
 
-    /** The leader under it, null if none. */
+    /** The leader of the highest known epoch, null if none is known. */
     private VmId leader;
 
-    /** When the leader last answered, or was first heard of, in milliseconds. */
-    private long answeredMillis;
+    /**
+     * When the leader last answered or became known, or this agent last started a claim, in
+     * milliseconds.
+     */
+    private long lastAnswerMillis;
 
     /**
-     * Constructor.
+     * Creates a tracker without a known leader.
      *
      * @param self this VM
-     * @param claimAfterMillis how long the leader is silent before it is replaced, in milliseconds
-     * @param nowMillis the time, in milliseconds
+     * @param claimAfterMillis how long the leader may be unresponsive before an agent claims its
+     *     place, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     LeaderTracker(VmId self, long claimAfterMillis, long nowMillis) {
         this.self = self;
         this.claimAfterMillis = claimAfterMillis;
-        this.answeredMillis = nowMillis;
+        this.lastAnswerMillis = nowMillis;
     }
 
     /**
-     * Hears of a leader.
+     * Updates the leader; one of an epoch that is not higher than the known one is ignored.
      *
-     * @param heardEpoch the epoch
-     * @param heardLeader the leader, null if none
-     * @param nowMillis the time, in milliseconds
-     * @return true if it is news
+     * @param newEpoch the epoch
+     * @param newLeader the leader, null if none
+     * @param nowMillis the current time, in milliseconds
+     * @return true if the leader has changed
      */
-    synchronized boolean update(Epoch heardEpoch, VmId heardLeader, long nowMillis) {
-        if (heardLeader == null || !heardEpoch.isAfter(epoch)) {
+    synchronized boolean update(Epoch newEpoch, VmId newLeader, long nowMillis) {
+        if (newLeader == null || !newEpoch.isAfter(epoch)) {
             return false;
         }
-        epoch = heardEpoch;
-        leader = heardLeader;
-        answeredMillis = nowMillis;
+        epoch = newEpoch;
+        leader = newLeader;
+        lastAnswerMillis = nowMillis;
         return true;
     }
 
     /**
-     * Notes an answer of the leader; one that has lost touch with the log counts as silent.
+     * Records an answer of the leader. A leader that cannot reach the log counts as unresponsive.
      *
-     * @param logAgeMillis how long ago the leader last read the log, in milliseconds
-     * @param nowMillis the time, in milliseconds
+     * @param logAgeMillis the time since the leader last read the log, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     synchronized void answerReceived(long logAgeMillis, long nowMillis) {
         if (logAgeMillis < claimAfterMillis) {
-            answeredMillis = nowMillis;
+            lastAnswerMillis = nowMillis;
         }
     }
 
     /**
-     * Notes that this agent is about to claim, so that it does not claim again at once.
+     * Records that this agent starts a claim, so that it does not repeat it immediately.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     synchronized void claimStarted(long nowMillis) {
-        answeredMillis = nowMillis;
+        lastAnswerMillis = nowMillis;
     }
 
     /**
-     * Checks whether the leader is silent for so long that the log should be asked.
+     * Checks whether the leader has been unresponsive for half the time before a claim, so that the
+     * log should be read.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      * @return true if so, or if no leader is known
      */
     synchronized boolean isLeaderUnresponsive(long nowMillis) {
-        return leader == null || nowMillis - answeredMillis >= claimAfterMillis / 2;
+        return leader == null || nowMillis - lastAnswerMillis >= claimAfterMillis / 2;
     }
 
     /**
-     * Checks whether it is this agent's turn to claim.
+     * Checks whether this agent should claim the leader's place.
      *
      * @param cell the cell
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      * @return true if so
      */
     synchronized boolean isClaimDue(CellSpecification cell, long nowMillis) {
         List<VmId> vms = cell.workers().stream().map(WorkerSpecification::vm).toList();
         CellId id = cell.id();
-        int turn = RendezvousHash.order(id + "/" + epoch.next(), vms).indexOf(self);
-        return nowMillis - answeredMillis >= claimAfterMillis + turn * TURN_MILLIS;
+        int position = RendezvousHash.order(id + "/" + epoch.next(), vms).indexOf(self);
+        return nowMillis - lastAnswerMillis >= claimAfterMillis + position * CLAIM_STAGGER_MILLIS;
     }
 
     /**
@@ -137,9 +139,9 @@
     }
 
     /**
-     * Gets the highest epoch heard of.
+     * Gets the highest known epoch.
      *
-     * @return the epoch, NONE if there was none
+     * @return the epoch, {@code NONE} if none is known
      */
     synchronized Epoch getEpoch() {
         return epoch;
--- a/src/main/java/org/standlink/agent/NodeGrant.java
+++ b/src/main/java/org/standlink/agent/NodeGrant.java
@@ -23,7 +23,7 @@
 import org.standlink.wire.HeartbeatAnswer;
 
 /**
- * What an agent holds from its leader: the node lease and the assignments under it.
+ * The node lease that the leader has granted to this agent, and the assignments under it.
  *
  * <p>{@code NodeGrant} is thread-safe and immutable.
  *
@@ -40,15 +40,15 @@
         long revision,
         List<Assignment> assignments) {
 
-    /** Nothing was granted yet. */
+    /** The grant of an agent to which nothing has been granted yet. */
     static final NodeGrant NONE =
             new NodeGrant(Epoch.NONE, LeaseGeneration.NONE, Lease.NONE, 0, List.of());
 
     /**
-     * Checks whether an answer is older than this grant.
+     * Checks whether this grant is newer than an answer.
      *
      * @param answer the answer
-     * @return true if its epoch is lower, or its generation under the same epoch
+     * @return true if the answer has a lower epoch, or the same epoch and a lower generation
      */
     boolean isNewerThan(HeartbeatAnswer answer) {
         if (!answer.epoch().equals(epoch)) {
@@ -58,18 +58,19 @@
     }
 
     /**
-     * Makes the grant that follows from an answer.
+     * Returns this grant updated by an answer of the leader. An answer without assignments leaves
+     * them unchanged, and one that arrives out of order does not shorten the lease.
      *
      * @param answer an answer that is not older than this grant
-     * @param askedMillis when its heartbeat was sent, in milliseconds
-     * @return the grant
+     * @param requestMillis when the heartbeat was sent, in milliseconds
+     * @return the updated grant
      */
-    NodeGrant with(HeartbeatAnswer answer, long askedMillis) {
-        Lease asked = Lease.ofRequestTime(askedMillis, answer.grantedMillis());
+    NodeGrant with(HeartbeatAnswer answer, long requestMillis) {
+        Lease newLease = Lease.ofRequestTime(requestMillis, answer.grantedMillis());
         return new NodeGrant(
                 answer.epoch(),
                 answer.generation(),
-                asked.max(lease),
+                newLease.max(lease),
                 answer.revision(),
                 answer.assignments() == null ? assignments : answer.assignments());
     }
--- a/src/main/java/org/standlink/agent/ReportDelta.java
+++ b/src/main/java/org/standlink/agent/ReportDelta.java
@@ -24,90 +24,91 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Chooses which task reports a heartbeat needs: those that the leader does not have yet.
+ * Selects the task reports that a heartbeat contains: those that the leader does not have yet.
  *
- * <p>A change of state is told at once; new checkpoints and usage are told in turns, each task's
- * every tenth heartbeat. After a heartbeat without an answer, and to a new leader, everything is
- * told.
+ * <p>Changes of state are reported with the next heartbeat. Changed checkpoints and usage of a task
+ * are reported with every tenth heartbeat, in turn for different tasks. After a heartbeat without
+ * an answer, and to a new leader, all reports are sent.
  *
  * <p>{@code ReportDelta} is mutable and not thread-safe; its owner guards it.
  */
 public final class ReportDelta {
 
-    /** Within how many heartbeats each task's checkpoint and usage are told. */
-    private static final int TURNS = 10;
+    /** The interval between reports on a task's checkpoint and usage, in heartbeats. */
+    private static final int REFRESH_HEARTBEATS = 10;
 
-    /** What the leader has, as it has answered. */
-    private Map<TaskId, TaskReport> answered = new HashMap<>();
+    /** The reports that the leader has, by its last answer. */
+    private Map<TaskId, TaskReport> acknowledged = new HashMap<>();
 
     /** The epoch of the last answer. */
     private Epoch epoch = Epoch.NONE;
 
-    /** Whether the last heartbeat was answered. */
-    private boolean complete;
+    /** Whether the last heartbeat has been answered. */
+    private boolean lastAnswered;
 
     /** The number of the last heartbeat. */
     private long number;
 
-    /** What the last heartbeat left the leader with, if it is answered. */
-    private Map<TaskId, TaskReport> sent = new HashMap<>();
+    /** The reports that the leader has once it has answered the last heartbeat. */
+    private Map<TaskId, TaskReport> sentState = new HashMap<>();
 
     /**
-     * What a heartbeat tells.
+     * The reports selected for a heartbeat.
      *
      * @param number the number of the heartbeat
-     * @param full whether all tasks are told, so that others are forgotten
-     * @param tasks the reports told
-     * @param gone tasks that the leader has and that are no more
+     * @param full whether all tasks are included, so that the leader removes all others
+     * @param tasks the task reports
+     * @param gone the tasks that the leader has a report of and that no longer exist
      */
     public record Selection(long number, boolean full, List<TaskReport> tasks, List<TaskId> gone) {}
 
     /**
-     * Chooses what the next heartbeat tells.
+     * Selects the reports for the next heartbeat.
      *
-     * @param reports everything there is to tell
-     * @param leaderEpoch the highest epoch heard of
-     * @return the part to tell
+     * @param reports the reports of all tasks
+     * @param leaderEpoch the highest known epoch
+     * @return the selected reports
      */
     public Selection selectNext(List<TaskReport> reports, Epoch leaderEpoch) {
         number++;
-        boolean full = !complete || !leaderEpoch.equals(epoch);
-        complete = false;
-        sent = full ? new HashMap<>() : new HashMap<>(answered);
-        List<TaskReport> told = new ArrayList<>();
-        Map<TaskId, TaskReport> present = new HashMap<>();
+        boolean full = !lastAnswered || !leaderEpoch.equals(epoch);
+        lastAnswered = false;
+        sentState = full ? new HashMap<>() : new HashMap<>(acknowledged);
+        List<TaskReport> selected = new ArrayList<>();
+        Map<TaskId, TaskReport> current = new HashMap<>();
         for (TaskReport report : reports) {
-            present.put(report.task(), report);
-            if (full || isNews(report)) {
-                told.add(report);
-                sent.put(report.task(), report);
+            current.put(report.task(), report);
+            if (full || isReportDue(report)) {
+                selected.add(report);
+                sentState.put(report.task(), report);
             }
         }
-        List<TaskId> gone = new ArrayList<>(sent.keySet());
-        gone.removeAll(present.keySet());
-        gone.forEach(sent::remove);
-        return new Selection(number, full, told, gone);
+        List<TaskId> gone = new ArrayList<>(sentState.keySet());
+        gone.removeAll(current.keySet());
+        gone.forEach(sentState::remove);
+        return new Selection(number, full, selected, gone);
     }
 
     /**
-     * Notes that the last heartbeat was answered.
+     * Records that the last heartbeat has been answered.
      *
      * @param answerEpoch the epoch of the leader that answered
      */
     public void answerReceived(Epoch answerEpoch) {
         epoch = answerEpoch;
-        answered = sent;
-        complete = true;
+        acknowledged = sentState;
+        lastAnswered = true;
     }
 
-    private boolean isNews(TaskReport report) {
-        TaskReport known = answered.get(report.task());
-        if (known == null
-                || known.state() != report.state()
-                || !known.attempt().equals(report.attempt())) {
+    private boolean isReportDue(TaskReport report) {
+        TaskReport acknowledgedReport = acknowledged.get(report.task());
+        if (acknowledgedReport == null
+                || acknowledgedReport.state() != report.state()
+                || !acknowledgedReport.attempt().equals(report.attempt())) {
             return true;
         }
-        boolean turn = Math.floorMod(report.task().hashCode() + number, (long) TURNS) == 0;
-        return turn && !known.equals(report);
+        boolean isRefreshDue =
+                Math.floorMod(report.task().hashCode() + number, (long) REFRESH_HEARTBEATS) == 0;
+        return isRefreshDue && !acknowledgedReport.equals(report);
     }
 }
--- a/src/main/java/org/standlink/agent/RequestDrain.java
+++ b/src/main/java/org/standlink/agent/RequestDrain.java
@@ -20,43 +20,44 @@
 import org.standlink.wire.Connection;
 
 /**
- * Tells when a leaving agent may end without cutting a request: nothing is to be answered, and
- * nobody may still come to ask what became of a request whose connection was lost.
+ * Tracks open requests, so that a leaving agent ends without interrupting any of them: all requests
+ * have been answered, and no caller may still query the outcome of a request whose connection was
+ * lost.
  *
  * <p>{@code RequestDrain} is thread-safe.
  */
 final class RequestDrain {
 
-    /** How many requests and questions have not been answered, up to the write of the answer. */
+    /** The number of requests and queries whose answers have not been written yet. */
     private int unanswered;
 
-    /** Until when the callers of a connection's requests wait at most, in milliseconds. */
-    private final Map<Connection, Long> waitUntil = new HashMap<>();
+    /** The latest deadline of the callers on each connection, in milliseconds. */
+    private final Map<Connection, Long> callerDeadlines = new HashMap<>();
 
     /**
-     * Takes note of a request or a question.
+     * Records that a request or an outcome query has been received.
      *
-     * @param connection where it came from
-     * @param untilMillis when its caller stops waiting, in milliseconds
+     * @param connection the connection
+     * @param deadlineMillis when the caller stops waiting, in milliseconds
      */
-    synchronized void requestReceived(Connection connection, long untilMillis) {
+    synchronized void requestReceived(Connection connection, long deadlineMillis) {
         unanswered++;
-        waitUntil.merge(connection, untilMillis, Math::max);
+        callerDeadlines.merge(connection, deadlineMillis, Math::max);
     }
 
-    /** Takes note that an answer has been written, or could not be. */
+    /** Records that an answer has been written, or that writing it has failed. */
     synchronized void requestAnswered() {
         unanswered--;
     }
 
     /**
-     * Checks whether nobody waits.
+     * Checks whether there are no open requests.
      *
-     * @param nowMillis the time, in milliseconds
-     * @return true if all is answered and nobody may ask again
+     * @param nowMillis the current time, in milliseconds
+     * @return true if everything is answered and no caller may still query an outcome
      */
     synchronized boolean isDrained(long nowMillis) {
-        waitUntil.values().removeIf(until -> until <= nowMillis);
-        return unanswered == 0 && waitUntil.keySet().stream().noneMatch(Connection::isClosed);
+        callerDeadlines.values().removeIf(deadline -> deadline <= nowMillis);
+        return unanswered == 0 && callerDeadlines.keySet().stream().noneMatch(Connection::isClosed);
     }
 }
--- a/src/main/java/org/standlink/agent/RequestHandler.java
+++ b/src/main/java/org/standlink/agent/RequestHandler.java
@@ -38,87 +38,69 @@
 import org.standlink.wire.UpstreamLoad;
 
 /**
- * Runs forwarded requests against the upstream, each at most once, within the upstream's slots.
+ * Runs forwarded requests at the upstream, each at most once, within the upstream's slots.
  *
- * <p>The caller is answered at its deadline at the latest. The slot stays taken until the upstream
- * has answered or failed, so the upstream never runs more than its slots.
+ * <p>A caller is answered by its deadline. The slot of a request is released only when the upstream
+ * has answered or failed, so the upstream never runs more requests than it has slots.
  *
  * <p>{@code RequestHandler} is thread-safe.
  */
 public final class RequestHandler {
 
-    /** When to come back after a refusal that will soon be over, in milliseconds. */
-    private static final long SOON_MILLIS = 200;
+    /** The retry delay for callers after a refusal with a temporary cause, in milliseconds. */
+    private static final long RETRY_AFTER_MILLIS = 200;
 
-    /** Why a request is refused once the upstream or its agent is leaving. */
+    /** The reason for refusals while the upstream or its agent is leaving. */
     private static final String LEAVING = "the upstream is leaving";
 
-    /** How long the upstream counts as failing after it could not be reached, in milliseconds. */
-    private static final long FAILING_MILLIS = 1000;
+    /** How long the upstream is reported as failing after a failed connection, in milliseconds. */
+    private static final long FAILING_PERIOD_MILLIS = 1000;
 
-    /** How much later than the deadline its timer fires, so that waiters are given up first. */
+    /**
+     * The delay of the timer after the deadline, so that requests waiting for a slot are rejected
+     * first, in milliseconds.
+     */
     private static final long TIMER_SLACK_MILLIS = 2;
 
-    /** This VM. */
     private final VmId self;
-
-    /** The run of this process. */
     private final Incarnation incarnation;
-
-    /** The upstream. */
     private final UpstreamPort upstream;
-
-    /** The bundle in force. */
     private final BundleHolder holder;
-
-    /** The clock. */
     private final MonotonicClock clock;
-
-    /** Answers callers at their deadlines. */
     private final ScheduledExecutorService scheduler;
-
-    /** Where histograms go. */
     private final MeterRegistry registry;
-
-    /** The tries seen. */
-    private final RequestTable table = new RequestTable();
-
-    /** The slots. */
-    private final UpstreamSlots gate = new UpstreamSlots();
-
-    /** The requests with a key. */
-    private final KeyedRequests keyed;
-
-    /** The latency of services. */
+    private final RequestTable requestTable = new RequestTable();
+    private final UpstreamSlots upstreamSlots = new UpstreamSlots();
+    private final KeyedRequests keyedRequests;
     private final ServiceMeter meter = new ServiceMeter();
 
-    /** When the upstream last could not be reached, in milliseconds. */
-    private final AtomicLong failedMillis = new AtomicLong(Long.MIN_VALUE / 2);
+    /** When a connection to the upstream last failed, in milliseconds. */
+    private final AtomicLong lastFailureMillis = new AtomicLong(Long.MIN_VALUE / 2);
 
-    /** Whether nothing new is taken. */
+    /** Whether new requests are refused. */
     private volatile boolean leaving;
 
-    /** Whether the upstream is leaving, so that nothing more is sent to it. */
+    /** Whether the upstream is leaving, so that no more requests are sent to it. */
     private volatile boolean upstreamLeaving;
 
     /**
-     * Constructor.
+     * Creates a handler.
      *
      * @param self this VM
-     * @param incarnation the run of this process
+     * @param incarnation the incarnation of this process
      * @param upstream the upstream
-     * @param holder the bundle in force
-     * @param nodeLease tells whether the node lease is live
+     * @param holder the holder of the bundle in force
+     * @param nodeLeaseLive supplies whether the node lease is live
      * @param clock the clock
-     * @param scheduler answers callers at their deadlines
-     * @param registry where histograms go
+     * @param scheduler the scheduler for the deadlines of callers
+     * @param registry the registry for histograms
      */
     public RequestHandler(
             VmId self,
             Incarnation incarnation,
             UpstreamPort upstream,
             BundleHolder holder,
-            BooleanSupplier nodeLease,
+            BooleanSupplier nodeLeaseLive,
             MonotonicClock clock,
             ScheduledExecutorService scheduler,
             MeterRegistry registry) {
@@ -129,133 +111,139 @@
         this.clock = clock;
         this.scheduler = scheduler;
         this.registry = registry;
-        this.keyed = new KeyedRequests(self, nodeLease, clock);
+        this.keyedRequests = new KeyedRequests(self, nodeLeaseLive, clock);
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes in a request.
+     * Handles a forwarded request.
      *
      * @param request the request
-     * @return what becomes of it, at its deadline at the latest
+     * @return the answer, complete at the request's deadline at the latest
      */
     public CompletableFuture<ForwardAnswer> forward(ForwardRequest request) {
-        Optional<RequestTable.Rejection> refused = table.begin(request.id());
-        if (refused.isPresent()) {
-            return CompletableFuture.completedFuture(refusedAnswer(refused.get()));
+        Optional<RequestTable.Rejection> rejection = requestTable.begin(request.id());
+        if (rejection.isPresent()) {
+            return CompletableFuture.completedFuture(createRejectionAnswer(rejection.get()));
         }
         CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
-        // The table learns what really became of it, the caller perhaps only that its time was up.
+        // The table records the actual outcome, also if the caller has been answered before.
         Guarded.then(
-                "request-end", answer, (value, failure) -> table.complete(request.id(), value));
-        Optional<ForwardAnswer> refusal = refusal(request);
+                "request-end",
+                answer,
+                (value, failure) -> requestTable.complete(request.id(), value));
+        Optional<ForwardAnswer> refusal = findRefusal(request);
         if (refusal.isPresent()) {
             answer.complete(refusal.get());
             return answer;
         }
         if (request.idempotencyKey() == null) {
-            enter(request, answer);
+            acquireSlot(request, answer);
         } else {
-            keyed.run(request, holder.getBundle(), answer, () -> enter(request, answer));
+            keyedRequests.run(
+                    request, holder.getBundle(), answer, () -> acquireSlot(request, answer));
         }
-        return atDeadline(request, answer);
+        return withDeadline(request, answer);
     }
 
     /**
-     * Tells what became of a try; one that was not seen is barred for good.
+     * Returns the outcome of a request. A request that has not been received yet is barred, so that
+     * it will never run.
      *
-     * @param query the question
-     * @return what became of it, once it has ended
+     * @param query the query
+     * @return the outcome, complete once the request has ended
      */
     public CompletableFuture<ForwardAnswer> queryOutcome(OutcomeQuery query) {
         if (!query.agent().equals(incarnation)) {
             return CompletableFuture.completedFuture(
                     AnswerFactory.unknown("the agent was restarted", getOutstanding()));
         }
-        ForwardAnswer barred = AnswerFactory.notRun("never arrived", 0, getOutstanding());
-        return table.queryOutcome(query.id(), barred)
+        ForwardAnswer barred = AnswerFactory.notRun("never received", 0, getOutstanding());
+        return requestTable
+                .queryOutcome(query.id(), barred)
                 .orElseGet(
                         () ->
                                 CompletableFuture.completedFuture(
-                                        AnswerFactory.unknown("too long ago", getOutstanding())));
+                                        AnswerFactory.unknown(
+                                                "the outcome is no longer recorded",
+                                                getOutstanding())));
     }
 
     /**
-     * Tells how busy the upstream is.
+     * Gets the load of the upstream.
      *
      * @return the load
      */
     public UpstreamLoad getLoad() {
-        boolean failing = clock.nowMillis() - failedMillis.get() < FAILING_MILLIS;
+        boolean failing = clock.nowMillis() - lastFailureMillis.get() < FAILING_PERIOD_MILLIS;
         return new UpstreamLoad(getOutstanding(), leaving, failing);
     }
 
-    /**
-     * Gets the latency of services.
-     *
-     * @return the meter
-     */
     ServiceMeter getMeter() {
         return meter;
     }
 
-    /** Notes the bundle in force; to be called often, so that a move of keys is dated right. */
+    /**
+     * Updates the known upstreams from the bundle in force. It is called at short intervals, so
+     * that the time at which keys moved to this upstream is known exactly.
+     */
     public void observeBundle() {
         Bundle bundle = holder.getBundle();
         if (bundle != null) {
-            keyed.observeBundle(bundle);
+            keyedRequests.observeBundle(bundle);
         }
     }
 
-    /** Takes nothing new from now on. */
+    /** Refuses new requests from now on. */
     public void leave() {
         leaving = true;
     }
 
     /**
-     * Sends nothing more to the upstream, which may close its connections at any time: a request
-     * that is cut then may have run. What waits for a slot has not run and can go elsewhere.
+     * Stops sending requests to the upstream, which may close its connections at any time: the
+     * outcome of a request that is interrupted by this is unknown. Requests waiting for a slot have
+     * not run; they are rejected, so that they can be sent elsewhere.
      */
     public void setUpstreamLeaving() {
         leaving = true;
         upstreamLeaving = true;
-        gate.rejectAll(LEAVING);
+        upstreamSlots.rejectAll(LEAVING);
     }
 
-    /** Gives up the requests whose time in the queue is up. */
+    /** Rejects the waiting requests whose deadlines have passed. */
     public void rejectExpired() {
-        gate.rejectExpired(clock.nowMillis());
+        upstreamSlots.rejectExpired(clock.nowMillis());
     }
 
     /**
-     * Gets how many requests run or wait.
+     * Gets the number of requests that are running or waiting.
      *
-     * @return the number
+     * @return the number of requests
      */
     public int getOutstanding() {
-        return gate.getOutstanding();
+        return upstreamSlots.getOutstanding();
     }
 
     // -----------------------------------------------------------------------
-    private ForwardAnswer refusedAnswer(RequestTable.Rejection refused) {
-        if (refused == RequestTable.Rejection.BARRED) {
+    private ForwardAnswer createRejectionAnswer(RequestTable.Rejection rejection) {
+        if (rejection == RequestTable.Rejection.BARRED) {
             return AnswerFactory.notRun(
-                    "asked about before it arrived", SOON_MILLIS, getOutstanding());
+                    "barred by an outcome query", RETRY_AFTER_MILLIS, getOutstanding());
         }
-        return AnswerFactory.unknown("seen before", getOutstanding());
+        return AnswerFactory.unknown("received before", getOutstanding());
     }
 
-    private Optional<ForwardAnswer> refusal(ForwardRequest request) {
+    private Optional<ForwardAnswer> findRefusal(ForwardRequest request) {
         if (leaving) {
-            return refuse(LEAVING, SOON_MILLIS);
+            return refuse(LEAVING, RETRY_AFTER_MILLIS);
         }
         Bundle bundle = holder.getBundle();
         if (bundle == null) {
-            return refuse("the agent has no bundle yet", SOON_MILLIS);
+            return refuse("the agent has no bundle yet", RETRY_AFTER_MILLIS);
         }
         ServiceSpecification service = bundle.findService(request.service()).orElse(null);
         if (service == null || !service.upstreams().contains(self)) {
-            return refuse("the service is not here", SOON_MILLIS);
+            return refuse("the service does not use this upstream", RETRY_AFTER_MILLIS);
         }
         return Optional.empty();
     }
@@ -264,59 +252,63 @@
         return Optional.of(AnswerFactory.notRun(reason, retryMillis, getOutstanding()));
     }
 
-    private void enter(ForwardRequest request, CompletableFuture<ForwardAnswer> answer) {
+    private void acquireSlot(ForwardRequest request, CompletableFuture<ForwardAnswer> answer) {
         ServiceSpecification service =
                 holder.getBundle().findService(request.service()).orElseThrow();
-        long until = clock.nowMillis() + request.budgetMillis();
+        long deadlineMillis = clock.nowMillis() + request.budgetMillis();
         UpstreamSlots.Waiter waiter =
                 new UpstreamSlots.Waiter() {
                     @Override
                     public void slotAcquired() {
-                        run(request, service, until, answer);
+                        sendToUpstream(request, service, deadlineMillis, answer);
                     }
 
                     @Override
                     public void rejected(String reason) {
                         answer.complete(
-                                AnswerFactory.notRun(reason, SOON_MILLIS, getOutstanding()));
+                                AnswerFactory.notRun(reason, RETRY_AFTER_MILLIS, getOutstanding()));
                     }
                 };
-        if (!gate.tryAcquire(waiter, service.slots(), service.queue(), until)) {
+        if (!upstreamSlots.tryAcquire(waiter, service.slots(), service.queue(), deadlineMillis)) {
             answer.complete(
-                    AnswerFactory.notRun("the queue is full", SOON_MILLIS, getOutstanding()));
+                    AnswerFactory.notRun(
+                            "the queue for slots of the upstream is full",
+                            RETRY_AFTER_MILLIS,
+                            getOutstanding()));
         }
     }
 
-    private void run(
+    private void sendToUpstream(
             ForwardRequest request,
             ServiceSpecification service,
-            long until,
+            long deadlineMillis,
             CompletableFuture<ForwardAnswer> answer) {
-        long start = System.nanoTime();
-        if (upstreamLeaving || clock.nowMillis() >= until) {
-            gate.release(clock.nowMillis());
-            String reason = upstreamLeaving ? LEAVING : "no slot in time";
-            answer.complete(AnswerFactory.notRun(reason, SOON_MILLIS, getOutstanding()));
+        long startNanos = System.nanoTime();
+        if (upstreamLeaving || clock.nowMillis() >= deadlineMillis) {
+            upstreamSlots.release(clock.nowMillis());
+            String reason = upstreamLeaving ? LEAVING : "no free slot before the deadline";
+            answer.complete(AnswerFactory.notRun(reason, RETRY_AFTER_MILLIS, getOutstanding()));
             return;
         }
         Guarded.then(
                 "upstream-answer",
                 upstream.run(request),
                 (value, failure) -> {
-                    // The slot and the answer first, so that nothing keeps them.
-                    gate.release(clock.nowMillis());
+                    // Released and answered first, so that a failure below cannot prevent it.
+                    upstreamSlots.release(clock.nowMillis());
                     answer.complete(
                             failure == null
                                     ? value
-                                    : AnswerFactory.unknown("the agent failed", getOutstanding()));
-                    measure(request, service, value, System.nanoTime() - start);
+                                    : AnswerFactory.unknown(
+                                            "internal failure of the agent", getOutstanding()));
+                    recordLatency(request, service, value, System.nanoTime() - startNanos);
                 });
     }
 
-    private void measure(
+    private void recordLatency(
             ForwardRequest request, ServiceSpecification service, ForwardAnswer value, long nanos) {
         if (value.outcome() == Outcome.NOT_RUN) {
-            failedMillis.set(clock.nowMillis());
+            lastFailureMillis.set(clock.nowMillis());
         }
         registry.timer(
                         "standlink.agent.requests",
@@ -326,32 +318,32 @@
                         value.outcome().toString())
                 .record(nanos, TimeUnit.NANOSECONDS);
         long micros = TimeUnit.NANOSECONDS.toMicros(nanos);
-        long percent = micros / (10 * targetMillis(service, request.requestClass()));
+        long latencyPercent = micros / (10 * targetMillis(service, request.requestClass()));
         meter.recordRequest(
                 service.id(),
-                (int) Math.min(Integer.MAX_VALUE, percent),
-                gate.getRunning(),
+                (int) Math.min(Integer.MAX_VALUE, latencyPercent),
+                upstreamSlots.getRunning(),
                 service.slots(),
                 clock.nowMillis());
     }
 
     private static long targetMillis(ServiceSpecification service, RequestClassId id) {
         return service.classes().stream()
-                .filter(one -> one.id().equals(id))
-                .mapToLong(one -> one.targetMillis())
+                .filter(requestClass -> requestClass.id().equals(id))
+                .mapToLong(requestClass -> requestClass.targetMillis())
                 .findFirst()
                 .orElse(1000);
     }
 
-    private CompletableFuture<ForwardAnswer> atDeadline(
+    private CompletableFuture<ForwardAnswer> withDeadline(
             ForwardRequest request, CompletableFuture<ForwardAnswer> answer) {
         if (answer.isDone()) {
             return answer;
         }
-        CompletableFuture<ForwardAnswer> told = new CompletableFuture<>();
+        CompletableFuture<ForwardAnswer> callerAnswer = new CompletableFuture<>();
         Future<?> timer =
                 scheduler.schedule(
-                        () -> tellLate(told),
+                        () -> answerAtDeadline(callerAnswer),
                         request.budgetMillis() + TIMER_SLACK_MILLIS,
                         TimeUnit.MILLISECONDS);
         Guarded.then(
@@ -359,13 +351,14 @@
                 answer,
                 (value, failure) -> {
                     timer.cancel(false);
-                    told.complete(value);
+                    callerAnswer.complete(value);
                 });
-        return told;
+        return callerAnswer;
     }
 
-    private void tellLate(CompletableFuture<ForwardAnswer> told) {
+    private void answerAtDeadline(CompletableFuture<ForwardAnswer> callerAnswer) {
         rejectExpired();
-        told.complete(AnswerFactory.unknown("no answer in time", getOutstanding()));
+        callerAnswer.complete(
+                AnswerFactory.unknown("no answer before the deadline", getOutstanding()));
     }
 }
--- a/src/main/java/org/standlink/agent/RequestTable.java
+++ b/src/main/java/org/standlink/agent/RequestTable.java
@@ -25,129 +25,130 @@
 import org.standlink.wire.ForwardAnswer;
 
 /**
- * Which tries of requests this agent has seen, so that "not run" is only said when it is true.
+ * The outcomes of the requests that this agent has received, so that "not run" is only reported
+ * when it is certain.
  *
- * <p>A try that is asked about before it was seen is barred: when it arrives after all, it is
- * refused. Old entries are dropped, oldest first; of a dropped id only the highest number of its
- * entry is kept, and whatever is at or below it and not in the table is no longer known.
+ * <p>Each attempt of an entry to forward a request has an id of its own. If the outcome of an id is
+ * queried before the request arrives, the id is barred: the request is refused when it arrives
+ * later. The oldest outcomes are evicted. Of the evicted ids, the highest number of each entry is
+ * recorded; the outcome of an id up to that number that is not in the table is unknown.
  *
  * <p>{@code RequestTable} is thread-safe.
  */
 final class RequestTable {
 
-    /** The most tries kept, running ones not counted. */
-    private static final int MOST_KEPT = 4096;
+    /** The maximum number of outcomes of ended requests. */
+    private static final int MAX_ENDED = 4096;
 
-    /** The most bytes of answers kept. */
-    private static final long MOST_BYTES = 4L * 1024 * 1024;
+    /** The maximum size of the retained answers, in bytes. */
+    private static final long MAX_BYTES = 4L * 1024 * 1024;
 
-    /** What became of a try; complete when it has ended. */
-    private final Map<RequestId, CompletableFuture<ForwardAnswer>> tries = new HashMap<>();
+    /** The outcomes by request id; complete once the request has ended. */
+    private final Map<RequestId, CompletableFuture<ForwardAnswer>> outcomes = new HashMap<>();
 
-    /** The tries that have ended or are barred, oldest first, with the bytes of their answers. */
+    /** The sizes of the answers to ended and barred requests in bytes, oldest first. */
     private final LinkedHashMap<RequestId, Integer> ended = new LinkedHashMap<>();
 
-    /** The highest number dropped of each entry. */
-    private final Map<Incarnation, Long> dropped = new HashMap<>();
+    /** The highest evicted request number of each entry. */
+    private final Map<Incarnation, Long> lastEvicted = new HashMap<>();
 
-    /** The most tries kept. */
-    private final int mostKept;
+    private final int maxEnded;
 
-    /** The bytes of the answers kept. */
+    /** The total size of the retained answers, in bytes. */
     private long bytes;
 
-    /** Constructor. */
     RequestTable() {
-        this(MOST_KEPT);
+        this(MAX_ENDED);
     }
 
     /**
-     * Constructor.
+     * Creates a table.
      *
-     * @param mostKept the most tries kept, running ones not counted
+     * @param maxEnded the maximum number of outcomes of ended requests
      */
-    RequestTable(int mostKept) {
-        this.mostKept = mostKept;
+    RequestTable(int maxEnded) {
+        this.maxEnded = maxEnded;
     }
 
     /**
-     * Notes a try that has arrived.
+     * Adds a request that has been received.
      *
-     * @param id the id of the try
-     * @return empty if it may run, and then {@link #complete} must follow; else the reason why not
+     * @param id the id of the request
+     * @return empty if the request may run, and {@link #complete} must be called afterwards; the
+     *     reason if it must not run
      */
     synchronized Optional<Rejection> begin(RequestId id) {
-        if (tries.containsKey(id)) {
+        if (outcomes.containsKey(id)) {
             return Optional.of(ended.containsKey(id) ? Rejection.BARRED : Rejection.NOT_KNOWN);
         }
-        if (isDropped(id)) {
+        if (mayBeEvicted(id)) {
             return Optional.of(Rejection.NOT_KNOWN);
         }
-        tries.put(id, new CompletableFuture<>());
+        outcomes.put(id, new CompletableFuture<>());
         return Optional.empty();
     }
 
     /**
-     * Notes what became of a try.
+     * Records the outcome of a request.
      *
-     * @param id the id of the try
-     * @param answer what became of it
+     * @param id the id of the request
+     * @param answer the answer
      */
     void complete(RequestId id, ForwardAnswer answer) {
-        CompletableFuture<ForwardAnswer> waiting;
+        CompletableFuture<ForwardAnswer> outcome;
         synchronized (this) {
-            waiting = tries.get(id);
-            if (waiting == null || waiting.isDone()) {
+            outcome = outcomes.get(id);
+            if (outcome == null || outcome.isDone()) {
                 return;
             }
-            keep(id, answer.body().length);
+            recordEnd(id, answer.body().length);
         }
-        waiting.complete(answer);
+        outcome.complete(answer);
     }
 
     /**
-     * Asks what became of a try; one that was not seen is barred for good.
+     * Returns the outcome of a request. An id that has not been received yet is barred.
      *
-     * @param id the id of the try
-     * @param ifBarred the answer if it has not run and never will
-     * @return the answer, complete when the try has ended; empty if it is no longer known
+     * @param id the id of the request
+     * @param answerIfBarred the answer if the id is barred by this query
+     * @return the answer, complete once the request has ended; empty if the outcome is unknown
      */
     synchronized Optional<CompletableFuture<ForwardAnswer>> queryOutcome(
-            RequestId id, ForwardAnswer ifBarred) {
-        CompletableFuture<ForwardAnswer> present = tries.get(id);
-        if (present != null) {
-            return Optional.of(present);
+            RequestId id, ForwardAnswer answerIfBarred) {
+        CompletableFuture<ForwardAnswer> outcome = outcomes.get(id);
+        if (outcome != null) {
+            return Optional.of(outcome);
         }
-        if (isDropped(id)) {
+        if (mayBeEvicted(id)) {
             return Optional.empty();
         }
-        CompletableFuture<ForwardAnswer> barred = CompletableFuture.completedFuture(ifBarred);
-        tries.put(id, barred);
-        keep(id, 0);
+        CompletableFuture<ForwardAnswer> barred = CompletableFuture.completedFuture(answerIfBarred);
+        outcomes.put(id, barred);
+        recordEnd(id, 0);
         return Optional.of(barred);
     }
 
-    /** Why a try may not run. */
+    /** The reason why a request must not run. */
     enum Rejection {
-        /** It was barred, or has ended: it did not run by this arrival. */
+        /** The id is barred or its request has ended; the request received now has not run. */
         BARRED,
-        /** It is running, or was dropped from the table: what became of it is not known here. */
+        /** A request with the id is running or may have been evicted, so the outcome is unknown. */
         NOT_KNOWN
     }
 
     // -----------------------------------------------------------------------
-    private boolean isDropped(RequestId id) {
-        return id.number() <= dropped.getOrDefault(id.entry(), 0L);
+    private boolean mayBeEvicted(RequestId id) {
+        return id.number() <= lastEvicted.getOrDefault(id.entry(), 0L);
     }
 
-    private void keep(RequestId id, int length) {
-        ended.put(id, length);
-        bytes += length;
-        while (ended.size() > mostKept || bytes > MOST_BYTES && ended.size() > 1) {
+    private void recordEnd(RequestId id, int answerBytes) {
+        ended.put(id, answerBytes);
+        bytes += answerBytes;
+        while (ended.size() > maxEnded || bytes > MAX_BYTES && ended.size() > 1) {
             RequestId oldest = ended.keySet().iterator().next();
             bytes -= ended.remove(oldest);
-            tries.remove(oldest);
-            dropped.merge(oldest.entry(), oldest.number(), Math::max);
+            outcomes.remove(oldest);
+            lastEvicted.merge(oldest.entry(), oldest.number(), Math::max);
         }
     }
 }
--- a/src/main/java/org/standlink/agent/RosterTracker.java
+++ b/src/main/java/org/standlink/agent/RosterTracker.java
@@ -26,35 +26,34 @@
 import org.standlink.bundle.ServiceSpecification;
 
 /**
- * Knows for which keys this agent may vouch that a request has not run before.
+ * Tracks the upstreams of services, and determines for which idempotency keys this agent can
+ * exclude that a request has run before.
  *
- * <p>After a start, and for the keys whose home has moved here, another process may have run a
- * request under the same key. Such keys are refused until the service's window has passed.
+ * <p>After a start of the process, and for keys whose home has moved to this upstream, another
+ * process may have run a request with the same key. Such keys are refused until the service's key
+ * window has passed.
  *
  * <p>{@code RosterTracker} is thread-safe.
  */
 final class RosterTracker {
 
-    /** This VM. */
     private final VmId self;
-
-    /** When the process started, in milliseconds. */
     private final long startMillis;
 
-    /** The version last seen. */
-    private BundleVersion seen = BundleVersion.NONE;
+    /** The version of the last observed bundle. */
+    private BundleVersion observedVersion = BundleVersion.NONE;
 
-    /** The upstreams of each service as last seen. */
+    /** The upstreams of each service in the last observed bundle. */
     private final Map<ServiceId, List<VmId>> rosters = new HashMap<>();
 
-    /** The last change of upstreams of each service. */
+    /** The last change of the upstreams of each service. */
     private final Map<ServiceId, Change> changes = new HashMap<>();
 
     /** A change of upstreams; {@code before} is empty if what went before is not known. */
-    private record Change(List<VmId> before, long atMillis) {}
+    private record Change(List<VmId> previousUpstreams, long timeMillis) {}
 
     /**
-     * Constructor.
+     * Creates a tracker without an observed bundle.
      *
      * @param self this VM
      * @param startMillis when the process started, in milliseconds
@@ -65,52 +64,58 @@
     }
 
     /**
-     * Checks whether a key may be vouched for.
+     * Gets the time until a request with a key can be accepted.
      *
      * @param bundle the bundle in force
      * @param service the service
      * @param key the key, with service and team
-     * @param nowMillis the time, in milliseconds
-     * @return how long to wait until it may, in milliseconds; 0 if it may now
+     * @param nowMillis the current time, in milliseconds
+     * @return the time, in milliseconds; 0 if it can be accepted now
      */
     synchronized long getWaitMillis(
             Bundle bundle, ServiceSpecification service, String key, long nowMillis) {
         observeBundle(bundle, nowMillis);
-        long window = service.keyWindowSeconds() * 1000;
-        long wait = Math.max(0, startMillis + window - nowMillis);
+        long windowMillis = service.keyWindowSeconds() * 1000;
+        long waitMillis = Math.max(0, startMillis + windowMillis - nowMillis);
         Change change = changes.get(service.id());
-        if (change != null && !wasHome(change, key)) {
-            wait = Math.max(wait, change.atMillis() + window - nowMillis);
+        if (change != null && !wasHomeBefore(change, key)) {
+            waitMillis = Math.max(waitMillis, change.timeMillis() + windowMillis - nowMillis);
         }
-        return wait;
+        return waitMillis;
     }
 
     /**
-     * Notes the bundle in force.
+     * Updates the upstreams from the bundle in force.
      *
-     * @param bundle the bundle
-     * @param nowMillis the time, in milliseconds
+     * @param bundle the bundle in force
+     * @param nowMillis the current time, in milliseconds
      */
     synchronized void observeBundle(Bundle bundle, long nowMillis) {
-        if (bundle.version().equals(seen)) {
+        if (bundle.version().equals(observedVersion)) {
             return;
         }
-        // After a version that was not seen, keys may have been at home elsewhere in between.
-        boolean next = bundle.base().equals(seen);
+        // A bundle in between that was not observed may have given the keys another home.
+        boolean isDirectSuccessor = bundle.base().equals(observedVersion);
         for (ServiceSpecification service : bundle.services()) {
-            List<VmId> before = rosters.put(service.id(), service.upstreams());
-            boolean same = next && service.upstreams().equals(before);
-            if (!same) {
+            List<VmId> previousUpstreams = rosters.put(service.id(), service.upstreams());
+            boolean isUnchanged =
+                    isDirectSuccessor && service.upstreams().equals(previousUpstreams);
+            if (!isUnchanged) {
                 changes.put(
                         service.id(),
-                        new Change(next && before != null ? before : List.of(), nowMillis));
+                        new Change(
+                                isDirectSuccessor && previousUpstreams != null
+                                        ? previousUpstreams
+                                        : List.of(),
+                                nowMillis));
             }
         }
-        seen = bundle.version();
+        observedVersion = bundle.version();
     }
 
     // -----------------------------------------------------------------------
-    private boolean wasHome(Change change, String key) {
-        return !change.before().isEmpty() && RendezvousHash.home(key, change.before()).equals(self);
+    private boolean wasHomeBefore(Change change, String key) {
+        return !change.previousUpstreams().isEmpty()
+                && RendezvousHash.home(key, change.previousUpstreams()).equals(self);
     }
 }
--- a/src/main/java/org/standlink/agent/ServiceMeter.java
+++ b/src/main/java/org/standlink/agent/ServiceMeter.java
@@ -30,67 +30,66 @@
  */
 final class ServiceMeter {
 
-    /** How many requests are remembered of each service. */
-    private static final int REMEMBERED = 256;
+    /** The maximum number of requests that are sampled for each service. */
+    private static final int MAX_SAMPLES = 256;
 
-    /** How long a request counts, in milliseconds. */
+    /** The age at which a sample is no longer used, in milliseconds. */
     private static final long WINDOW_MILLIS = 10_000;
 
-    /** The fewest requests from which a tail is told. */
-    private static final int FEWEST = 20;
+    /** The number of samples below which no tail latency is reported. */
+    private static final int MIN_SAMPLES = 20;
 
-    /** The percentile told. */
-    private static final double PERCENTILE = 0.99;
+    /** The quantile that is reported as tail latency. */
+    private static final double TAIL_QUANTILE = 0.99;
 
-    /** The number of load levels. */
-    private static final int LEVELS = 4;
+    /** The number of load levels that are distinguished. */
+    private static final int LOAD_LEVELS = 4;
 
-    /** What is remembered of a service. */
+    /** The latest samples of a service, in a circular buffer. */
     private static final class Window {
 
-        /** Latencies in percent of the target. */
-        private final int[] percents = new int[REMEMBERED];
+        /** The latency of each sample, in percent of the target. */
+        private final int[] latencyPercents = new int[MAX_SAMPLES];
 
-        /** When each was measured, in milliseconds. */
-        private final long[] times = new long[REMEMBERED];
+        /** The time of each sample, in milliseconds. */
+        private final long[] times = new long[MAX_SAMPLES];
 
-        /** The number of requests seen. */
+        /** The number of samples added so far. */
         private long count;
 
-        /** The slots of the upstream. */
+        /** The number of slots of the upstream. */
         private int slots = 1;
 
-        /** Requests running when each was measured. */
-        private final int[] running = new int[REMEMBERED];
+        /** The number of requests that were running at each sample. */
+        private final int[] runningRequests = new int[MAX_SAMPLES];
     }
 
-    /** The services. */
     private final Map<ServiceId, Window> windows = new HashMap<>();
 
     /**
-     * Notes a request.
+     * Records a request.
      *
      * @param service the service
-     * @param percent its latency, in percent of its class's target
-     * @param running requests running at the upstream
-     * @param slots the slots of the upstream
-     * @param nowMillis the time, in milliseconds
+     * @param latencyPercent the latency, in percent of the target of the request class
+     * @param runningRequests the number of requests running at the upstream
+     * @param slots the number of slots of the upstream
+     * @param nowMillis the current time, in milliseconds
      */
     synchronized void recordRequest(
-            ServiceId service, int percent, int running, int slots, long nowMillis) {
+            ServiceId service, int latencyPercent, int runningRequests, int slots, long nowMillis) {
         Window window = windows.computeIfAbsent(service, key -> new Window());
-        int index = (int) (window.count % REMEMBERED);
-        window.percents[index] = percent;
+        int index = (int) (window.count % MAX_SAMPLES);
+        window.latencyPercents[index] = latencyPercent;
         window.times[index] = nowMillis;
-        window.running[index] = running;
+        window.runningRequests[index] = runningRequests;
         window.slots = slots;
         window.count++;
     }
 
     /**
-     * Reports the services that had enough requests lately.
+     * Creates reports on the services with enough recent samples.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      * @return the reports
      */
     synchronized List<ServiceReport> createReports(long nowMillis) {
@@ -101,21 +100,21 @@
 
     private static void addReport(
             ServiceId service, Window window, long nowMillis, List<ServiceReport> reports) {
-        int[] recent = new int[REMEMBERED];
+        int[] recent = new int[MAX_SAMPLES];
         int count = 0;
-        long running = 0;
-        for (int i = 0; i < Math.min(window.count, REMEMBERED); i++) {
+        long runningRequests = 0;
+        for (int i = 0; i < Math.min(window.count, MAX_SAMPLES); i++) {
             if (nowMillis - window.times[i] <= WINDOW_MILLIS) {
-                running += window.running[i];
-                recent[count++] = window.percents[i];
+                runningRequests += window.runningRequests[i];
+                recent[count++] = window.latencyPercents[i];
             }
         }
-        if (count < FEWEST) {
+        if (count < MIN_SAMPLES) {
             return;
         }
         Arrays.sort(recent, 0, count);
-        int tail = recent[(int) Math.min(count - 1, Math.floor(count * PERCENTILE))];
-        long level = running * LEVELS / ((long) count * window.slots);
-        reports.add(new ServiceReport(service, (int) Math.min(LEVELS - 1, level), tail));
+        int tail = recent[(int) Math.min(count - 1, Math.floor(count * TAIL_QUANTILE))];
+        long level = runningRequests * LOAD_LEVELS / ((long) count * window.slots);
+        reports.add(new ServiceReport(service, (int) Math.min(LOAD_LEVELS - 1, level), tail));
     }
 }
--- a/src/main/java/org/standlink/agent/SupervisorReport.java
+++ b/src/main/java/org/standlink/agent/SupervisorReport.java
@@ -21,15 +21,15 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * How the tasks of an agent stood after a tick.
+ * The state of an agent's tasks after a tick of the {@link TaskSupervisor}.
  *
  * <p>{@code SupervisorReport} is thread-safe and immutable.
  *
- * @param epoch the epoch of the grant that was carried out
- * @param generation its lease generation
- * @param revision its revision of the assignments
- * @param workerReady whether node lease and worker lease were live and the worker answered
- * @param tasks the tasks
+ * @param epoch the epoch of the grant that was applied
+ * @param generation the lease generation of that grant
+ * @param revision the revision of the assignments of that grant
+ * @param workerReady whether the node lease and the worker lease were live and the worker answered
+ * @param tasks the states of the tasks
  */
 public record SupervisorReport(
         Epoch epoch,
@@ -38,7 +38,7 @@
         boolean workerReady,
         List<TaskReport> tasks) {
 
-    /** Before the first tick. */
+    /** The report before the first tick. */
     static final SupervisorReport NONE =
             new SupervisorReport(Epoch.NONE, LeaseGeneration.NONE, 0, false, List.of());
 }
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -39,50 +39,48 @@
 /**
  * Runs the assigned tasks on the local worker, under the node lease and the worker lease.
  *
- * <p>Answers of the leader come in by {@link #accept}; {@link #tick} carries them out, on one
- * thread, and then publishes what stands, by {@link #getReport}. So a report always tells of a
- * state in which no call to the worker on behalf of an older grant is under way.
+ * <p>Answers of the leader are passed to {@link #accept}. {@link #tick} applies them on one thread
+ * and then publishes the resulting state, see {@link #getReport}. So no call to the worker for an
+ * older grant is in progress in the state that a report describes.
  *
  * <p>{@code TaskSupervisor} is thread-safe; {@code tick} must be called by one thread at a time.
  */
 public final class TaskSupervisor {
 
-    /** The share of its processors that a task may use when nothing is throttled, in percent. */
-    private static final int UNTHROTTLED = 100;
+    /** The processor share of a task that is not throttled, in percent. */
+    private static final int UNTHROTTLED_PERCENT = 100;
 
     /**
-     * Errors after which the worker lease is taken anew. A call whose outcome is not known may
-     * still be on its way; with the new lease it is refused when it arrives.
+     * The errors after which a new worker lease is acquired. A call with unknown outcome may still
+     * arrive at the worker, which refuses it once there is a new lease.
      */
-    private static final Set<ErrorCode> MAKES_LEASE_VOID =
+    private static final Set<ErrorCode> LEASE_INVALIDATING_ERRORS =
             EnumSet.of(ErrorCode.LEASE_LAPSED, ErrorCode.PLATFORM_OUTCOME_UNKNOWN);
 
-    /** The worker. */
     private final WorkerPort worker;
 
-    /** The clock, read anew right before each act that needs a lease. */
+    /** The clock, which is read again right before each call that requires a lease. */
     private final MonotonicClock clock;
 
-    /** What the leader granted. */
+    /** The latest grant of the leader. */
     private volatile NodeGrant grant = NodeGrant.NONE;
 
-    /** What stood after the last tick. */
+    /** The state after the last tick. */
     private volatile SupervisorReport report = SupervisorReport.NONE;
 
-    /** The worker lease. */
-    private final WorkerLeaseHolder lease;
+    private final WorkerLeaseHolder workerLease;
 
-    /** What the worker knows, as of the last reading. */
-    private Map<TaskId, TaskUsage> known = new HashMap<>();
+    /** The attempts that the worker last listed, updated by the calls since then. */
+    private Map<TaskId, TaskUsage> usages = new HashMap<>();
 
-    /** Attempts seen to have ended, for as long as they are assigned. */
-    private final Map<TaskId, TaskUsage> ended = new HashMap<>();
+    /** The attempts that have ended, retained while their tasks are assigned. */
+    private final Map<TaskId, TaskUsage> endedUsages = new HashMap<>();
 
-    /** The throttle that the worker was last told. */
-    private final Map<TaskId, Integer> throttles = new HashMap<>();
+    /** The throttle that was last sent to the worker for each task, in percent. */
+    private final Map<TaskId, Integer> throttlePercents = new HashMap<>();
 
     /**
-     * Constructor.
+     * Creates a supervisor without a grant.
      *
      * @param self this VM
      * @param worker the worker
@@ -91,61 +89,61 @@
     public TaskSupervisor(VmId self, WorkerPort worker, MonotonicClock clock) {
         this.worker = worker;
         this.clock = clock;
-        this.lease = new WorkerLeaseHolder(self, worker, clock);
+        this.workerLease = new WorkerLeaseHolder(self, worker, clock);
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes in an answer of the leader.
+     * Accepts an answer of the leader, which the next tick applies.
      *
      * @param answer the answer
-     * @param askedMillis when its heartbeat was sent, in milliseconds
-     * @return false if the answer is older than what is held and was passed over
+     * @param requestMillis when the heartbeat was sent, in milliseconds
+     * @return false if the answer is older than the current grant and is ignored
      */
-    public synchronized boolean accept(HeartbeatAnswer answer, long askedMillis) {
+    public synchronized boolean accept(HeartbeatAnswer answer, long requestMillis) {
         if (grant.isNewerThan(answer)) {
             return false;
         }
-        grant = grant.with(answer, askedMillis);
+        grant = grant.with(answer, requestMillis);
         return true;
     }
 
     /**
-     * Carries out what is granted.
+     * Applies the current grant: stops, throttles and starts tasks on the worker.
      *
-     * @param capacity what the VM has
-     * @param reserved what services take of it
-     * @param leaving whether the VM is leaving, so that nothing new is started
+     * @param capacity the capacity of the VM
+     * @param reserved the resources reserved for services
+     * @param leaving whether the VM is leaving, so that its tasks are stopped and none are started
      */
     public void tick(Resources capacity, Resources reserved, boolean leaving) {
-        NodeGrant now = grant;
+        NodeGrant currentGrant = grant;
         boolean ready = false;
         try {
-            if (isLive(now)) {
-                lease.acquireOrRenew();
+            if (isLive(currentGrant)) {
+                workerLease.acquireOrRenew();
             }
-            readWorker(now);
-            ready = lease.isLive();
+            readWorker(currentGrant);
+            ready = workerLease.isLive();
             if (ready) {
-                carryOut(now, new CapacityUsage(capacity, reserved), leaving);
+                applyGrant(currentGrant, new CapacityUsage(capacity, reserved), leaving);
             }
         } catch (StandlinkException failure) {
             ready = false;
-            if (MAKES_LEASE_VOID.contains(failure.getCode())) {
-                lease.discard();
+            if (LEASE_INVALIDATING_ERRORS.contains(failure.getCode())) {
+                workerLease.discard();
             }
         }
         report =
                 new SupervisorReport(
-                        now.epoch(),
-                        now.generation(),
-                        now.revision(),
-                        ready && isLive(now),
-                        reports(now, leaving));
+                        currentGrant.epoch(),
+                        currentGrant.generation(),
+                        currentGrant.revision(),
+                        ready && isLive(currentGrant),
+                        createReports(currentGrant, leaving));
     }
 
     /**
-     * Gets what stood after the last tick.
+     * Gets the state after the last tick.
      *
      * @return the report
      */
@@ -163,41 +161,46 @@
     }
 
     /**
-     * Gets how many attempts run on the worker, as far as known.
+     * Gets the number of attempts that were running on the worker after the last tick.
      *
-     * @return the number
+     * @return the number of attempts
      */
     public int getRunning() {
         return (int) report.tasks().stream().filter(TaskSupervisor::isRunning).count();
     }
 
     // -----------------------------------------------------------------------
-    private boolean isLive(NodeGrant now) {
-        return now.lease().isLive(clock.nowMillis());
+    private boolean isLive(NodeGrant currentGrant) {
+        return currentGrant.lease().isLive(clock.nowMillis());
     }
 
-    private void readWorker(NodeGrant now) {
-        Map<TaskId, TaskUsage> fresh = new HashMap<>();
+    private void readWorker(NodeGrant currentGrant) {
+        Map<TaskId, TaskUsage> currentUsages = new HashMap<>();
         for (TaskUsage usage : worker.list()) {
-            fresh.merge(usage.task(), usage, TaskSupervisor::newer);
+            currentUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
         }
-        for (TaskUsage usage : known.values()) {
-            if (isRunning(usage) && !fresh.containsKey(usage.task())) {
-                // The worker has forgotten the attempt, so it was restarted and nothing runs there.
-                ended.put(usage.task(), withState(usage, TaskUsage.State.STOPPED));
+        for (TaskUsage usage : usages.values()) {
+            if (isRunning(usage) && !currentUsages.containsKey(usage.task())) {
+                // The worker no longer lists the attempt: it was restarted, which ended its tasks.
+                endedUsages.put(usage.task(), withState(usage, TaskUsage.State.STOPPED));
             }
         }
-        fresh.values().forEach(this::noteEnd);
+        currentUsages.values().forEach(this::recordEnd);
         Set<TaskId> assigned = new HashSet<>();
-        now.assignments().forEach(assignment -> assigned.add(assignment.task()));
-        ended.keySet().retainAll(assigned);
-        ended.values().forEach(usage -> fresh.merge(usage.task(), usage, TaskSupervisor::newer));
-        known = fresh;
+        currentGrant.assignments().forEach(assignment -> assigned.add(assignment.task()));
+        endedUsages.keySet().retainAll(assigned);
+        endedUsages
+                .values()
+                .forEach(
+                        usage ->
+                                currentUsages.merge(
+                                        usage.task(), usage, TaskSupervisor::selectNewer));
+        usages = currentUsages;
     }
 
-    private void noteEnd(TaskUsage usage) {
+    private void recordEnd(TaskUsage usage) {
         if (!isRunning(usage)) {
-            ended.merge(usage.task(), usage, TaskSupervisor::newer);
+            endedUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
         }
     }
 
@@ -211,84 +214,88 @@
                 usage.usage());
     }
 
-    private static TaskUsage newer(TaskUsage first, TaskUsage second) {
-        // An attempt that still runs counts before a later one that has ended.
+    private static TaskUsage selectNewer(TaskUsage first, TaskUsage second) {
+        // A running attempt takes precedence over a later one that has ended.
         if (isRunning(first) != isRunning(second)) {
             return isRunning(first) ? first : second;
         }
         return first.attempt().isAfter(second.attempt()) ? first : second;
     }
 
-    private void carryOut(NodeGrant now, CapacityUsage ledger, boolean leaving) {
-        Map<TaskId, Assignment> wanted = new HashMap<>();
-        if (isLive(now)) {
-            now.assignments().forEach(assignment -> wanted.put(assignment.task(), assignment));
+    private void applyGrant(NodeGrant currentGrant, CapacityUsage capacityUsage, boolean leaving) {
+        Map<TaskId, Assignment> assignments = new HashMap<>();
+        if (isLive(currentGrant)) {
+            currentGrant
+                    .assignments()
+                    .forEach(assignment -> assignments.put(assignment.task(), assignment));
         }
-        for (TaskUsage usage : List.copyOf(known.values())) {
+        for (TaskUsage usage : List.copyOf(usages.values())) {
             if (isRunning(usage)) {
-                keepOrStop(usage, wanted.get(usage.task()), ledger, leaving);
+                keepOrStop(usage, assignments.get(usage.task()), capacityUsage, leaving);
             }
         }
-        shed(wanted, ledger);
+        stopExcess(assignments, capacityUsage);
         if (!leaving) {
-            wanted.values().stream()
+            assignments.values().stream()
                     .sorted(
                             Comparator.comparingInt(Assignment::priority)
                                     .reversed()
                                     .thenComparing(Assignment::task))
-                    .forEach(assignment -> startIfRoom(now, assignment, ledger));
+                    .forEach(
+                            assignment -> startIfCapacity(currentGrant, assignment, capacityUsage));
         }
     }
 
     private void keepOrStop(
-            TaskUsage usage, Assignment assignment, CapacityUsage ledger, boolean leaving) {
-        boolean keep =
+            TaskUsage usage, Assignment assignment, CapacityUsage capacityUsage, boolean leaving) {
+        boolean isWanted =
                 assignment != null
                         && assignment.attempt().equals(usage.attempt())
                         && !assignment.stop()
                         && !leaving;
-        if (!keep) {
+        if (!isWanted) {
             stop(usage);
             return;
         }
-        ledger.addAllocated(usage.reserved());
+        capacityUsage.addAllocated(usage.reserved());
         throttle(assignment);
     }
 
-    private void shed(Map<TaskId, Assignment> wanted, CapacityUsage ledger) {
-        if (!ledger.isOvercommitted()) {
+    private void stopExcess(Map<TaskId, Assignment> assignments, CapacityUsage capacityUsage) {
+        if (!capacityUsage.isOvercommitted()) {
             return;
         }
-        List<TaskUsage> running = new ArrayList<>(known.values());
+        List<TaskUsage> running = new ArrayList<>(usages.values());
         running.removeIf(usage -> !isRunning(usage));
-        running.sort(Comparator.comparingInt(usage -> wanted.get(usage.task()).priority()));
+        running.sort(Comparator.comparingInt(usage -> assignments.get(usage.task()).priority()));
         for (TaskUsage usage : running) {
-            if (!ledger.isOvercommitted()) {
+            if (!capacityUsage.isOvercommitted()) {
                 return;
             }
             stop(usage);
-            ledger.release(usage.reserved());
+            capacityUsage.release(usage.reserved());
         }
     }
 
-    private void startIfRoom(NodeGrant now, Assignment assignment, CapacityUsage ledger) {
-        TaskUsage usage = known.get(assignment.task());
+    private void startIfCapacity(
+            NodeGrant currentGrant, Assignment assignment, CapacityUsage capacityUsage) {
+        TaskUsage usage = usages.get(assignment.task());
         boolean mayStart =
                 !assignment.stop()
                         && (usage == null
                                 || !isRunning(usage)
                                         && assignment.attempt().isAfter(usage.attempt()));
-        if (!mayStart || !ledger.tryAllocate(assignment.resources())) {
+        if (!mayStart || !capacityUsage.tryAllocate(assignment.resources())) {
             return;
         }
-        // The worker checks the lease again, so a pause right here starts nothing.
-        if (!isLive(now) || !lease.isLive()) {
+        // The worker checks the lease too, so a pause after this check does not start a task.
+        if (!isLive(currentGrant) || !workerLease.isLive()) {
             return;
         }
-        start(assignment, ledger);
+        start(assignment, capacityUsage);
     }
 
-    private void start(Assignment assignment, CapacityUsage ledger) {
+    private void start(Assignment assignment, CapacityUsage capacityUsage) {
         TaskStart start =
                 new TaskStart(
                         assignment.task(),
@@ -297,8 +304,8 @@
                         assignment.runSeconds(),
                         assignment.checkpoint());
         try {
-            worker.start(lease.getToken(), start);
-            known.put(
+            worker.start(workerLease.getToken(), start);
+            usages.put(
                     assignment.task(),
                     new TaskUsage(
                             assignment.task(),
@@ -311,53 +318,54 @@
             if (refused.getCode() != ErrorCode.NO_CAPACITY) {
                 throw refused;
             }
-            ledger.release(assignment.resources());
+            capacityUsage.release(assignment.resources());
         }
     }
 
     private void stop(TaskUsage usage) {
-        TaskUsage stopped = worker.stop(lease.getToken(), usage.task(), usage.attempt());
-        known.put(usage.task(), stopped);
-        noteEnd(stopped);
-        throttles.remove(usage.task());
+        TaskUsage stopped = worker.stop(workerLease.getToken(), usage.task(), usage.attempt());
+        usages.put(usage.task(), stopped);
+        recordEnd(stopped);
+        throttlePercents.remove(usage.task());
     }
 
     private void throttle(Assignment assignment) {
-        int present = throttles.getOrDefault(assignment.task(), UNTHROTTLED);
-        if (assignment.throttlePercent() != present) {
-            worker.throttle(lease.getToken(), assignment.task(), assignment.throttlePercent());
-            throttles.put(assignment.task(), assignment.throttlePercent());
+        int currentPercent = throttlePercents.getOrDefault(assignment.task(), UNTHROTTLED_PERCENT);
+        if (assignment.throttlePercent() != currentPercent) {
+            worker.throttle(
+                    workerLease.getToken(), assignment.task(), assignment.throttlePercent());
+            throttlePercents.put(assignment.task(), assignment.throttlePercent());
         }
     }
 
     // -----------------------------------------------------------------------
-    private List<TaskReport> reports(NodeGrant now, boolean leaving) {
+    private List<TaskReport> createReports(NodeGrant currentGrant, boolean leaving) {
         Map<TaskId, TaskReport> reports = new HashMap<>();
-        for (Assignment assignment : now.assignments()) {
-            TaskUsage usage = known.get(assignment.task());
+        for (Assignment assignment : currentGrant.assignments()) {
+            TaskUsage usage = usages.get(assignment.task());
             if (usage == null || assignment.attempt().isAfter(usage.attempt())) {
-                reports.put(assignment.task(), notStarted(assignment, leaving));
+                reports.put(assignment.task(), createUnstartedReport(assignment, leaving));
             } else {
-                reports.put(assignment.task(), reported(usage));
+                reports.put(assignment.task(), createReport(usage));
             }
         }
-        known.values().stream()
+        usages.values().stream()
                 .filter(TaskSupervisor::isRunning)
-                .forEach(usage -> reports.putIfAbsent(usage.task(), reported(usage)));
+                .forEach(usage -> reports.putIfAbsent(usage.task(), createReport(usage)));
         return List.copyOf(reports.values());
     }
 
-    private static TaskReport notStarted(Assignment assignment, boolean leaving) {
-        boolean never = assignment.stop() || leaving;
+    private static TaskReport createUnstartedReport(Assignment assignment, boolean leaving) {
+        boolean neverStarts = assignment.stop() || leaving;
         return new TaskReport(
                 assignment.task(),
                 assignment.attempt(),
-                never ? TaskReport.State.STOPPED : TaskReport.State.QUEUED,
+                neverStarts ? TaskReport.State.STOPPED : TaskReport.State.QUEUED,
                 assignment.checkpoint(),
                 null);
     }
 
-    private static TaskReport reported(TaskUsage usage) {
+    private static TaskReport createReport(TaskUsage usage) {
         return new TaskReport(
                 usage.task(),
                 usage.attempt(),
--- a/src/main/java/org/standlink/agent/UpstreamPort.java
+++ b/src/main/java/org/standlink/agent/UpstreamPort.java
@@ -19,15 +19,15 @@
 import org.standlink.wire.ForwardAnswer;
 import org.standlink.wire.ForwardRequest;
 
-/** Runs requests against the upstream beside the agent. */
+/** Runs requests at the upstream on the agent's VM. */
 public interface UpstreamPort {
 
     /**
      * Runs a request.
      *
      * @param request the request
-     * @return what became of it; never fails: "not run" only if nothing was sent, "unknown" if
-     *     something was sent and no whole answer came
+     * @return the outcome, which never completes exceptionally: "not run" only if nothing was sent,
+     *     "unknown" if anything was sent and no complete answer was received
      */
     CompletableFuture<ForwardAnswer> run(ForwardRequest request);
 }
--- a/src/main/java/org/standlink/agent/UpstreamSlots.java
+++ b/src/main/java/org/standlink/agent/UpstreamSlots.java
@@ -20,48 +20,49 @@
 import java.util.Queue;
 
 /**
- * Lets no more requests through to the upstream than it has slots; some wait in a bounded queue.
+ * Limits the requests running at the upstream to its slots, with a bounded queue of waiting
+ * requests.
  *
  * <p>{@code UpstreamSlots} is thread-safe.
  */
 final class UpstreamSlots {
 
-    /** Whoever waits for a slot. */
+    /** A request that needs a slot. */
     interface Waiter {
 
-        /** Called once a slot is taken for it; {@link UpstreamSlots#release} must follow. */
+        /** Called when a slot has been acquired; {@link UpstreamSlots#release} must follow. */
         void slotAcquired();
 
         /**
-         * Called when it is given up before there was a slot.
+         * Called when the waiter was removed from the queue without a slot.
          *
-         * @param reason why
+         * @param reason the reason
          */
         void rejected(String reason);
     }
 
-    /** A waiter with its time. */
-    private record Waiting(Waiter waiter, long untilMillis) {}
+    private record QueuedWaiter(Waiter waiter, long deadlineMillis) {}
 
-    /** The waiters in order. */
-    private final Queue<Waiting> queue = new ArrayDeque<>();
+    /** The waiters in order of arrival. */
+    private final Queue<QueuedWaiter> queue = new ArrayDeque<>();
 
-    /** Slots taken. */
+    /** The number of slots in use. */
     private int running;
 
     /**
-     * Enters at once, waits, or is refused.
+     * Acquires a slot, or queues the waiter if all slots are in use.
      *
-     * @param waiter who wants to enter
-     * @param slots the slots of the upstream
-     * @param queueLength how many may wait
-     * @param untilMillis when its time is up, in milliseconds
-     * @return false if refused, because the queue is full
+     * @param waiter the waiter
+     * @param slots the number of slots of the upstream
+     * @param queueLength the maximum number of waiters in the queue
+     * @param deadlineMillis when the waiter is rejected, in milliseconds
+     * @return false if the queue is full
      */
-    boolean tryAcquire(Waiter waiter, int slots, int queueLength, long untilMillis) {
+    boolean tryAcquire(Waiter waiter, int slots, int queueLength, long deadlineMillis) {
         synchronized (this) {
             if (running >= slots) {
-                return queue.size() < queueLength && queue.add(new Waiting(waiter, untilMillis));
+                return queue.size() < queueLength
+                        && queue.add(new QueuedWaiter(waiter, deadlineMillis));
             }
             running++;
         }
@@ -70,13 +71,13 @@
     }
 
     /**
-     * Gives a slot back and lets the next waiter in.
+     * Releases a slot, and passes it to the next waiter if there is one.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     void release(long nowMillis) {
         rejectExpired(nowMillis);
-        Waiting next;
+        QueuedWaiter next;
         synchronized (this) {
             next = queue.poll();
             if (next == null) {
@@ -88,51 +89,51 @@
     }
 
     /**
-     * Gives up the waiters whose time is up.
+     * Rejects the waiters whose deadlines have passed.
      *
-     * @param nowMillis the time, in milliseconds
+     * @param nowMillis the current time, in milliseconds
      */
     void rejectExpired(long nowMillis) {
-        Queue<Waiting> late = new ArrayDeque<>();
+        Queue<QueuedWaiter> expired = new ArrayDeque<>();
         synchronized (this) {
-            for (Iterator<Waiting> waiting = queue.iterator(); waiting.hasNext(); ) {
-                Waiting one = waiting.next();
-                if (nowMillis >= one.untilMillis()) {
-                    waiting.remove();
-                    late.add(one);
+            for (Iterator<QueuedWaiter> iterator = queue.iterator(); iterator.hasNext(); ) {
+                QueuedWaiter queued = iterator.next();
+                if (nowMillis >= queued.deadlineMillis()) {
+                    iterator.remove();
+                    expired.add(queued);
                 }
             }
         }
-        late.forEach(one -> one.waiter().rejected("no slot in time"));
+        expired.forEach(queued -> queued.waiter().rejected("no free slot before the deadline"));
     }
 
     /**
-     * Gives up all waiters.
+     * Rejects all waiters.
      *
-     * @param reason why
+     * @param reason the reason
      */
     void rejectAll(String reason) {
-        Queue<Waiting> all;
+        Queue<QueuedWaiter> rejected;
         synchronized (this) {
-            all = new ArrayDeque<>(queue);
+            rejected = new ArrayDeque<>(queue);
             queue.clear();
         }
-        all.forEach(one -> one.waiter().rejected(reason));
+        rejected.forEach(queued -> queued.waiter().rejected(reason));
     }
 
     /**
-     * Gets how many requests run or wait.
+     * Gets the number of requests that are running or waiting.
      *
-     * @return the number
+     * @return the number of requests
      */
     synchronized int getOutstanding() {
         return running + queue.size();
     }
 
     /**
-     * Gets how many requests run.
+     * Gets the number of requests that are running.
      *
-     * @return the number
+     * @return the number of requests
      */
     synchronized int getRunning() {
         return running;
--- a/src/main/java/org/standlink/agent/WorkerLeaseHolder.java
+++ b/src/main/java/org/standlink/agent/WorkerLeaseHolder.java
@@ -22,40 +22,28 @@
 import org.standlink.port.WorkerPort;
 
 /**
- * Takes and renews the lease of the local worker.
+ * Acquires and renews the lease of the local worker.
  *
  * <p>{@code WorkerLeaseHolder} is mutable and not thread-safe; its owner guards it.
  */
 final class WorkerLeaseHolder {
 
-    /** Renewals in one length of the lease. */
+    /** The number of renewals during the length of a lease. */
     private static final int RENEWALS_PER_LEASE = 3;
 
-    /** This VM, which names the holder. */
     private final VmId self;
-
-    /** The worker. */
     private final WorkerPort worker;
-
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** The lease as the worker names it, null if none is held. */
+    /** The lease as issued by the worker, null if none is held. */
     private WorkerLease token;
 
-    /** How long it is held for sure. */
+    /** The time during which the lease is certainly held. */
     private Lease lease = Lease.NONE;
 
-    /** When it is renewed, in milliseconds. */
-    private long renewMillis;
+    /** When the lease is renewed next, in milliseconds. */
+    private long nextRenewalMillis;
 
-    /**
-     * Constructor.
-     *
-     * @param self this VM, which names the holder
-     * @param worker the worker
-     * @param clock the clock
-     */
     WorkerLeaseHolder(VmId self, WorkerPort worker, MonotonicClock clock) {
         this.self = self;
         this.worker = worker;
@@ -63,28 +51,29 @@
     }
 
     /**
-     * Takes or renews the lease if that is due.
+     * Acquires the lease, or renews it if that is due.
      *
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if it must be taken anew
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if the lease must be
+     *     discarded
      */
     void acquireOrRenew() {
-        long asked = clock.nowMillis();
-        if (token != null && isLive() && asked < renewMillis) {
+        long requestMillis = clock.nowMillis();
+        if (token != null && isLive() && requestMillis < nextRenewalMillis) {
             return;
         }
         token = token == null ? worker.acquire(self.toString()) : worker.renew(token);
-        lease = Lease.ofRequestTime(asked, token.lengthMillis());
-        renewMillis = asked + token.lengthMillis() / RENEWALS_PER_LEASE;
+        lease = Lease.ofRequestTime(requestMillis, token.lengthMillis());
+        nextRenewalMillis = requestMillis + token.lengthMillis() / RENEWALS_PER_LEASE;
     }
 
-    /** Lets the lease go, so that it is taken anew. */
+    /** Discards the lease, so that a new one is acquired. */
     void discard() {
         token = null;
         lease = Lease.NONE;
     }
 
     /**
-     * Checks whether the lease is held for sure.
+     * Checks whether the lease is certainly held.
      *
      * @return true if so
      */
@@ -93,7 +82,7 @@
     }
 
     /**
-     * Gets the lease as the worker names it.
+     * Gets the lease as issued by the worker.
      *
      * @return the lease, null if none is held
      */
--- a/src/main/java/org/standlink/agent/package-info.java
+++ b/src/main/java/org/standlink/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The process beside each upstream: it runs requests against the upstream, tasks on the local
- * worker and, in one agent of each cell, the leader role.
+ * The agent, the process on the VM of each upstream: it forwards requests to the upstream and runs
+ * tasks on the local worker. One agent of each cell is also its leader.
  */
 package org.standlink.agent;
--- a/src/main/java/org/standlink/lease/Lease.java
+++ b/src/main/java/org/standlink/lease/Lease.java
@@ -16,35 +16,35 @@
 package org.standlink.lease;
 
 /**
- * The right to act until a point in time.
+ * A right to act until a point in time.
  *
- * <p>The holder counts the lease from before it asked for it, so it never thinks that it holds the
- * lease longer than its grantor does.
+ * <p>The holder counts the lease from the time just before its request. So the lease never ends
+ * later for the holder than for the grantor.
  *
  * <p>{@code Lease} is thread-safe and immutable.
  *
- * @param untilMillis when it ends, on the holder's clock, in milliseconds
+ * @param untilMillis when the lease ends, on the holder's clock, in milliseconds
  */
 public record Lease(long untilMillis) {
 
-    /** A lease that was never granted. */
+    /** A lease that is never live. */
     public static final Lease NONE = new Lease(Long.MIN_VALUE);
 
     /**
-     * Makes a lease.
+     * Creates a lease that starts at the time of its request.
      *
-     * @param askedMillis when it was asked for, on the holder's clock, in milliseconds
-     * @param lengthMillis how long it lasts, in milliseconds
+     * @param requestMillis when it was requested, on the holder's clock, in milliseconds
+     * @param lengthMillis the length of the lease, in milliseconds
      * @return the lease
      */
-    public static Lease ofRequestTime(long askedMillis, long lengthMillis) {
-        return new Lease(askedMillis + lengthMillis);
+    public static Lease ofRequestTime(long requestMillis, long lengthMillis) {
+        return new Lease(requestMillis + lengthMillis);
     }
 
     /**
      * Checks whether the lease is live.
      *
-     * @param nowMillis the time on the holder's clock, in milliseconds
+     * @param nowMillis the current time on the holder's clock, in milliseconds
      * @return true if it has not ended
      */
     public boolean isLive(long nowMillis) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Gets the longer of two leases.
+     * Returns the lease that ends later.
      *
      * @param other another lease of the same holder
-     * @return the one that ends later
+     * @return this lease or the other one
      */
     public Lease max(Lease other) {
         return other.untilMillis > untilMillis ? other : this;
--- a/src/main/java/org/standlink/lease/LeaseTimes.java
+++ b/src/main/java/org/standlink/lease/LeaseTimes.java
@@ -16,40 +16,41 @@
 package org.standlink.lease;
 
 /**
- * The lengths of the leases, and the waits that follow from them.
+ * The lengths of the leases, and the waiting times derived from them.
  *
  * <p>{@code LeaseTimes} is thread-safe and immutable.
  *
- * @param nodeMillis the node lease, in milliseconds
- * @param workerMillis the platform's worker lease, in milliseconds
- * @param authorityMillis the leader authority, in milliseconds
- * @param marginMillis what clocks may drift apart over these times, in milliseconds
+ * @param nodeMillis the length of a node lease, in milliseconds
+ * @param workerMillis the length of the platform's worker lease, in milliseconds
+ * @param authorityMillis the length of the leader's authority, in milliseconds
+ * @param marginMillis the maximum drift between two clocks over these times, in milliseconds
  */
 public record LeaseTimes(
         long nodeMillis, long workerMillis, long authorityMillis, long marginMillis) {
 
-    /** Ten seconds, five seconds, ten minutes, two seconds. */
+    /** The default lengths. */
     public static final LeaseTimes DEFAULT = new LeaseTimes(10_000, 5_000, 600_000, 2_000);
 
     /**
-     * Gets how long after the end of its node lease a silent agent may still have tasks running.
+     * Returns how long an unresponsive agent may still have tasks running after the end of its node
+     * lease.
      *
-     * <p>An agent checks its node lease and then renews its worker lease. A pause between the two
-     * can put the renewal almost one worker lease after the node lease ended, and the renewed lease
-     * lasts for another. For the same reason calls for the worker lease that go unanswered may be
-     * carried out late, each by a worker lease and the margin at most.
+     * <p>An agent checks its node lease and then renews its worker lease. If it is paused between
+     * the two, the renewal may happen almost a worker lease after the end of the node lease, and
+     * the renewed lease lasts for another worker lease. For the same reason, unanswered calls for
+     * the worker lease may be executed late, each by at most a worker lease and the margin.
      *
-     * @return the wait, in milliseconds
+     * @return the time, in milliseconds
      */
     public long unresponsiveAgentMillis() {
         return 2 * workerMillis + marginMillis;
     }
 
     /**
-     * Gets how long after a claim an agent that has not acknowledged it may still have tasks
-     * running under the old leader.
+     * Returns how long after a claim an agent that has not acknowledged it may still have tasks
+     * running under the previous leader.
      *
-     * @return the wait, in milliseconds
+     * @return the time, in milliseconds
      */
     public long unacknowledgedAgentMillis() {
         return authorityMillis + nodeMillis + unresponsiveAgentMillis();
--- a/src/main/java/org/standlink/lease/MonotonicClock.java
+++ b/src/main/java/org/standlink/lease/MonotonicClock.java
@@ -15,19 +15,19 @@
  */
 package org.standlink.lease;
 
-/** A clock that only goes forward; its zero means nothing. */
+/** A clock that never goes backwards and has an arbitrary origin. */
 @FunctionalInterface
 public interface MonotonicClock {
 
     /**
-     * Gets the time.
+     * Gets the current time.
      *
-     * @return the time, in milliseconds from an arbitrary zero
+     * @return the time, in milliseconds since the origin of the clock
      */
     long nowMillis();
 
     /**
-     * Makes a clock of the JDK's monotonic time.
+     * Creates a clock that uses the JDK's monotonic time.
      *
      * @return the clock
      */
--- a/src/main/java/org/standlink/lease/package-info.java
+++ b/src/main/java/org/standlink/lease/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks and leases: who may act until when. */
+/** Monotonic clocks and leases. */
 package org.standlink.lease;
--- a/src/test/java/org/standlink/agent/TestLeavingAgent.java
+++ b/src/test/java/org/standlink/agent/TestLeavingAgent.java
@@ -43,29 +43,26 @@
 import org.standlink.wire.PeerConnection;
 
 /**
- * Tests that a leaving agent cuts no request, however late an entry hears of the leave.
+ * Tests that a leaving agent answers every request, however late an entry learns that it is
+ * leaving.
  *
- * <p>Seen: at the stop of an agent beside other load, one request of 2,500 got no true answer; the
- * entry said "the agent is gone and cannot be asked".
+ * <p>An entry that is delayed by load or a slow link still sends requests to an agent that has
+ * announced that it is leaving. An agent that stopped after 500 ms without running requests could
+ * lose such a request, and the entry could not query its outcome: it happened to one request of
+ * 2,500 at the stop of an agent under load. The agent therefore waits for the acknowledgements of
+ * the entries.
  *
- * <p>How it came about: an entry that is held up, by load or a slow link, still sends requests to
- * an agent that has said that it leaves. The agent ended once nothing had been under way for 500
- * ms.
- *
- * <p>Cause: a quiet time does not tell who may still send. An entry that reads 500 ms late sends to
- * an agent that is gone.
- *
- * <p>Proof: an entry whose reading thread has not run yet when the agent has been asked to stop
- * sends a request two seconds later. Of the agent that waited for quiet it was cut.
+ * <p>In the test, an entry sends a request two seconds after the agent was asked to stop, and the
+ * thread that reads the entry's connection starts only after that.
  */
 public class TestLeavingAgent {
 
-    private static final long HELD_MILLIS = 2000;
-    private static final long LIMIT_MILLIS = 20_000;
+    private static final long READ_DELAY_MILLIS = 2000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     private final ExecutorService executor = ProcessThreads.newCached("test");
     private final ScheduledExecutorService timers = ProcessThreads.newScheduled("timers", 4);
-    private final BlockingQueue<Runnable> held = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Runnable> heldReaders = new LinkedBlockingQueue<>();
 
     private final AgentProcess agent =
             new AgentProcess(
@@ -87,12 +84,13 @@
         executor.shutdownNow();
     }
 
-    private PeerConnection peer() {
+    private PeerConnection createPeer() {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", agent.getPort());
-        return new PeerConnection(() -> address, held::add, (connection, call, message) -> {});
+        return new PeerConnection(
+                () -> address, heldReaders::add, (connection, call, message) -> {});
     }
 
-    private static ForwardRequest forward(long number) {
+    private static ForwardRequest createRequest(long number) {
         return new ForwardRequest(
                 new RequestId(Incarnation.of(9), number),
                 ServiceId.parse("registry"),
@@ -100,20 +98,20 @@
                 TeamId.parse("team"),
                 null,
                 0,
-                LIMIT_MILLIS,
+                TIMEOUT_MILLIS,
                 "POST",
                 "/",
                 Map.of(),
                 new byte[0]);
     }
 
-    private Thread drain() {
+    private Thread startDrain() {
         Thread draining =
                 new Thread(
                         () -> {
                             try {
                                 agent.drain();
-                            } catch (InterruptedException stopped) {
+                            } catch (InterruptedException interrupted) {
                                 Thread.currentThread().interrupt();
                             }
                         });
@@ -122,19 +120,19 @@
     }
 
     private static Outcome outcomeOf(CompletableFuture<Message> answer) throws Exception {
-        Message message = answer.get(LIMIT_MILLIS, TimeUnit.MILLISECONDS);
+        Message message = answer.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         return ((ForwardAnswer) message).outcome();
     }
 
     @Test
     public void answersAnEntryThatLearnsLateThatTheAgentIsLeaving() throws Exception {
-        Connection entry = peer().connect();
-        Thread draining = drain();
-        draining.join(HELD_MILLIS);
-        CompletableFuture<Message> answer = entry.call(forward(1), LIMIT_MILLIS);
-        executor.execute(held.take());
+        Connection entry = createPeer().connect();
+        Thread draining = startDrain();
+        draining.join(READ_DELAY_MILLIS);
+        CompletableFuture<Message> answer = entry.call(createRequest(1), TIMEOUT_MILLIS);
+        executor.execute(heldReaders.take());
         assertEquals(Outcome.NOT_RUN, outcomeOf(answer));
-        draining.join(LIMIT_MILLIS);
-        assertTrue(!draining.isAlive(), "the agent has ended once the entry knew");
+        draining.join(TIMEOUT_MILLIS);
+        assertTrue(!draining.isAlive(), "the agent must stop once the entry has acknowledged");
     }
 }
--- a/src/test/java/org/standlink/agent/TestRequestHandler.java
+++ b/src/test/java/org/standlink/agent/TestRequestHandler.java
@@ -44,7 +44,10 @@
 import org.standlink.wire.ForwardRequest;
 import org.standlink.wire.OutcomeQuery;
 
-/** Tests what an agent says of requests, and that it runs each at most once within the slots. */
+/**
+ * Tests the outcomes that an agent reports of requests, and that it runs each request at most once
+ * within the slots of the upstream.
+ */
 public class TestRequestHandler {
 
     private static final VmId SELF = VmId.parse("vm-1");
@@ -59,44 +62,44 @@
 
     private final ScheduledExecutorService timers = ProcessThreads.newScheduled("test", 1);
 
-    private final Queue<CompletableFuture<ForwardAnswer>> upstream = new ArrayDeque<>();
+    private final Queue<CompletableFuture<ForwardAnswer>> upstreamAnswers = new ArrayDeque<>();
 
     private int runs;
 
-    private boolean nodeLease = true;
+    private boolean nodeLeaseLive = true;
 
     private RequestHandler handler;
 
     private long number;
 
     @BeforeEach
-    void start() {
-        offer(1, "'vm-1'");
-        handler = newHandler();
+    void setUp() {
+        offerBundle(1, "'vm-1'");
+        handler = createHandler();
         clock.advance(10_001);
     }
 
-    private RequestHandler newHandler() {
-        RequestHandler made =
+    private RequestHandler createHandler() {
+        RequestHandler newHandler =
                 new RequestHandler(
                         SELF,
                         AGENT,
                         this::run,
                         holder,
-                        () -> nodeLease,
+                        () -> nodeLeaseLive,
                         clock,
                         timers,
                         new SimpleMeterRegistry());
-        made.observeBundle();
-        return made;
+        newHandler.observeBundle();
+        return newHandler;
     }
 
     @AfterEach
-    void stop() {
+    void tearDown() {
         timers.shutdownNow();
     }
 
-    private void offer(long version, String upstreams) {
+    private void offerBundle(long version, String upstreams) {
         holder.offer(
                 Fixtures.signed(Fixtures.bundle(version, "", upstreams, "")),
                 BundleVersion.of(version));
@@ -105,15 +108,15 @@
     private CompletableFuture<ForwardAnswer> run(ForwardRequest request) {
         runs++;
         CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
-        upstream.add(answer);
+        upstreamAnswers.add(answer);
         return answer;
     }
 
-    private static ForwardAnswer answered(String body) {
+    private static ForwardAnswer createAnswer(String body) {
         return new ForwardAnswer(Outcome.ANSWERED, 200, Map.of(), body.getBytes(), "", 0, 0);
     }
 
-    private ForwardRequest request(String key, String body) {
+    private ForwardRequest createRequest(String key, String body) {
         int roster = holder.getBundle().services().get(0).rosterDigest();
         return new ForwardRequest(
                 new RequestId(ENTRY, ++number),
@@ -129,51 +132,52 @@
                 body.getBytes());
     }
 
-    private static Outcome outcome(CompletableFuture<ForwardAnswer> answer) {
+    private static Outcome outcomeOf(CompletableFuture<ForwardAnswer> answer) {
         return answer.join().outcome();
     }
 
     @Test
     void barsAnUnseenRequestWhoseOutcomeIsQueried() {
-        ForwardRequest late = request(null, "a");
+        ForwardRequest request = createRequest(null, "a");
         assertEquals(
-                Outcome.NOT_RUN, outcome(handler.queryOutcome(new OutcomeQuery(late.id(), AGENT))));
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(late)));
+                Outcome.NOT_RUN,
+                outcomeOf(handler.queryOutcome(new OutcomeQuery(request.id(), AGENT))));
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(request)));
         assertEquals(0, runs);
     }
 
     @Test
     void reportsUnknownForAnEarlierIncarnation() {
-        OutcomeQuery query = new OutcomeQuery(request(null, "a").id(), Incarnation.of(9));
-        assertEquals(Outcome.UNKNOWN, outcome(handler.queryOutcome(query)));
+        OutcomeQuery query = new OutcomeQuery(createRequest(null, "a").id(), Incarnation.of(9));
+        assertEquals(Outcome.UNKNOWN, outcomeOf(handler.queryOutcome(query)));
     }
 
     @Test
     void returnsTheAnswerToAnOutcomeQuery() {
-        ForwardRequest request = request(null, "a");
+        ForwardRequest request = createRequest(null, "a");
         handler.forward(request);
-        CompletableFuture<ForwardAnswer> asked =
+        CompletableFuture<ForwardAnswer> queried =
                 handler.queryOutcome(new OutcomeQuery(request.id(), AGENT));
-        assertFalse(asked.isDone(), "it still runs");
-        upstream.remove().complete(answered("yes"));
-        assertEquals("yes", new String(asked.join().body()));
+        assertFalse(queried.isDone(), "the request is still running");
+        upstreamAnswers.remove().complete(createAnswer("yes"));
+        assertEquals("yes", new String(queried.join().body()));
     }
 
     @Test
     void limitsRunningRequestsToTheSlotsAndQueuesSome() {
         for (int i = 0; i < 4; i++) {
-            handler.forward(request(null, "a"));
+            handler.forward(createRequest(null, "a"));
         }
         assertEquals(2, runs);
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request(null, "fifth"))));
-        upstream.remove().complete(answered("yes"));
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(createRequest(null, "fifth"))));
+        upstreamAnswers.remove().complete(createAnswer("yes"));
         assertEquals(3, runs);
     }
 
     @Test
     void keepsTheSlotOfARequestPastItsDeadline() {
-        ForwardRequest first = request(null, "a");
-        ForwardRequest hasty =
+        ForwardRequest first = createRequest(null, "a");
+        ForwardRequest shortRequest =
                 new ForwardRequest(
                         first.id(),
                         first.service(),
@@ -186,115 +190,120 @@
                         first.target(),
                         first.headers(),
                         first.body());
-        assertEquals(Outcome.UNKNOWN, outcome(handler.forward(hasty)));
+        assertEquals(Outcome.UNKNOWN, outcomeOf(handler.forward(shortRequest)));
         assertEquals(1, handler.getOutstanding());
-        upstream.remove().complete(answered("late"));
+        upstreamAnswers.remove().complete(createAnswer("late"));
         assertEquals(0, handler.getOutstanding());
         assertEquals(
                 Outcome.ANSWERED,
-                outcome(handler.queryOutcome(new OutcomeQuery(hasty.id(), AGENT))));
+                outcomeOf(handler.queryOutcome(new OutcomeQuery(shortRequest.id(), AGENT))));
     }
 
     @Test
     void refusesNewRequestsWhileLeavingAndCompletesRunningOnes() {
-        CompletableFuture<ForwardAnswer> running = handler.forward(request(null, "a"));
+        CompletableFuture<ForwardAnswer> running = handler.forward(createRequest(null, "a"));
         handler.leave();
         assertTrue(handler.getLoad().leaving());
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request(null, "b"))));
-        upstream.remove().complete(answered("yes"));
-        assertEquals(Outcome.ANSWERED, outcome(running));
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(createRequest(null, "b"))));
+        upstreamAnswers.remove().complete(createAnswer("yes"));
+        assertEquals(Outcome.ANSWERED, outcomeOf(running));
     }
 
-    /** Seen: a request that an upstream cut as it was stopped was told as unknown. */
+    /**
+     * A request that reaches an upstream while it stops may be interrupted, and its outcome is then
+     * reported as unknown. So requests that have not run are refused instead.
+     */
     @Test
     void sendsNoRequestsToALeavingUpstream() {
-        CompletableFuture<ForwardAnswer> running = handler.forward(request(null, "a"));
-        handler.forward(request(null, "b"));
-        CompletableFuture<ForwardAnswer> waiting = handler.forward(request(null, "c"));
-        assertFalse(waiting.isDone(), "both slots are taken");
+        CompletableFuture<ForwardAnswer> running = handler.forward(createRequest(null, "a"));
+        handler.forward(createRequest(null, "b"));
+        CompletableFuture<ForwardAnswer> waiting = handler.forward(createRequest(null, "c"));
+        assertFalse(waiting.isDone(), "both slots are in use");
         handler.setUpstreamLeaving();
-        assertEquals(Outcome.NOT_RUN, outcome(waiting));
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request(null, "d"))));
-        upstream.remove().complete(answered("yes"));
-        assertEquals(Outcome.ANSWERED, outcome(running));
+        assertEquals(Outcome.NOT_RUN, outcomeOf(waiting));
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(createRequest(null, "d"))));
+        upstreamAnswers.remove().complete(createAnswer("yes"));
+        assertEquals(Outcome.ANSWERED, outcomeOf(running));
         assertEquals(2, runs);
         assertEquals(1, handler.getOutstanding());
     }
 
     @Test
     void runsAKeyOnceAndReplaysItsAnswer() {
-        CompletableFuture<ForwardAnswer> first = handler.forward(request("k", "a"));
-        CompletableFuture<ForwardAnswer> second = handler.forward(request("k", "a"));
-        upstream.remove().complete(answered("once"));
+        CompletableFuture<ForwardAnswer> first = handler.forward(createRequest("k", "a"));
+        CompletableFuture<ForwardAnswer> second = handler.forward(createRequest("k", "a"));
+        upstreamAnswers.remove().complete(createAnswer("once"));
         assertEquals("once", new String(first.join().body()));
         assertEquals("once", new String(second.join().body()));
-        assertEquals("once", new String(handler.forward(request("k", "a")).join().body()));
+        assertEquals("once", new String(handler.forward(createRequest("k", "a")).join().body()));
         assertEquals(1, runs);
     }
 
     @Test
     void rejectsAKeyOfADifferentRequest() {
-        handler.forward(request("k", "a"));
-        assertEquals(422, handler.forward(request("k", "b")).join().status());
+        handler.forward(createRequest("k", "a"));
+        assertEquals(422, handler.forward(createRequest("k", "b")).join().status());
     }
 
     @Test
     void keepsAKeyWithUnknownOutcomeAndFreesOneThatDidNotRun() {
-        handler.forward(request("k", "a"));
-        upstream.remove().complete(AnswerFactory.unknown("cut", 0));
-        assertEquals(Outcome.UNKNOWN, outcome(handler.forward(request("k", "a"))));
-        handler.forward(request("m", "a"));
-        upstream.remove().complete(AnswerFactory.notRun("refused", 0, 0));
-        handler.forward(request("m", "a"));
+        handler.forward(createRequest("k", "a"));
+        upstreamAnswers.remove().complete(AnswerFactory.unknown("cut", 0));
+        assertEquals(Outcome.UNKNOWN, outcomeOf(handler.forward(createRequest("k", "a"))));
+        handler.forward(createRequest("m", "a"));
+        upstreamAnswers.remove().complete(AnswerFactory.notRun("refused", 0, 0));
+        handler.forward(createRequest("m", "a"));
         assertEquals(3, runs);
     }
 
     @Test
     void refusesKeysForTheWindowAfterAStart() {
-        handler = newHandler();
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request("k", "a"))));
+        handler = createHandler();
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(createRequest("k", "a"))));
         clock.advance(10_001);
-        handler.forward(request("k", "a"));
+        handler.forward(createRequest("k", "a"));
         assertEquals(1, runs);
     }
 
     @Test
     void refusesKeysThatMovedHereForTheWindow() {
-        offer(2, "'vm-1','vm-2','vm-3'");
+        offerBundle(2, "'vm-1','vm-2','vm-3'");
         handler.observeBundle();
-        assertTrue(refusedOf(40) == 0, "all keys were at home here before");
-        offer(3, "'vm-2','vm-1'");
+        assertTrue(countRefusedKeys(40) == 0, "this upstream was the home of all keys before");
+        offerBundle(3, "'vm-2','vm-1'");
         handler.observeBundle();
         clock.advance(10_001);
-        offer(4, "'vm-1'");
+        offerBundle(4, "'vm-1'");
         handler.observeBundle();
-        int refused = refusedOf(40);
-        assertTrue(refused > 5 && refused < 35, "only the moved keys wait: " + refused);
+        int refused = countRefusedKeys(40);
+        assertTrue(
+                refused > 5 && refused < 35,
+                "only the keys that have moved must be refused: " + refused);
         clock.advance(10_001);
-        assertEquals(0, refusedOf(40));
+        assertEquals(0, countRefusedKeys(40));
     }
 
-    private int refusedOf(int keys) {
+    private int countRefusedKeys(int keys) {
         int refused = 0;
         for (int i = 0; i < keys; i++) {
             CompletableFuture<ForwardAnswer> answer =
-                    handler.forward(request("key-" + number, "a"));
+                    handler.forward(createRequest("key-" + number, "a"));
             if (!answer.isDone()) {
-                upstream.remove().complete(answered("yes"));
+                upstreamAnswers.remove().complete(createAnswer("yes"));
             }
-            refused += outcome(answer) == Outcome.NOT_RUN ? 1 : 0;
+            refused += outcomeOf(answer) == Outcome.NOT_RUN ? 1 : 0;
         }
         return refused;
     }
 
     @Test
     void refusesKeysWithoutNodeLeaseOrUnderAnotherRoster() {
-        nodeLease = false;
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(request("k", "a"))));
-        nodeLease = true;
-        ForwardRequest old = request("k", "a");
-        offer(2, "'vm-1','vm-2'");
-        assertEquals(Outcome.NOT_RUN, outcome(handler.forward(old)));
+        nodeLeaseLive = false;
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(createRequest("k", "a"))));
+        nodeLeaseLive = true;
+        ForwardRequest earlierRequest = createRequest("k", "a");
+        offerBundle(2, "'vm-1','vm-2'");
+        assertEquals(Outcome.NOT_RUN, outcomeOf(handler.forward(earlierRequest)));
         assertEquals(0, runs);
     }
 
@@ -304,7 +313,7 @@
         for (int i = 1; i <= 4; i++) {
             RequestId id = new RequestId(ENTRY, i);
             assertTrue(table.begin(id).isEmpty());
-            table.complete(id, answered("yes"));
+            table.complete(id, createAnswer("yes"));
         }
         assertTrue(
                 table.queryOutcome(new RequestId(ENTRY, 1), AnswerFactory.notRun("", 0, 0))
