--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -94,7 +94,7 @@
     private final RequestDrain requestDrain = new RequestDrain();
     private final WireServer server;
 
-    /** Whether the VM is leaving. */
+    /** Whether no new work is accepted, since the VM is leaving or the agent is being stopped. */
     private volatile boolean leaving;
 
     /** The last report that the leader has acknowledged, null if none. */
@@ -224,9 +224,7 @@
     // -----------------------------------------------------------------------
     private void leave() {
         if (!leaving) {
-            LOGGER.log(
-                    System.Logger.Level.INFO,
-                    "the VM is leaving: no new requests and tasks are accepted");
+            LOGGER.log(System.Logger.Level.INFO, "leaving: no new requests or tasks are accepted");
         }
         leaving = true;
         requests.leave();
--- a/src/main/java/org/standlink/agent/AgentSettings.java
+++ b/src/main/java/org/standlink/agent/AgentSettings.java
@@ -37,8 +37,8 @@
  * @param upstream the address of the upstream on this VM
  * @param times the lengths of the leases
  * @param heartbeatMillis the interval between heartbeats, in milliseconds
- * @param claimAfterMillis how long the leader may be unresponsive before an agent claims its place,
- *     in milliseconds
+ * @param claimAfterMillis how long the leader may be unresponsive before an agent claims
+ *     leadership, in milliseconds
  * @param logRetentionMillis how long the log retains records, in milliseconds
  * @param drainMillis the maximum duration of a planned stop, in milliseconds
  */
--- a/src/main/java/org/standlink/agent/CapacityUsage.java
+++ b/src/main/java/org/standlink/agent/CapacityUsage.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Checks whether the allocated resources exceed the capacity. This happens when the resources
-     * reserved for services are raised.
+     * Checks whether the allocated resources exceed the capacity. This can happen when the
+     * resources reserved for services are raised.
      *
      * @return true if so
      */
--- a/src/main/java/org/standlink/agent/KeyedRequests.java
+++ b/src/main/java/org/standlink/agent/KeyedRequests.java
@@ -35,7 +35,7 @@
  * same key.
  *
  * <p>A key is accepted only while the agent holds a live node lease, knows the same upstreams of
- * the service as the entry, and can exclude that a request with the key has run elsewhere.
+ * the service as the entry, and can exclude that a request with the key has run in another process.
  *
  * <p>{@code KeyedRequests} is thread-safe.
  */
@@ -134,7 +134,7 @@
         if (waitMillis > 0) {
             return Optional.of(
                     AnswerFactory.notRun(
-                            "a request with this key may have run at another upstream",
+                            "a request with this key may have run in another process",
                             waitMillis,
                             0));
         }
--- a/src/main/java/org/standlink/agent/LeaderRole.java
+++ b/src/main/java/org/standlink/agent/LeaderRole.java
@@ -48,7 +48,7 @@
 
 /**
  * The part of an agent that concerns leadership: it finds the leader, sends messages to it, and
- * claims its place when it is unresponsive.
+ * claims leadership when it is unresponsive.
  *
  * <p>An agent that does not lead reads the log only at its start and while the leader is
  * unresponsive.
@@ -79,7 +79,7 @@
     /** The leader service, null until the cell is known. */
     private volatile LeaderService service;
 
-    /** Whether the log has been read since the start. */
+    /** Whether the log has been read to its end since the start. */
     private volatile boolean logRead;
 
     /** When the log may be read next while no leader responds, in milliseconds. */
@@ -121,8 +121,8 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Performs what is due: runs the leader service, or reads the log for the leader and claims its
-     * place.
+     * Performs what is due: runs the leader service, or reads the log for the leader and claims
+     * leadership.
      *
      * @param leaving whether the VM is leaving, so that this agent must not claim
      */
--- a/src/main/java/org/standlink/agent/LeaderTracker.java
+++ b/src/main/java/org/standlink/agent/LeaderTracker.java
@@ -24,7 +24,7 @@
 import org.standlink.bundle.WorkerSpecification;
 
 /**
- * Tracks which agent leads the cell, and determines when this agent may claim its place.
+ * Tracks which agent leads the cell, and determines when this agent may claim leadership.
  *
  * <p>The agents of a cell claim in an order that is derived from the epoch by hashing, so that
  * simultaneous claims are rare; if they happen, the log decides between them.
@@ -55,8 +55,8 @@
      * Creates a tracker without a known leader.
      *
      * @param self this VM
-     * @param claimAfterMillis how long the leader may be unresponsive before an agent claims its
-     *     place, in milliseconds
+     * @param claimAfterMillis how long the leader may be unresponsive before an agent claims
+     *     leadership, in milliseconds
      * @param nowMillis the current time, in milliseconds
      */
     LeaderTracker(VmId self, long claimAfterMillis, long nowMillis) {
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Checks whether this agent should claim the leader's place.
+     * Checks whether this agent should claim leadership.
      *
      * @param cell the cell
      * @param nowMillis the current time, in milliseconds
--- a/src/main/java/org/standlink/agent/RequestDrain.java
+++ b/src/main/java/org/standlink/agent/RequestDrain.java
@@ -20,9 +20,8 @@
 import org.standlink.wire.Connection;
 
 /**
- * Tracks open requests, so that a leaving agent ends without interrupting any of them: all requests
- * have been answered, and no caller may still query the outcome of a request whose connection was
- * lost.
+ * Tracks open requests, so that a leaving agent does not stop before all of them are answered and
+ * no caller may still query the outcome of a request whose connection was lost.
  *
  * <p>{@code RequestDrain} is thread-safe.
  */
--- a/src/main/java/org/standlink/agent/RequestHandler.java
+++ b/src/main/java/org/standlink/agent/RequestHandler.java
@@ -228,7 +228,9 @@
     private ForwardAnswer createRejectionAnswer(RequestTable.Rejection rejection) {
         if (rejection == RequestTable.Rejection.BARRED) {
             return AnswerFactory.notRun(
-                    "barred by an outcome query", RETRY_AFTER_MILLIS, getOutstanding());
+                    "the request id is barred or already used",
+                    RETRY_AFTER_MILLIS,
+                    getOutstanding());
         }
         return AnswerFactory.unknown("received before", getOutstanding());
     }
--- a/src/main/java/org/standlink/agent/RosterTracker.java
+++ b/src/main/java/org/standlink/agent/RosterTracker.java
@@ -49,7 +49,7 @@
     /** The last change of the upstreams of each service. */
     private final Map<ServiceId, Change> changes = new HashMap<>();
 
-    /** A change of upstreams; {@code before} is empty if what went before is not known. */
+    /** A change of upstreams; {@code previousUpstreams} is empty if they are unknown. */
     private record Change(List<VmId> previousUpstreams, long timeMillis) {}
 
     /**
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -181,7 +181,7 @@
         }
         for (TaskUsage usage : usages.values()) {
             if (isRunning(usage) && !currentUsages.containsKey(usage.task())) {
-                // The worker no longer lists the attempt: it was restarted, which ended its tasks.
+                // A worker that no longer lists a running attempt was restarted, which ended it.
                 endedUsages.put(usage.task(), withState(usage, TaskUsage.State.STOPPED));
             }
         }
--- a/src/test/java/org/standlink/agent/TestRequestHandler.java
+++ b/src/test/java/org/standlink/agent/TestRequestHandler.java
@@ -248,7 +248,7 @@
     @Test
     void keepsAKeyWithUnknownOutcomeAndFreesOneThatDidNotRun() {
         handler.forward(createRequest("k", "a"));
-        upstreamAnswers.remove().complete(AnswerFactory.unknown("cut", 0));
+        upstreamAnswers.remove().complete(AnswerFactory.unknown("connection lost", 0));
         assertEquals(Outcome.UNKNOWN, outcomeOf(handler.forward(createRequest("k", "a"))));
         handler.forward(createRequest("m", "a"));
         upstreamAnswers.remove().complete(AnswerFactory.notRun("refused", 0, 0));
