--- a/src/test/java/org/standlink/simulation/FaultInjector.java
+++ b/src/test/java/org/standlink/simulation/FaultInjector.java
@@ -18,29 +18,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lets the faults of a day happen. */
+/** Injects the faults of a simulated day into its cell. */
 final class FaultInjector {
 
-    private static final long CUT_OFF_MILLIS = 20_000;
-    private static final long LEAVE_MILLIS = 3000;
+    private static final long PARTITION_MILLIS = 20_000;
+    private static final long DRAIN_MILLIS = 3000;
 
-    private final SimulationEnvironment world;
+    private final SimulationEnvironment environment;
     private final SimulatedCell cell;
 
     FaultInjector(SimulatedCell cell) {
         this.cell = cell;
-        this.world = cell.getEnvironment();
+        this.environment = cell.getEnvironment();
     }
 
-    /** Lets all faults happen in their time. */
+    /** Schedules all faults at their start times. */
     void schedule(List<SimulatedFault> faults) {
         faults.forEach(
-                fault -> world.schedule(fault.startMillis() - world.elapsed(), () -> begin(fault)));
+                fault ->
+                        environment.schedule(
+                                fault.startMillis() - environment.elapsed(), () -> inject(fault)));
     }
 
     // -----------------------------------------------------------------------
-    private void begin(SimulatedFault fault) {
-        world.trace("FAULT " + fault);
+    private void inject(SimulatedFault fault) {
+        environment.trace("FAULT " + fault);
         cell.getInvariantChecker().recordImpairment(fault.durationMillis());
         switch (fault.kind()) {
             case STORE_UNAVAILABLE -> cell.getStoreFaults().makeUnavailable(fault.durationMillis());
@@ -54,46 +56,46 @@
                             .makeUnavailable(fault.durationMillis());
             case LEADER_REPLACED -> replaceLeader(fault);
             case LEADER_OVERTAKEN -> overtakeLeader(fault);
-            case LEADER_PARTITIONED -> cutLeaderOff(fault);
+            case LEADER_PARTITIONED -> partitionLeader(fault);
             case LEADER_CRASH -> crashLeader(fault);
             case LEADER_FROZEN ->
                     cell.newestLeader().freeze(fault.durationMillis(), fault.variant() % 2 == 0);
-            default -> beginOn(cell.getMachines().get(fault.machine()), fault);
+            default -> injectOnMachine(cell.getMachines().get(fault.machine()), fault);
         }
     }
 
-    private void beginOn(SimulatedMachine machine, SimulatedFault fault) {
-        int choice = fault.variant();
+    private void injectOnMachine(SimulatedMachine machine, SimulatedFault fault) {
+        int variant = fault.variant();
         switch (fault.kind()) {
             case WORKER_UNRELIABLE ->
                     machine.getWorkerClient()
-                            .makeUnreliable(fault.durationMillis(), 20 + choice % 60);
+                            .makeUnreliable(fault.durationMillis(), 20 + variant % 60);
             case WORKER_UNRESPONSIVE ->
                     machine.getWorkerClient().makeUnresponsive(fault.durationMillis());
             case WORKER_CRASH -> crashWorker(machine, fault);
-            case LINK_DELAYED, LINK_LOST -> hinder(machine, fault);
+            case LINK_DELAYED, LINK_LOST -> impairLink(machine, fault);
             case CHANNEL_MESSAGES_DROPPED ->
-                    machine.dropChannelMessages(choice % 3 != 0, choice % 3 != 1);
-            case AGENT_RESTART -> restart(machine, fault);
+                    machine.dropChannelMessages(variant % 3 != 0, variant % 3 != 1);
+            case AGENT_RESTART -> restartAgent(machine, fault);
             case AGENT_FROZEN -> machine.freezeAgent(fault.durationMillis());
-            case WORKER_DRAINS -> leave(machine);
-            default -> throw new IllegalArgumentException("no fault of a machine: " + fault);
+            case WORKER_DRAINS -> drainWorker(machine);
+            default -> throw new IllegalArgumentException("not a fault of a machine: " + fault);
         }
     }
 
-    private static void hinder(SimulatedMachine machine, SimulatedFault fault) {
-        List<OneWayChannel.NetworkPath> directions = new ArrayList<>();
+    private static void impairLink(SimulatedMachine machine, SimulatedFault fault) {
+        List<OneWayChannel.NetworkPath> paths = new ArrayList<>();
         if (fault.variant() % 3 != 0) {
-            directions.add(machine.getUplink());
+            paths.add(machine.getUplink());
         }
         if (fault.variant() % 3 != 1) {
-            directions.add(machine.getDownlink());
+            paths.add(machine.getDownlink());
         }
-        for (OneWayChannel.NetworkPath direction : directions) {
+        for (OneWayChannel.NetworkPath path : paths) {
             if (fault.kind() == SimulatedFault.Kind.LINK_DELAYED) {
-                direction.delay(fault.durationMillis());
+                path.delay(fault.durationMillis());
             } else {
-                direction.loseMessages(fault.durationMillis());
+                path.loseMessages(fault.durationMillis());
             }
         }
     }
@@ -101,7 +103,7 @@
     private void crashWorker(SimulatedMachine machine, SimulatedFault fault) {
         if (machine.getWorkerClient().getWorker().isUp()) {
             machine.crashWorker();
-            world.schedule(
+            environment.schedule(
                     Math.min(fault.durationMillis(), 2000),
                     () -> {
                         if (!machine.getWorkerClient().getWorker().isUp()) {
@@ -111,12 +113,12 @@
         }
     }
 
-    private void leave(SimulatedMachine machine) {
+    private void drainWorker(SimulatedMachine machine) {
         if (machine.getWorkerClient().getWorker().isUp()) {
             machine.drainWorker();
-            cell.getInvariantChecker().recordImpairment(LEAVE_MILLIS);
-            world.schedule(
-                    LEAVE_MILLIS,
+            cell.getInvariantChecker().recordImpairment(DRAIN_MILLIS);
+            environment.schedule(
+                    DRAIN_MILLIS,
                     () -> {
                         if (!machine.getWorkerClient().getWorker().isUp()) {
                             machine.startWorker();
@@ -125,19 +127,21 @@
         }
     }
 
-    /** The process is back at once, or after a while. */
-    private void restart(SimulatedMachine machine, SimulatedFault fault) {
+    /** Ends the agent process and starts a new one almost at once or after a delay. */
+    private void restartAgent(SimulatedMachine machine, SimulatedFault fault) {
         if (!machine.hasAgent()) {
             return;
         }
         machine.endAgent();
         if (fault.variant() % 3 == 0) {
-            // The new process hears of its worker hardly more than that it is there.
-            world.schedule(world.draw(20, 700), () -> silence(machine, world.draw(500, 5000)));
+            // The worker answers the new process only briefly before it becomes unresponsive.
+            environment.schedule(
+                    environment.draw(20, 700),
+                    () -> makeWorkerUnresponsive(machine, environment.draw(500, 5000)));
         }
-        long pause = fault.variant() % 2 == 0 ? 50 : Math.min(fault.durationMillis(), 8000);
-        world.schedule(
-                pause,
+        long delayMillis = fault.variant() % 2 == 0 ? 50 : Math.min(fault.durationMillis(), 8000);
+        environment.schedule(
+                delayMillis,
                 () -> {
                     if (!machine.hasAgent()) {
                         machine.startAgent(cell.newestLeaderNotice());
@@ -145,55 +149,64 @@
                 });
     }
 
-    private void silence(SimulatedMachine machine, long millis) {
+    private void makeWorkerUnresponsive(SimulatedMachine machine, long millis) {
         cell.getInvariantChecker().recordImpairment(millis);
         machine.getWorkerClient().makeUnresponsive(millis);
     }
 
-    /** Each agent learns of the new leader at a time of its own. */
+    /** Starts a new leader, which each agent learns of after a delay of its own. */
     private void replaceLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
             cell.startLeader();
-            announce(fault);
+            announceLeader(fault);
         }
     }
 
     private void overtakeLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
             cell.newestLeader().freeze(fault.durationMillis(), fault.variant() % 2 == 0);
-            world.schedule(Math.min(fault.durationMillis(), 1300), () -> replaceLeader(fault));
+            environment.schedule(
+                    Math.min(fault.durationMillis(), 1300), () -> replaceLeader(fault));
         }
     }
 
-    /** The one before grants for as long as it may, and some agents hear of no other for longer. */
-    private void cutLeaderOff(SimulatedFault fault) {
+    /**
+     * Cuts the leader off from the store, so it grants leases until its authority ends, and starts
+     * another one, which some agents learn of only later than that.
+     */
+    private void partitionLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
-            cell.newestLeader().getStore().getOwnFaults().makeUnavailable(CUT_OFF_MILLIS);
-            world.schedule(Math.min(fault.durationMillis(), 1500), () -> replaceLeader(fault));
+            cell.newestLeader().getStore().getOwnFaults().makeUnavailable(PARTITION_MILLIS);
+            environment.schedule(
+                    Math.min(fault.durationMillis(), 1500), () -> replaceLeader(fault));
         }
     }
 
     private void crashLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
             cell.crashLeader();
-            world.schedule(
+            environment.schedule(
                     Math.min(fault.durationMillis(), 3000),
                     () -> {
                         if (cell.isLeaderless()) {
                             cell.startLeader();
-                            announce(fault);
+                            announceLeader(fault);
                         }
                     });
         }
     }
 
-    private void announce(SimulatedFault fault) {
-        long longest = fault.variant() % 4 == 0 ? 8000 : 1500;
-        longest = fault.kind() == SimulatedFault.Kind.LEADER_PARTITIONED ? CUT_OFF_MILLIS : longest;
+    private void announceLeader(SimulatedFault fault) {
+        long maxDelayMillis = fault.variant() % 4 == 0 ? 8000 : 1500;
+        maxDelayMillis =
+                fault.kind() == SimulatedFault.Kind.LEADER_PARTITIONED
+                        ? PARTITION_MILLIS
+                        : maxDelayMillis;
         for (SimulatedMachine machine : cell.getMachines()) {
-            long pause = world.draw(0, longest);
-            cell.getInvariantChecker().recordImpairment(pause);
-            world.schedule(pause, () -> machine.notifyOfLeader(cell.newestLeaderNotice()));
+            long delayMillis = environment.draw(0, maxDelayMillis);
+            cell.getInvariantChecker().recordImpairment(delayMillis);
+            environment.schedule(
+                    delayMillis, () -> machine.notifyOfLeader(cell.newestLeaderNotice()));
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/FaultPlan.java
+++ b/src/test/java/org/standlink/simulation/FaultPlan.java
@@ -19,40 +19,40 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws the faults of one day from its seed. */
+/** Draws the faults of one day from its seed. The order of the draws is part of the plan. */
 final class FaultPlan {
 
-    /** How long authority and a lease take together, with some time before and after. */
-    private static final long FIRST_LAPSE_MILLIS = 8400;
+    /** A range around the time that leader authority and a lease take together to expire. */
+    private static final long MIN_LAPSE_MILLIS = 8400;
 
-    private static final long LAST_LAPSE_MILLIS = 9800;
-    private static final long LONGEST_MILLIS = 10_000;
-    private static final int MOST_FAULTS = 16;
+    private static final long MAX_LAPSE_MILLIS = 9800;
+    private static final long MAX_DURATION_MILLIS = 10_000;
+    private static final int MAX_FAULTS = 16;
 
-    /** The forms of days: with few faults, with a burst, with clusters at one machine each. */
-    private static final int FORMS = 5;
+    /** Number of patterns: few faults, one burst, clusters at one machine each (two), or spread. */
+    private static final int PATTERNS = 5;
 
-    private static final int FEW_FORM = 0;
-    private static final int BURST_FORM = 1;
-    private static final int LAST_CLUSTER_FORM = 3;
-    private static final int FEW_FAULTS = 3;
+    private static final int FEW_PATTERN = 0;
+    private static final int BURST_PATTERN = 1;
+    private static final int LAST_CLUSTER_PATTERN = 3;
+    private static final int MAX_FAULTS_OF_FEW_PATTERN = 3;
     private static final long BURST_MILLIS = 6000;
-    private static final long CLUSTER_MILLIS = 11_000;
-    private static final long TOGETHER_MILLIS = 5000;
-    private static final int MOST_IN_CLUSTER = 6;
+    private static final long CLUSTER_INTERVAL_MILLIS = 11_000;
+    private static final long CLUSTER_SPAN_MILLIS = 5000;
+    private static final int MAX_IN_CLUSTER = 6;
 
     private final Random random;
-    private final int form;
+    private final int pattern;
     private final int machines;
     private final List<SimulatedFault> faults = new ArrayList<>();
 
     private FaultPlan(long seed, int machines) {
         this.random = new Random(seed * 31 + 7);
-        this.form = (int) (seed % FORMS);
+        this.pattern = (int) (seed % PATTERNS);
         this.machines = machines;
     }
 
-    /** Draws the faults of a day on so many machines, which begin between two times. */
+    /** Draws the faults of a day, which start between two times in milliseconds. */
     static List<SimulatedFault> draw(long seed, int machines, long from, long until) {
         FaultPlan plan = new FaultPlan(seed, machines);
         plan.draw(from, until);
@@ -61,17 +61,19 @@
 
     // -----------------------------------------------------------------------
     private void draw(long from, long until) {
-        if (form == FEW_FORM) {
-            addAnywhere(1 + random.nextInt(FEW_FAULTS), from, until);
-        } else if (form == BURST_FORM) {
-            long begin = from + random.nextInt((int) (until - from - BURST_MILLIS));
-            addAnywhere(3 + random.nextInt(MOST_FAULTS - 2), begin, begin + BURST_MILLIS);
-        } else if (form <= LAST_CLUSTER_FORM) {
-            for (long begin = from; begin + TOGETHER_MILLIS < until; begin += CLUSTER_MILLIS) {
-                addCluster(begin);
+        if (pattern == FEW_PATTERN) {
+            addAnywhere(1 + random.nextInt(MAX_FAULTS_OF_FEW_PATTERN), from, until);
+        } else if (pattern == BURST_PATTERN) {
+            long start = from + random.nextInt((int) (until - from - BURST_MILLIS));
+            addAnywhere(3 + random.nextInt(MAX_FAULTS - 2), start, start + BURST_MILLIS);
+        } else if (pattern <= LAST_CLUSTER_PATTERN) {
+            for (long start = from;
+                    start + CLUSTER_SPAN_MILLIS < until;
+                    start += CLUSTER_INTERVAL_MILLIS) {
+                addCluster(start);
             }
         } else {
-            addAnywhere(3 + random.nextInt(MOST_FAULTS - 2), from, until);
+            addAnywhere(3 + random.nextInt(MAX_FAULTS - 2), from, until);
         }
     }
 
@@ -82,23 +84,25 @@
     }
 
     private void addCluster(long from) {
-        int count = 2 + random.nextInt(MOST_IN_CLUSTER - 1);
+        int count = 2 + random.nextInt(MAX_IN_CLUSTER - 1);
         int machine = random.nextInt(machines);
         for (int i = 0; i < count; i++) {
-            add(SimulatedFault.Kind.listMachineKinds(), machine, from, from + TOGETHER_MILLIS);
+            add(SimulatedFault.Kind.listMachineKinds(), machine, from, from + CLUSTER_SPAN_MILLIS);
         }
     }
 
     private void add(SimulatedFault.Kind[] kinds, int machine, long from, long until) {
-        long at = from + random.nextInt((int) (until - from));
+        long startMillis = from + random.nextInt((int) (until - from));
         SimulatedFault.Kind kind = kinds[random.nextInt(kinds.length)];
-        long millis = 300 + random.nextInt((int) LONGEST_MILLIS - 300);
+        long durationMillis = 300 + random.nextInt((int) MAX_DURATION_MILLIS - 300);
         if (random.nextInt(4) == 0) {
-            long span = LAST_LAPSE_MILLIS - FIRST_LAPSE_MILLIS;
-            millis = FIRST_LAPSE_MILLIS + random.nextInt((int) span);
+            long span = MAX_LAPSE_MILLIS - MIN_LAPSE_MILLIS;
+            durationMillis = MIN_LAPSE_MILLIS + random.nextInt((int) span);
         } else if (random.nextBoolean()) {
-            millis /= 4;
+            durationMillis /= 4;
         }
-        faults.add(new SimulatedFault(at, kind, machine, millis, random.nextInt(1000)));
+        faults.add(
+                new SimulatedFault(
+                        startMillis, kind, machine, durationMillis, random.nextInt(1000)));
     }
 }
--- a/src/test/java/org/standlink/simulation/InvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/InvariantChecker.java
@@ -29,32 +29,33 @@
 import org.standlink.job.TaskName;
 
 /**
- * Judges what workers did: no two runs of a task at once, none after a recorded good end, nothing
- * of a cancelled job for long, and no worker over its room.
+ * Checks the invariants of a cell against what its workers do: no two concurrent runs of a task, no
+ * run after a recorded successful end, no run of a cancelled job or in an evacuated hall after some
+ * time, few starts of a task that crashes its workers, and no worker over its capacity.
  */
 final class InvariantChecker {
 
-    /** How long after an acknowledged cancel a run of the job may still begin. */
-    private static final long CANCEL_MILLIS = 3000;
+    /** How long after an acknowledged cancel a run of the job may still start. */
+    private static final long MAX_START_AFTER_CANCEL_MILLIS = 3000;
 
-    /** How much longer it may still be at work. */
-    private static final long STOP_MILLIS = 400;
+    /** How much longer such a run may continue until it is stopped. */
+    private static final long MAX_STOP_MILLIS = 400;
 
-    /** How long nothing may have been impaired for the times to count. */
-    private static final long CALM_MILLIS = 3000;
+    /** How long no fault may have been active for the time limits after a cancel to apply. */
+    private static final long UNIMPAIRED_MILLIS = 3000;
 
-    /** How long after an evacuation is acknowledged a run may still begin in that hall. */
-    private static final long EVACUATE_MILLIS = 2500;
+    /** How long after an acknowledged evacuation a run may still start in that hall. */
+    private static final long MAX_START_AFTER_EVACUATION_MILLIS = 2500;
 
-    /** After how many crashes under a task its starts are counted. */
-    private static final int COUNTED_CRASHES = 3;
+    /** Number of crashes of a task after which its further starts are counted. */
+    private static final int CRASH_THRESHOLD = 3;
 
-    /** How many such starts are too many. */
-    private static final int TOO_MANY_STARTS = 3;
+    /** Number of such starts that is a violation. */
+    private static final int EXCESS_STARTS = 3;
 
-    private final SimulationEnvironment world;
-    private final Map<RunId, Map<SimulatedWorker, Present>> present = new LinkedHashMap<>();
-    private final List<Good> goods = new ArrayList<>();
+    private final SimulationEnvironment environment;
+    private final Map<RunId, Map<SimulatedWorker, ActiveRun>> activeRuns = new LinkedHashMap<>();
+    private final List<SuccessfulEnd> successfulEnds = new ArrayList<>();
     private final Map<TaskName, List<long[]>> starts = new HashMap<>();
     private final Map<JobId, Long> cancelled = new HashMap<>();
     private final Map<HallId, Long> evacuated = new HashMap<>();
@@ -63,139 +64,161 @@
     private final Map<TaskName, Integer> startsAfterCrashes = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
-    /** A run at work. */
-    private static final class Present {
-        private final long begunAt;
-        private final boolean late;
-        private boolean blamed;
+    /** A run that is running on one worker. */
+    private static final class ActiveRun {
+        private final long startedAt;
+        private final boolean delayed;
+        private boolean reported;
 
-        Present(long begunAt, boolean late) {
-            this.begunAt = begunAt;
-            this.late = late;
+        ActiveRun(long startedAt, boolean delayed) {
+            this.startedAt = startedAt;
+            this.delayed = delayed;
         }
     }
 
-    /** A good end. */
-    private static final class Good {
-        private final SimulatedWorker life;
+    /** The successful end of a run. */
+    private static final class SuccessfulEnd {
+        private final SimulatedWorker worker;
         private final long number;
         private final TaskName task;
-        private final long at;
-        private boolean recorded;
+        private final long endedAt;
+        private boolean persisted;
         private boolean lapsed;
 
-        Good(SimulatedWorker life, long number, TaskName task, long at) {
-            this.life = life;
+        SuccessfulEnd(SimulatedWorker worker, long number, TaskName task, long endedAt) {
+            this.worker = worker;
             this.number = number;
             this.task = task;
-            this.at = at;
+            this.endedAt = endedAt;
         }
     }
 
-    InvariantChecker(SimulationEnvironment world) {
-        this.world = world;
-        world.scheduleRepeating(50, this::lookForCancelled);
+    InvariantChecker(SimulationEnvironment environment) {
+        this.environment = environment;
+        environment.scheduleRepeating(50, this::checkCancelledJobs);
     }
 
     // -----------------------------------------------------------------------
-    void recordStart(SimulatedWorker life, RunId run, boolean late) {
-        world.trace("BEGINS " + run + " on " + life.getIncarnation() + (late ? ", late" : ""));
-        for (Map.Entry<RunId, Map<SimulatedWorker, Present>> other : present.entrySet()) {
+    void recordStart(SimulatedWorker worker, RunId run, boolean delayed) {
+        environment.trace(
+                "STARTED " + run + " on " + worker.getIncarnation() + (delayed ? ", delayed" : ""));
+        for (Map.Entry<RunId, Map<SimulatedWorker, ActiveRun>> other : activeRuns.entrySet()) {
             if (other.getKey().task().equals(run.task()) && !other.getValue().isEmpty()) {
                 addViolation(
                         "TWICE "
                                 + run
                                 + " on "
-                                + life.getIncarnation()
+                                + worker.getIncarnation()
                                 + " beside "
                                 + other.getKey());
             }
         }
         starts.computeIfAbsent(run.task(), key -> new ArrayList<>())
-                .add(new long[] {world.now(), run.number()});
-        if (!late && crashes.getOrDefault(run.task(), 0) >= COUNTED_CRASHES) {
+                .add(new long[] {environment.now(), run.number()});
+        if (!delayed && crashes.getOrDefault(run.task(), 0) >= CRASH_THRESHOLD) {
             countStartAfterCrashes(run);
         }
-        Long evacuatedAt = evacuated.get(life.getHall());
-        if (!late && evacuatedAt != null && world.now() > evacuatedAt + EVACUATE_MILLIS) {
+        Long evacuatedAt = evacuated.get(worker.getHall());
+        if (!delayed
+                && evacuatedAt != null
+                && environment.now() > evacuatedAt + MAX_START_AFTER_EVACUATION_MILLIS) {
             addViolation(
-                    "EVAC " + run + " begins " + (world.now() - evacuatedAt) + " ms after the ack");
+                    "EVAC "
+                            + run
+                            + " started "
+                            + (environment.now() - evacuatedAt)
+                            + " ms after the evacuation");
         }
-        Long ack = cancelled.get(run.task().job());
-        if (ack != null && !late && world.now() > ack + CANCEL_MILLIS && isCalm()) {
+        Long acknowledgedAt = cancelled.get(run.task().job());
+        if (acknowledgedAt != null
+                && !delayed
+                && environment.now() > acknowledgedAt + MAX_START_AFTER_CANCEL_MILLIS
+                && isUnimpaired()) {
             addViolation(
-                    "UNASKED " + run + " begins " + (world.now() - ack) + " ms after the cancel");
+                    "UNASKED "
+                            + run
+                            + " started "
+                            + (environment.now() - acknowledgedAt)
+                            + " ms after the cancel");
         }
-        present.computeIfAbsent(run, key -> new LinkedHashMap<>())
-                .put(life, new Present(world.now(), late));
+        activeRuns
+                .computeIfAbsent(run, key -> new LinkedHashMap<>())
+                .put(worker, new ActiveRun(environment.now(), delayed));
     }
 
     private void countStartAfterCrashes(RunId run) {
-        if (startsAfterCrashes.merge(run.task(), 1, Integer::sum) == TOO_MANY_STARTS) {
+        if (startsAfterCrashes.merge(run.task(), 1, Integer::sum) == EXCESS_STARTS) {
             addViolation(
-                    "CRASHES " + run + " begins after its task has crashed " + COUNTED_CRASHES);
+                    "CRASHES "
+                            + run
+                            + " started after this many crashes of its task: "
+                            + CRASH_THRESHOLD);
         }
     }
 
-    /** Takes note that a task crashes its worker. */
+    /** Records that a task crashed its worker. */
     void recordCrash(TaskName task) {
         crashes.merge(task, 1, Integer::sum);
     }
 
-    /** How many workers a task has crashed. */
+    /** Counts the workers that a task has crashed. */
     int countCrashes(TaskName task) {
         return crashes.getOrDefault(task, 0);
     }
 
-    void checkCapacity(SimulatedWorker life, Resources taken, Resources capacity, RunId run) {
-        if (!taken.fitsIn(capacity)) {
-            addViolation("ROOM " + run + " on " + life.getIncarnation() + " with " + taken);
+    void checkCapacity(SimulatedWorker worker, Resources usage, Resources capacity, RunId run) {
+        if (!usage.fitsIn(capacity)) {
+            addViolation("ROOM " + run + " on " + worker.getIncarnation() + " with " + usage);
         }
     }
 
-    void recordEnd(SimulatedWorker life, RunId run, RunEndKind kind, long number) {
-        world.trace("ends " + run + " on " + life.getIncarnation() + " " + kind);
-        remove(life, run);
+    /** Records the end of a run under the number that the worker gave to it. */
+    void recordEnd(SimulatedWorker worker, RunId run, RunEndKind kind, long number) {
+        environment.trace("ended " + run + " on " + worker.getIncarnation() + " " + kind);
+        removeActiveRun(worker, run);
         if (kind == RunEndKind.DONE) {
-            goods.add(new Good(life, number, run.task(), world.now()));
+            successfulEnds.add(new SuccessfulEnd(worker, number, run.task(), environment.now()));
         }
     }
 
-    void recordLostRun(SimulatedWorker life, RunId run) {
-        world.trace("dies " + run + " on " + life.getIncarnation());
-        remove(life, run);
+    /** Records that a run was lost without an end as its worker crashed. */
+    void recordLostRun(SimulatedWorker worker, RunId run) {
+        environment.trace("lost " + run + " on " + worker.getIncarnation());
+        removeActiveRun(worker, run);
     }
 
-    void recordPersistedEnds(SimulatedWorker life, long number) {
-        for (Good good : goods) {
-            if (good.life == life && good.number <= number && !good.lapsed) {
-                good.recorded = true;
+    /** Records that the worker was told that its ends up to a number are persisted. */
+    void recordPersistedEnds(SimulatedWorker worker, long number) {
+        for (SuccessfulEnd end : successfulEnds) {
+            if (end.worker == worker && end.number <= number && !end.lapsed) {
+                end.persisted = true;
             }
         }
     }
 
-    void recordLapse(SimulatedWorker life) {
-        for (Good good : goods) {
-            good.lapsed |= good.life == life && !good.recorded;
+    /** Records that the lease of a worker expired, which voids its ends not persisted so far. */
+    void recordLapse(SimulatedWorker worker) {
+        for (SuccessfulEnd end : successfulEnds) {
+            end.lapsed |= end.worker == worker && !end.persisted;
         }
     }
 
     void cancelAcknowledged(JobId job) {
-        world.trace("cancel acknowledged of " + job);
-        cancelled.putIfAbsent(job, world.now());
+        environment.trace("acknowledged cancel of " + job);
+        cancelled.putIfAbsent(job, environment.now());
     }
 
     void evacuationAcknowledged(EvacuationChange change) {
         if (change.evacuated()) {
-            evacuated.putIfAbsent(change.hall(), world.now());
+            evacuated.putIfAbsent(change.hall(), environment.now());
         } else {
             evacuated.remove(change.hall());
         }
     }
 
-    /** Takes note of an impairment from now on. */
+    /** Records that a fault is active for a time from now on. */
     void recordImpairment(long millis) {
-        impairments.add(new long[] {world.now(), world.now() + millis});
+        impairments.add(new long[] {environment.now(), environment.now() + millis});
     }
 
     // -----------------------------------------------------------------------
@@ -204,70 +227,78 @@
     }
 
     boolean isRunning(TaskName task) {
-        return present.entrySet().stream()
+        return activeRuns.entrySet().stream()
                 .anyMatch(e -> e.getKey().task().equals(task) && !e.getValue().isEmpty());
     }
 
     boolean hasSucceeded(TaskName task) {
-        return goods.stream().anyMatch(good -> good.task.equals(task));
+        return successfulEnds.stream().anyMatch(end -> end.task.equals(task));
     }
 
-    /** How many runs have begun. */
+    /** Counts the runs that have started. */
     int countStarts() {
         return starts.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Judges what can only be told at the end of the day, and lists all that was found. */
+    /** Checks what is only known at the end of the day, and returns all violations. */
     List<String> finish() {
-        for (Good good : goods) {
-            for (long[] start : starts.getOrDefault(good.task, List.of())) {
-                if (good.recorded && start[0] > good.at) {
+        for (SuccessfulEnd end : successfulEnds) {
+            for (long[] start : starts.getOrDefault(end.task, List.of())) {
+                if (end.persisted && start[0] > end.endedAt) {
                     addViolation(
-                            "AGAIN " + good.task + "#" + start[1] + " began after a recorded end");
+                            "AGAIN " + end.task + "#" + start[1] + " started after a recorded end");
                 }
             }
         }
         return violations;
     }
 
-    void addViolation(String what) {
-        world.trace("!!! " + what);
-        violations.add(String.format("%.3f %s", world.elapsed() / 1000.0, what));
+    void addViolation(String violation) {
+        environment.trace("!!! " + violation);
+        violations.add(String.format("%.3f %s", environment.elapsed() / 1000.0, violation));
     }
 
     // -----------------------------------------------------------------------
-    private void remove(SimulatedWorker life, RunId run) {
-        Map<SimulatedWorker, Present> places = present.get(run);
-        if (places != null) {
-            places.remove(life);
+    private void removeActiveRun(SimulatedWorker worker, RunId run) {
+        Map<SimulatedWorker, ActiveRun> runsByWorker = activeRuns.get(run);
+        if (runsByWorker != null) {
+            runsByWorker.remove(worker);
         }
     }
 
-    private boolean isCalm() {
-        long from = world.now() - CALM_MILLIS;
-        return impairments.stream().noneMatch(one -> one[1] >= from && one[0] <= world.now());
+    private boolean isUnimpaired() {
+        long from = environment.now() - UNIMPAIRED_MILLIS;
+        return impairments.stream()
+                .noneMatch(
+                        impairment -> impairment[1] >= from && impairment[0] <= environment.now());
     }
 
-    private void lookForCancelled() {
-        if (!isCalm()) {
+    private void checkCancelledJobs() {
+        if (!isUnimpaired()) {
             return;
         }
-        present.forEach((run, places) -> places.values().forEach(one -> look(run, one)));
+        activeRuns.forEach(
+                (run, runsByWorker) ->
+                        runsByWorker.values().forEach(active -> checkCancelledJob(run, active)));
     }
 
-    private void look(RunId run, Present one) {
-        Long ack = cancelled.get(run.task().job());
-        if (ack == null || one.blamed) {
+    private void checkCancelledJob(RunId run, ActiveRun active) {
+        Long acknowledgedAt = cancelled.get(run.task().job());
+        if (acknowledgedAt == null || active.reported) {
             return;
         }
-        long bound = ack + CANCEL_MILLIS + STOP_MILLIS;
-        if (one.late) {
-            bound = Math.max(bound, one.begunAt + CANCEL_MILLIS);
+        long deadline = acknowledgedAt + MAX_START_AFTER_CANCEL_MILLIS + MAX_STOP_MILLIS;
+        if (active.delayed) {
+            deadline = Math.max(deadline, active.startedAt + MAX_START_AFTER_CANCEL_MILLIS);
         }
-        if (world.now() > bound) {
-            one.blamed = true;
+        if (environment.now() > deadline) {
+            active.reported = true;
             addViolation(
-                    "UNASKED " + run + " at work " + (world.now() - ack) + " ms after the cancel");
+                    "UNASKED "
+                            + run
+                            + " still running "
+                            + (environment.now() - acknowledgedAt)
+                            + " ms after the cancel");
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/ObservedEvacuations.java
+++ b/src/test/java/org/standlink/simulation/ObservedEvacuations.java
@@ -17,20 +17,21 @@
 
 import org.standlink.job.EvacuatedHalls;
 
-/** What a process has read of the operator's requests: the newest that has come so far. */
+/** The newest evacuated halls that a process has read so far. */
 final class ObservedEvacuations {
 
-    private long newest;
-    private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
+    private long newestNumber;
+    private EvacuatedHalls evacuatedHalls = EvacuatedHalls.NONE;
 
+    /** Receives a version of the evacuated halls; versions older than the newest are ignored. */
     void receive(long number, EvacuatedHalls halls) {
-        if (number > newest) {
-            newest = number;
-            evacuated = halls;
+        if (number > newestNumber) {
+            newestNumber = number;
+            evacuatedHalls = halls;
         }
     }
 
     EvacuatedHalls getEvacuatedHalls() {
-        return evacuated;
+        return evacuatedHalls;
     }
 }
--- a/src/test/java/org/standlink/simulation/OneWayChannel.java
+++ b/src/test/java/org/standlink/simulation/OneWayChannel.java
@@ -16,81 +16,90 @@
 package org.standlink.simulation;
 
 /**
- * One direction of a channel: keeps the order, may hold messages up, and may go silent for good.
+ * One direction of a simulated channel. Messages are delivered in order; they can be delayed, or
+ * dropped from some moment on.
  */
 final class OneWayChannel {
 
-    private final SimulationEnvironment world;
-    private final NetworkPath direction;
+    private final SimulationEnvironment environment;
+    private final NetworkPath path;
 
-    /** How much later a channel that was held up may go on than new ones work. */
-    private static final long LONGEST_BACKOFF_MILLIS = 5000;
+    /**
+     * How long an old channel may stay blocked after new channels work again (retransmission
+     * backoff).
+     */
+    private static final long MAX_BACKOFF_MILLIS = 5000;
 
-    private boolean dead;
+    private boolean droppingMessages;
     private long lastDue;
     private long backoffMillis = -1;
 
-    /** The state of the way between two machines in one direction. */
+    /** The state of the network between two machines in one direction. */
     static final class NetworkPath {
 
-        private final SimulationEnvironment world;
-        private long heldUntil;
-        private long losesUntil;
+        private final SimulationEnvironment environment;
+        private long delayedUntil;
+        private long losingUntil;
 
-        NetworkPath(SimulationEnvironment world) {
-            this.world = world;
+        NetworkPath(SimulationEnvironment environment) {
+            this.environment = environment;
         }
 
-        /** Holds messages up for a while; those of one channel come in order, some time after. */
+        /**
+         * Delays messages for a time; those of one channel then arrive in order, after a backoff.
+         */
         void delay(long millis) {
-            heldUntil = Math.max(heldUntil, world.now() + millis);
+            delayedUntil = Math.max(delayedUntil, environment.now() + millis);
         }
 
-        /** Loses messages for a while; a channel that lost one says nothing more. */
+        /**
+         * Loses messages for a time; a channel that lost a message drops all later ones as well.
+         */
         void loseMessages(long millis) {
-            losesUntil = Math.max(losesUntil, world.now() + millis);
+            losingUntil = Math.max(losingUntil, environment.now() + millis);
         }
 
         void heal() {
-            heldUntil = 0;
-            losesUntil = 0;
+            delayedUntil = 0;
+            losingUntil = 0;
         }
 
         boolean isOpen() {
-            return heldUntil <= world.now() && losesUntil <= world.now();
+            return delayedUntil <= environment.now() && losingUntil <= environment.now();
         }
     }
 
-    OneWayChannel(SimulationEnvironment world, NetworkPath direction) {
-        this.world = world;
-        this.direction = direction;
+    OneWayChannel(SimulationEnvironment environment, NetworkPath path) {
+        this.environment = environment;
+        this.path = path;
     }
 
-    /** Lets nothing through any more. */
+    /** Drops all further messages. */
     void dropMessages() {
-        dead = true;
+        droppingMessages = true;
     }
 
-    /** Holds up what is sent from now on; other channels are not concerned. */
+    /** Delays the messages sent from now on; other channels are not affected. */
     void delay(long millis) {
-        lastDue = Math.max(lastDue, world.now() + millis);
+        lastDue = Math.max(lastDue, environment.now() + millis);
     }
 
-    void send(Runnable arrival) {
-        if (direction.losesUntil > world.now()) {
-            dead = true;
+    void send(Runnable delivery) {
+        if (path.losingUntil > environment.now()) {
+            droppingMessages = true;
         }
-        if (dead) {
+        if (droppingMessages) {
             return;
         }
-        long due = Math.max(direction.heldUntil, world.now()) + world.draw(1, 4);
-        if (direction.heldUntil > world.now()) {
+        long due = Math.max(path.delayedUntil, environment.now()) + environment.draw(1, 4);
+        if (path.delayedUntil > environment.now()) {
             if (backoffMillis < 0) {
-                backoffMillis = world.chance(50) ? world.draw(0, LONGEST_BACKOFF_MILLIS) : 0;
+                backoffMillis =
+                        environment.chance(50) ? environment.draw(0, MAX_BACKOFF_MILLIS) : 0;
             }
             due += backoffMillis;
         }
         lastDue = Math.max(lastDue, due);
-        world.schedule(lastDue - world.now(), arrival);
+        environment.schedule(lastDue - environment.now(), delivery);
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedCallers.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCallers.java
@@ -34,28 +34,28 @@
 import org.standlink.wire.MessageChannel;
 import org.standlink.wire.SubmitJob;
 
-/** Those who submit jobs and cancel them, and ask again until they are answered. */
+/** Callers that submit, cancel and query jobs, and retry each request until it is answered. */
 final class SimulatedCallers {
 
-    private static final long ANSWER_MILLIS = 1500;
-    private static final long AGAIN_MILLIS = 300;
+    private static final long ANSWER_TIMEOUT_MILLIS = 1500;
+    private static final long RETRY_DELAY_MILLIS = 300;
 
-    private final SimulationEnvironment world;
-    private final InvariantChecker referee;
+    private final SimulationEnvironment environment;
+    private final InvariantChecker checker;
     private final Supplier<SimulatedLeader> leader;
     private final Map<JobId, JobDefinition> accepted = new LinkedHashMap<>();
     private final List<JobDefinition> submitted = new ArrayList<>();
 
     SimulatedCallers(
-            SimulationEnvironment world,
-            InvariantChecker referee,
+            SimulationEnvironment environment,
+            InvariantChecker checker,
             Supplier<SimulatedLeader> leader) {
-        this.world = world;
-        this.referee = referee;
+        this.environment = environment;
+        this.checker = checker;
         this.leader = leader;
     }
 
-    /** Makes a job of one step; its tasks take so long, 0 for ever. */
+    /** Creates a job of one step whose tasks run for a time; 0 means until they are stopped. */
     static JobDefinition createJob(String id, int tasks, long millis) {
         StepDefinition step =
                 new StepDefinition(
@@ -75,125 +75,127 @@
                         0,
                         false,
                         0);
-        String work = millis == 0 ? SimulatedWorker.RUNS_UNTIL_STOPPED : Long.toString(millis);
+        String specification =
+                millis == 0 ? SimulatedWorker.RUNS_UNTIL_STOPPED : Long.toString(millis);
         return new JobDefinition(
-                JobId.parse(id), SimulatedCell.QUEUE, work, List.of(step), 0, 0, 0);
+                JobId.parse(id), SimulatedCell.QUEUE, specification, List.of(step), 0, 0, 0);
     }
 
-    /** Makes a job of one task that crashes each worker that starts it. */
-    static JobDefinition createCrashingJob(String id, boolean late) {
+    /** Creates a job of one task that crashes each worker that starts it. */
+    static JobDefinition createCrashingJob(String id, boolean lateCrash) {
         List<StepDefinition> steps = createJob(id, 1, 1000).steps();
-        String work = late ? SimulatedWorker.CRASHES_LATE : SimulatedWorker.CRASHES;
-        return new JobDefinition(JobId.parse(id), SimulatedCell.QUEUE, work, steps, 0, 0, 0);
+        String specification = lateCrash ? SimulatedWorker.CRASHES_LATE : SimulatedWorker.CRASHES;
+        return new JobDefinition(
+                JobId.parse(id), SimulatedCell.QUEUE, specification, steps, 0, 0, 0);
     }
 
     void submit(JobDefinition job) {
         submitted.add(job);
-        ask(
+        sendRequest(
                 new SubmitJob(job),
                 answer -> {
-                    boolean taken = answer.result() == JobAnswer.Result.DONE;
-                    if (taken) {
-                        world.trace("accepted " + job.id());
+                    boolean done = answer.result() == JobAnswer.Result.DONE;
+                    if (done) {
+                        environment.trace("accepted " + job.id());
                         accepted.put(job.id(), job);
                     }
-                    return taken;
+                    return done;
                 });
     }
 
     void cancel(JobId job) {
-        world.trace("cancel sent of " + job);
-        ask(
+        environment.trace("sent cancel of " + job);
+        sendRequest(
                 new CancelJob(job, SimulatedCell.QUEUE),
                 answer -> {
-                    boolean taken = answer.result() == JobAnswer.Result.DONE;
-                    if (taken) {
-                        referee.cancelAcknowledged(job);
+                    boolean done = answer.result() == JobAnswer.Result.DONE;
+                    if (done) {
+                        checker.cancelAcknowledged(job);
                     }
-                    return taken || isForgotten(job, answer);
+                    return done || isForgotten(job, answer);
                 });
     }
 
-    /** Lists the jobs that were accepted. */
+    /** Gets the accepted jobs in the order of their acceptance. */
     List<JobDefinition> getAcceptedJobs() {
         return List.copyOf(accepted.values());
     }
 
-    /** A job that was accepted and is not known any more was final long ago. */
+    /** Checks whether an accepted job is unknown because its final state is no longer retained. */
     private boolean isForgotten(JobId job, JobAnswer answer) {
         return accepted.containsKey(job) && answer.result() == JobAnswer.Result.NO_SUCH_JOB;
     }
 
-    /** Asks for the state of a job that was accepted; none is told of one that is forgotten. */
-    void queryState(JobId job, Consumer<Optional<JobState>> then) {
-        ask(
+    /** Queries the state of an accepted job; it is empty if the state is no longer retained. */
+    void queryState(JobId job, Consumer<Optional<JobState>> callback) {
+        sendRequest(
                 new JobQuery(job, SimulatedCell.QUEUE),
                 answer -> {
                     boolean known = answer.result() == JobAnswer.Result.DONE;
                     boolean forgotten = isForgotten(job, answer);
                     if (known || forgotten) {
-                        then.accept(Optional.ofNullable(answer.state()));
+                        callback.accept(Optional.ofNullable(answer.state()));
                     }
                     return known || forgotten;
                 });
     }
 
-    /** Names the tasks of a job of one step. */
+    /** Lists the tasks of a job of one step. */
     static List<TaskName> listTasks(JobDefinition job) {
-        List<TaskName> names = new ArrayList<>();
+        List<TaskName> tasks = new ArrayList<>();
         for (int i = 0; i < job.steps().get(0).count(); i++) {
-            names.add(new TaskName(job.id(), 0, 0, i));
+            tasks.add(new TaskName(job.id(), 0, 0, i));
         }
-        return names;
+        return tasks;
     }
 
     // -----------------------------------------------------------------------
-    /** Takes an answer, and tells whether it settles what was asked. */
-    private interface Taker {
+    /** Handles an answer and returns whether it completes the request. */
+    private interface AnswerHandler {
 
-        boolean take(JobAnswer answer);
+        boolean handle(JobAnswer answer);
     }
 
-    private void ask(Message message, Taker taker) {
-        Question question = new Question(message, taker);
-        SimulatedLeader asked = leader.get();
-        world.schedule(world.draw(1, 4), () -> asked.receive(question, 1, message));
-        world.schedule(ANSWER_MILLIS, question::again);
+    private void sendRequest(Message message, AnswerHandler handler) {
+        PendingRequest request = new PendingRequest(message, handler);
+        SimulatedLeader target = leader.get();
+        environment.schedule(environment.draw(1, 4), () -> target.receive(request, 1, message));
+        environment.schedule(ANSWER_TIMEOUT_MILLIS, request::retry);
     }
 
-    /** One question to one leader. */
-    private final class Question implements MessageChannel {
+    /** One attempt of a request, sent to one leader. */
+    private final class PendingRequest implements MessageChannel {
 
         private final Message message;
-        private final Taker taker;
-        private boolean over;
+        private final AnswerHandler handler;
+        private boolean finished;
 
-        Question(Message message, Taker taker) {
+        PendingRequest(Message message, AnswerHandler handler) {
             this.message = message;
-            this.taker = taker;
+            this.handler = handler;
         }
 
         @Override
-        public void send(Message unasked) {}
+        public void send(Message ignored) {}
 
         @Override
         public void answer(long call, Message answer) {
-            world.schedule(world.draw(1, 4), () -> take(answer));
+            environment.schedule(environment.draw(1, 4), () -> receive(answer));
         }
 
-        private void take(Message answer) {
-            if (!(answer instanceof JobAnswer told) || !taker.take(told)) {
-                world.schedule(AGAIN_MILLIS, this::again);
+        private void receive(Message answer) {
+            if (!(answer instanceof JobAnswer jobAnswer) || !handler.handle(jobAnswer)) {
+                environment.schedule(RETRY_DELAY_MILLIS, this::retry);
             } else {
-                over = true;
+                finished = true;
             }
         }
 
-        /** A late answer counts too, but nothing is asked twice for it. */
-        private void again() {
-            if (!over) {
-                over = true;
-                ask(message, taker);
+        /** Sends the request again, once. A late answer to this attempt is still handled. */
+        private void retry() {
+            if (!finished) {
+                finished = true;
+                sendRequest(message, handler);
             }
         }
     }
--- a/src/test/java/org/standlink/simulation/SimulatedCell.java
+++ b/src/test/java/org/standlink/simulation/SimulatedCell.java
@@ -26,15 +26,15 @@
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.wire.LeaderNotice;
 
-/** A whole cell: real leaders and agents, with simulated workers, channels and store. */
+/** A cell of real leaders and agents with simulated workers, channels, callers and store. */
 final class SimulatedCell {
 
     /** The queue of all jobs. */
     static final String QUEUE = "q";
 
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
     private static final int CORES = 3;
-    private static final long LONGEST_READ_MILLIS = 2100;
+    private static final long MAX_READ_DELAY_MILLIS = 2100;
     private static final Configuration CONFIGURATION =
             new Configuration(
                     1,
@@ -45,65 +45,70 @@
                                     "/q/",
                                     SimulatedMachine.SERVICE,
                                     0,
-                                    MOST_ATTEMPTS,
+                                    MAX_ATTEMPTS,
                                     250,
                                     1.5,
                                     false)),
                     List.of(SimulatedMachine.SERVICE),
                     1000);
 
-    private final SimulationEnvironment world;
-    private final InvariantChecker referee;
+    private final SimulationEnvironment environment;
+    private final InvariantChecker checker;
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final StoreFaults weather;
+    private final StoreFaults storeFaults;
     private final CellTimes times;
     private final List<SimulatedLeader> leaders = new ArrayList<>();
-    private final List<SimulatedLeader> gone = new ArrayList<>();
+    private final List<SimulatedLeader> endedLeaders = new ArrayList<>();
     private final List<SimulatedMachine> machines = new ArrayList<>();
     private final SimulatedCallers callers;
-    private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
-    private final ObservedEvacuations leadersOperator = new ObservedEvacuations();
-    private long changes;
-
-    /** A cell of so many machines that forgets no jobs. */
-    SimulatedCell(SimulationEnvironment world, int count, boolean guarded) {
-        this(world, count, guarded, Integer.MAX_VALUE);
-    }
-
-    /** A cell of so many machines, whose workers guard their room or do not. */
-    SimulatedCell(SimulationEnvironment world, int count, boolean guarded, long statusMillis) {
-        this.world = world;
-        this.times = new CellTimes(CellTimes.MAX_LEASE_MILLIS, statusMillis);
-        this.referee = new InvariantChecker(world);
-        this.weather = new StoreFaults(world);
-        this.callers = new SimulatedCallers(world, referee, this::newestLeader);
+    private EvacuatedHalls evacuatedHalls = EvacuatedHalls.NONE;
+    private final ObservedEvacuations leaderEvacuations = new ObservedEvacuations();
+    private long changeCount;
+
+    /** Creates a cell that retains the states of all jobs. */
+    SimulatedCell(SimulationEnvironment environment, int count, boolean enforcesCapacity) {
+        this(environment, count, enforcesCapacity, Integer.MAX_VALUE);
+    }
+
+    /** Creates a cell whose workers enforce their capacity or do not. */
+    SimulatedCell(
+            SimulationEnvironment environment,
+            int count,
+            boolean enforcesCapacity,
+            long statusRetentionMillis) {
+        this.environment = environment;
+        this.times = new CellTimes(CellTimes.MAX_LEASE_MILLIS, statusRetentionMillis);
+        this.checker = new InvariantChecker(environment);
+        this.storeFaults = new StoreFaults(environment);
+        this.callers = new SimulatedCallers(environment, checker, this::newestLeader);
         startLeader();
         for (int i = 0; i < count; i++) {
-            addMachine(guarded);
+            addMachine(enforcesCapacity);
         }
     }
 
     /** Adds a machine and starts its agent. */
-    SimulatedMachine addMachine(boolean guarded) {
+    SimulatedMachine addMachine(boolean enforcesCapacity) {
         String name = "m" + machines.size();
-        SimulatedMachine made =
-                new SimulatedMachine(world, referee, name, CORES, guarded, this::find);
-        machines.add(made);
-        made.startAgent(newestLeaderNotice());
-        return made;
+        SimulatedMachine machine =
+                new SimulatedMachine(
+                        environment, checker, name, CORES, enforcesCapacity, this::find);
+        machines.add(machine);
+        machine.startAgent(newestLeaderNotice());
+        return machine;
     }
 
     SimulationEnvironment getEnvironment() {
-        return world;
+        return environment;
     }
 
-    /** Gets what hinders calls of the store for all. */
+    /** Gets the faults of the store that affect all processes. */
     StoreFaults getStoreFaults() {
-        return weather;
+        return storeFaults;
     }
 
     InvariantChecker getInvariantChecker() {
-        return referee;
+        return checker;
     }
 
     SimulatedCallers getCallers() {
@@ -122,45 +127,46 @@
         return newestLeader().toNotice();
     }
 
-    /** Another process takes over; agents are to be told. */
+    /** Starts a leader of the next epoch; the agents have to be notified separately. */
     SimulatedLeader startLeader() {
-        SimulatedLeader made =
+        SimulatedLeader leader =
                 new SimulatedLeader(
-                        world,
+                        environment,
                         Epoch.of(leaders.size() + 1),
                         store,
-                        weather,
+                        storeFaults,
                         times,
                         CONFIGURATION,
-                        leadersOperator::getEvacuatedHalls,
+                        leaderEvacuations::getEvacuatedHalls,
                         this::newestLeaderNotice);
-        leaders.add(made);
-        return made;
+        leaders.add(leader);
+        return leader;
     }
 
-    /** Checks whether the newest leader's process has ended. */
+    /** Checks whether the process of the newest leader has ended. */
     boolean isLeaderless() {
-        return gone.contains(newestLeader());
+        return endedLeaders.contains(newestLeader());
     }
 
-    /** The operator evacuates a hall or takes it back; each process reads it a little later. */
+    /** Changes the evacuation of a hall; each process reads the change after a delay of its own. */
     void applyEvacuationChange(EvacuationChange change) {
-        world.trace(change.toString());
-        evacuated = evacuated.with(change);
-        referee.evacuationAcknowledged(change);
-        EvacuatedHalls told = evacuated;
-        long number = ++changes;
+        environment.trace(change.toString());
+        evacuatedHalls = evacuatedHalls.with(change);
+        checker.evacuationAcknowledged(change);
+        EvacuatedHalls halls = evacuatedHalls;
+        long number = ++changeCount;
         for (SimulatedMachine machine : machines) {
-            long after = world.draw(0, LONGEST_READ_MILLIS);
-            world.schedule(after, () -> machine.getObservedEvacuations().receive(number, told));
+            long delayMillis = environment.draw(0, MAX_READ_DELAY_MILLIS);
+            environment.schedule(
+                    delayMillis, () -> machine.getObservedEvacuations().receive(number, halls));
         }
-        long after = world.draw(0, LONGEST_READ_MILLIS);
-        world.schedule(after, () -> leadersOperator.receive(number, told));
+        long delayMillis = environment.draw(0, MAX_READ_DELAY_MILLIS);
+        environment.schedule(delayMillis, () -> leaderEvacuations.receive(number, halls));
     }
 
-    /** Ends all that hinders; agents and a leader run again. */
+    /** Ends all faults and restarts the processes that have ended. */
     void heal() {
-        weather.heal();
+        storeFaults.heal();
         leaders.forEach(leader -> leader.getStore().getOwnFaults().heal());
         if (isLeaderless()) {
             startLeader();
@@ -174,21 +180,21 @@
         }
     }
 
-    /** The newest leader's process ends. */
+    /** Ends the process of the newest leader. */
     void crashLeader() {
         crash(newestLeader());
     }
 
-    /** The process of a leader ends. */
+    /** Ends the process of a leader and closes its channels. */
     void crash(SimulatedLeader leader) {
         leader.crash();
-        gone.add(leader);
+        endedLeaders.add(leader);
         machines.forEach(machine -> machine.closeChannelTo(leader));
     }
 
     private SimulatedLeader find(String address) {
         return leaders.stream()
-                .filter(leader -> !gone.contains(leader))
+                .filter(leader -> !endedLeaders.contains(leader))
                 .filter(leader -> leader.toNotice().address().equals(address))
                 .findFirst()
                 .orElse(null);
--- a/src/test/java/org/standlink/simulation/SimulatedChannel.java
+++ b/src/test/java/org/standlink/simulation/SimulatedChannel.java
@@ -25,64 +25,65 @@
 import org.standlink.wire.MessageChannel;
 
 /**
- * One connection that an agent made to a leader; the leader holds it as a message channel.
+ * A simulated connection from an agent to a leader, which the leader uses as a message channel.
  *
- * <p>As the real one, it is closed by the agent's side if it goes silent while calls wait.
+ * <p>Like the real connection, it is closed by the agent's side if the leader does not answer a
+ * keep-alive while calls are pending.
  */
 final class SimulatedChannel implements MessageChannel {
 
-    private static final long QUIET_MILLIS = 250;
-    private static final long SIGN_MILLIS = 500;
+    private static final long IDLE_MILLIS = 250;
+    private static final long KEEP_ALIVE_TIMEOUT_MILLIS = 500;
 
-    /** For how long a message that was read before the end may still be handed over. */
-    private static final long HANDOVER_MILLIS = 300;
+    /** How long after the close a message that was already read may still be delivered. */
+    private static final long DELIVERY_AFTER_CLOSE_MILLIS = 300;
 
-    private final SimulationEnvironment world;
-    private final OneWayChannel up;
-    private final OneWayChannel down;
+    private final SimulationEnvironment environment;
+    private final OneWayChannel uplink;
+    private final OneWayChannel downlink;
     private final SimulatedLeader leader;
-    private final MessageReceiver agent;
-    private final Map<Long, CompletableFuture<Message>> calls = new LinkedHashMap<>();
+    private final MessageReceiver receiver;
+    private final Map<Long, CompletableFuture<Message>> pendingCalls = new LinkedHashMap<>();
     private long lastCall;
-    private long heardAt;
+    private long lastReceivedAt;
     private long closedAt = Long.MAX_VALUE;
-    private boolean goneForLeader;
-    private boolean watched;
+    private boolean closedForLeader;
+    private boolean monitored;
 
-    /** What takes the leader's messages. */
+    /** The agent's receiver of messages from the leader. */
     interface MessageReceiver {
 
-        /** Takes a message that is not an answer; the agent may have ended. */
+        /** Receives a message that is not an answer; the agent process may have ended already. */
         void receive(Message message);
     }
 
     SimulatedChannel(
-            SimulationEnvironment world,
-            OneWayChannel up,
-            OneWayChannel down,
+            SimulationEnvironment environment,
+            OneWayChannel uplink,
+            OneWayChannel downlink,
             SimulatedLeader leader,
-            MessageReceiver agent) {
-        this.world = world;
-        this.up = up;
-        this.down = down;
+            MessageReceiver receiver) {
+        this.environment = environment;
+        this.uplink = uplink;
+        this.downlink = downlink;
         this.leader = leader;
-        this.agent = agent;
-        this.heardAt = world.now();
+        this.receiver = receiver;
+        this.lastReceivedAt = environment.now();
     }
 
     // ------------------------------------------------------- the leader's side
     @Override
     public void send(Message message) {
-        if (goneForLeader) {
-            throw lost();
+        if (closedForLeader) {
+            throw connectionLost();
         }
-        down.send(() -> arrive(message));
+        downlink.send(() -> deliver(message));
     }
 
     @Override
     public void answer(long call, Message message) {
-        if (!goneForLeader) {
-            down.send(() -> answered(call, message));
+        if (!closedForLeader) {
+            downlink.send(() -> completeCall(call, message));
         }
     }
 
@@ -98,91 +99,92 @@
     CompletableFuture<Message> call(Message message, long timeoutMillis) {
         long number = ++lastCall;
         CompletableFuture<Message> answer = new CompletableFuture<>();
-        calls.put(number, answer);
-        world.schedule(
+        pendingCalls.put(number, answer);
+        environment.schedule(
                 timeoutMillis,
                 () -> {
-                    if (calls.remove(number) != null) {
+                    if (pendingCalls.remove(number) != null) {
                         answer.completeExceptionally(new TimeoutException());
                     }
                 });
-        up.send(() -> leader.receive(this, number, message));
-        if (!watched) {
-            watched = true;
-            world.schedule(QUIET_MILLIS, this::look);
+        uplink.send(() -> leader.receive(this, number, message));
+        if (!monitored) {
+            monitored = true;
+            environment.schedule(IDLE_MILLIS, this::checkIdle);
         }
         return answer;
     }
 
-    /** Closes the agent's side; the leader hears of it as of any message. */
+    /** Closes the agent's side; the leader learns of it with the delay of a message. */
     void close() {
         if (isClosed()) {
             return;
         }
-        closedAt = world.now();
-        up.send(() -> goneForLeader = true);
-        Map<Long, CompletableFuture<Message>> waiting = new LinkedHashMap<>(calls);
-        calls.clear();
-        waiting.values().forEach(answer -> answer.completeExceptionally(lost()));
+        closedAt = environment.now();
+        uplink.send(() -> closedForLeader = true);
+        Map<Long, CompletableFuture<Message>> failedCalls = new LinkedHashMap<>(pendingCalls);
+        pendingCalls.clear();
+        failedCalls.values().forEach(answer -> answer.completeExceptionally(connectionLost()));
     }
 
-    /** Holds up what the agent sends over this channel from now on. */
+    /** Delays the messages that the agent sends over this channel from now on. */
     void delay(long millis) {
-        up.delay(millis);
+        uplink.delay(millis);
     }
 
-    /** Lets nothing through any more, without a word to either side. */
-    void dropMessages(boolean upwards, boolean downwards) {
-        if (upwards) {
-            up.dropMessages();
+    /** Drops all further messages of the given directions without notifying either side. */
+    void dropMessages(boolean fromAgent, boolean fromLeader) {
+        if (fromAgent) {
+            uplink.dropMessages();
         }
-        if (downwards) {
-            down.dropMessages();
+        if (fromLeader) {
+            downlink.dropMessages();
         }
     }
 
     // -----------------------------------------------------------------------
-    private void arrive(Message message) {
-        heardAt = world.now();
-        if (!isClosed() || world.now() - closedAt <= HANDOVER_MILLIS) {
-            agent.receive(message);
+    private void deliver(Message message) {
+        lastReceivedAt = environment.now();
+        if (!isClosed() || environment.now() - closedAt <= DELIVERY_AFTER_CLOSE_MILLIS) {
+            receiver.receive(message);
         }
     }
 
-    private void answered(long call, Message message) {
-        heardAt = world.now();
-        CompletableFuture<Message> answer = calls.remove(call);
+    private void completeCall(long call, Message message) {
+        lastReceivedAt = environment.now();
+        CompletableFuture<Message> answer = pendingCalls.remove(call);
         if (answer != null) {
             answer.complete(message);
         }
     }
 
-    private void look() {
-        if (isClosed() || calls.isEmpty()) {
-            watched = false;
+    private void checkIdle() {
+        if (isClosed() || pendingCalls.isEmpty()) {
+            monitored = false;
             return;
         }
-        if (world.now() - heardAt < QUIET_MILLIS) {
-            world.schedule(QUIET_MILLIS, this::look);
+        if (environment.now() - lastReceivedAt < IDLE_MILLIS) {
+            environment.schedule(IDLE_MILLIS, this::checkIdle);
             return;
         }
-        up.send(
+        uplink.send(
                 () -> {
                     if (leader.isResponsive()) {
-                        down.send(() -> heardAt = world.now());
+                        downlink.send(() -> lastReceivedAt = environment.now());
                     }
                 });
-        world.schedule(SIGN_MILLIS, this::judge);
+        environment.schedule(KEEP_ALIVE_TIMEOUT_MILLIS, this::checkKeepAlive);
     }
 
-    private void judge() {
-        if (world.now() - heardAt >= SIGN_MILLIS) {
+    private void checkKeepAlive() {
+        if (environment.now() - lastReceivedAt >= KEEP_ALIVE_TIMEOUT_MILLIS) {
             close();
         }
-        look();
+        checkIdle();
     }
 
-    private static StandlinkException lost() {
-        return new StandlinkException(ErrorCode.CONNECTION_LOST, "simulated", "see the test");
+    private static StandlinkException connectionLost() {
+        return new StandlinkException(
+                ErrorCode.CONNECTION_LOST, "simulated connection loss", "see the test");
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedDay.java
+++ b/src/test/java/org/standlink/simulation/SimulatedDay.java
@@ -28,69 +28,73 @@
 import org.standlink.job.JobState;
 import org.standlink.job.TaskName;
 
-/** One day of a cell: jobs come and are cancelled, faults happen, and then all is calm. */
+/**
+ * One simulated day of a cell: jobs are submitted and cancelled while faults are injected; then all
+ * faults are healed, and the cell gets time to recover.
+ */
 final class SimulatedDay {
 
     private static final int MACHINES = 3;
-    private static final long BEGIN_MILLIS = 1000;
+    private static final long START_MILLIS = 1000;
     private static final long FAULTS_MILLIS = 36_000;
-    private static final long CALM_MILLIS = 20_000;
+    private static final long RECOVERY_MILLIS = 20_000;
 
-    /** How long a task that lasts may take to run again after an end. */
-    private static final long AGAIN_MILLIS = 6000;
+    /** Maximum time until a long-running task runs again after one of its runs has ended. */
+    private static final long MAX_RESTART_MILLIS = 6000;
 
-    /** How long final jobs are known: on some days so short that they are forgotten. */
-    private static final long SHORT_STATUS_MILLIS = 15_000;
+    /** Short enough that states of final jobs are removed during the day. */
+    private static final long SHORT_STATUS_RETENTION_MILLIS = 15_000;
 
-    private static final long LONG_STATUS_MILLIS = 1_000_000;
+    private static final long LONG_STATUS_RETENTION_MILLIS = 1_000_000;
 
-    private static final int MOST_LASTING = 5;
-    private static final int MOST_SUSPENSIONS = 4;
-    private static final int MOST_THROWS = 40;
-    private static final int MOST_EVACUATIONS = 4;
-    private static final long LONGEST_EVACUATION_MILLIS = 12_000;
-    private static final int MOST_READINGS = 120;
-    private static final int NEXT_LEADER_MILLIS = 700;
-    private static final long LONGEST_SUSPENSION_MILLIS = 12_000;
+    private static final int MAX_LONG_RUNNING_TASKS = 5;
+    private static final int MAX_SUSPENSIONS = 4;
+    private static final int MAX_THROWS = 40;
+    private static final int MAX_EVACUATIONS = 4;
+    private static final long MAX_EVACUATION_MILLIS = 12_000;
+    private static final int MAX_CLOCK_READS = 120;
+    private static final int MAX_TAKEOVER_MILLIS = 700;
+    private static final long MAX_SUSPENSION_MILLIS = 12_000;
 
-    private final SimulationEnvironment world;
+    private final SimulationEnvironment environment;
     private final SimulatedCell cell;
     private final List<SimulatedFault> faults;
-    private final Random suspensions;
-    private Random thrown;
-    private Random evacuations;
+    private final Random suspensionRandom;
+    private Random throwRandom;
+    private Random evacuationRandom;
     private final Map<JobId, Optional<JobState>> states = new HashMap<>();
 
     SimulatedDay(long seed) {
-        this(seed, FaultPlan.draw(seed, MACHINES, BEGIN_MILLIS + 1000, FAULTS_MILLIS));
+        this(seed, FaultPlan.draw(seed, MACHINES, START_MILLIS + 1000, FAULTS_MILLIS));
     }
 
     SimulatedDay(long seed, List<SimulatedFault> faults) {
         this(seed, faults, null);
     }
 
-    /** A day on which machines are suspended besides, as is drawn, if anything draws it. */
-    SimulatedDay(long seed, List<SimulatedFault> faults, Random suspensions) {
-        this.world = new SimulationEnvironment(seed);
+    /** Creates a day with the given faults, and with suspended machines if a random is given. */
+    SimulatedDay(long seed, List<SimulatedFault> faults, Random suspensionRandom) {
+        this.environment = new SimulationEnvironment(seed);
         this.faults = faults;
-        this.suspensions = suspensions;
-        long statusMillis = seed % 4 == 0 ? SHORT_STATUS_MILLIS : LONG_STATUS_MILLIS;
-        this.cell = new SimulatedCell(world, MACHINES, seed % 3 == 0, statusMillis);
+        this.suspensionRandom = suspensionRandom;
+        long statusRetentionMillis =
+                seed % 4 == 0 ? SHORT_STATUS_RETENTION_MILLIS : LONG_STATUS_RETENTION_MILLIS;
+        this.cell = new SimulatedCell(environment, MACHINES, seed % 3 == 0, statusRetentionMillis);
     }
 
-    /** Lets leaders throw besides, as is drawn. */
-    SimulatedDay withThrowingLeaders(Random drawn) {
-        thrown = drawn;
+    /** Adds leaders that throw at drawn times. */
+    SimulatedDay withThrowingLeaders(Random random) {
+        throwRandom = random;
         return this;
     }
 
-    /** Lets the operator evacuate halls besides, as is drawn; each machine is in one of its own. */
-    SimulatedDay withEvacuations(Random drawn) {
-        evacuations = drawn;
+    /** Adds evacuations of halls at drawn times; each machine is in a hall of its own. */
+    SimulatedDay withEvacuations(Random random) {
+        evacuationRandom = random;
         return this;
     }
 
-    /** Lets each worker that starts again have the id that it had. */
+    /** Makes each worker keep its id when it restarts. */
     SimulatedDay withKeptWorkerIds() {
         cell.getMachines().forEach(SimulatedMachine::keepWorkerId);
         return this;
@@ -101,85 +105,87 @@
     }
 
     List<String> getTrace() {
-        return world.getTrace();
+        return environment.getTrace();
     }
 
     int countStarts() {
         return cell.getInvariantChecker().countStarts();
     }
 
-    /** Plays the day, and lists what was found. */
+    /** Runs the day and returns the violations. */
     List<String> run() {
-        world.runUntil(BEGIN_MILLIS);
+        environment.runUntil(START_MILLIS);
         new FaultInjector(cell).schedule(faults);
-        if (suspensions != null) {
+        if (suspensionRandom != null) {
             planSuspensions();
         }
-        if (thrown != null) {
+        if (throwRandom != null) {
             planThrows();
         }
-        if (evacuations != null) {
+        if (evacuationRandom != null) {
             planEvacuations();
         }
         planJobs();
-        world.runUntil(FAULTS_MILLIS);
-        world.trace("calm");
+        environment.runUntil(FAULTS_MILLIS);
+        environment.trace("all faults healed");
         cell.heal();
-        world.runUntil(FAULTS_MILLIS + CALM_MILLIS);
+        environment.runUntil(FAULTS_MILLIS + RECOVERY_MILLIS);
         List<JobDefinition> accepted = cell.getCallers().getAcceptedJobs();
         accepted.forEach(
                 job -> cell.getCallers().queryState(job.id(), s -> states.put(job.id(), s)));
-        List<TaskName> idle = idleTasks();
-        List<JobDefinition> unfinished = accepted.stream().filter(job -> !isDone(job)).toList();
-        world.runUntil(FAULTS_MILLIS + CALM_MILLIS + AGAIN_MILLIS);
-        idle.retainAll(idleTasks());
+        List<TaskName> idle = listIdleTasks();
+        List<JobDefinition> unfinished =
+                accepted.stream().filter(job -> !isCompleted(job)).toList();
+        environment.runUntil(FAULTS_MILLIS + RECOVERY_MILLIS + MAX_RESTART_MILLIS);
+        idle.retainAll(listIdleTasks());
         for (JobDefinition job : accepted) {
-            // A job that waited for room may end meanwhile, and its tasks are idle before and
-            // after.
-            boolean ended = unfinished.contains(job) && isDone(job);
-            judge(job, ended ? List.of() : idle);
+            // A job that waited for capacity may complete between the two checks; its tasks are
+            // idle
+            // at both.
+            boolean endedMeanwhile = unfinished.contains(job) && isCompleted(job);
+            checkJob(job, endedMeanwhile ? List.of() : idle);
         }
         return cell.getInvariantChecker().finish();
     }
 
     // -----------------------------------------------------------------------
     private void planSuspensions() {
-        int count = 1 + suspensions.nextInt(MOST_SUSPENSIONS);
+        int count = 1 + suspensionRandom.nextInt(MAX_SUSPENSIONS);
         for (int i = 0; i < count; i++) {
-            long at = suspensions.nextInt((int) (FAULTS_MILLIS - LONGEST_SUSPENSION_MILLIS));
-            long millis = 100 + suspensions.nextInt((int) LONGEST_SUSPENSION_MILLIS - 100);
-            int which = suspensions.nextInt(MACHINES + 1);
-            world.schedule(at, () -> suspend(which, millis));
+            long at = suspensionRandom.nextInt((int) (FAULTS_MILLIS - MAX_SUSPENSION_MILLIS));
+            long millis = 100 + suspensionRandom.nextInt((int) MAX_SUSPENSION_MILLIS - 100);
+            int index = suspensionRandom.nextInt(MACHINES + 1);
+            environment.schedule(at, () -> suspend(index, millis));
         }
     }
 
     private void planThrows() {
-        int count = 1 + thrown.nextInt(MOST_THROWS);
+        int count = 1 + throwRandom.nextInt(MAX_THROWS);
         for (int i = 0; i < count; i++) {
-            long at = thrown.nextInt((int) FAULTS_MILLIS - 2 * NEXT_LEADER_MILLIS);
-            long reading = 1 + thrown.nextInt(MOST_READINGS);
+            long at = throwRandom.nextInt((int) FAULTS_MILLIS - 2 * MAX_TAKEOVER_MILLIS);
+            long clockReads = 1 + throwRandom.nextInt(MAX_CLOCK_READS);
             Throwable cause =
-                    thrown.nextBoolean()
+                    throwRandom.nextBoolean()
                             ? new IllegalStateException("on purpose")
                             : new NoClassDefFoundError("on purpose");
-            long after = 100 + thrown.nextInt(NEXT_LEADER_MILLIS);
-            world.schedule(at, () -> letLeaderThrow(reading, cause, after));
+            long delayMillis = 100 + throwRandom.nextInt(MAX_TAKEOVER_MILLIS);
+            environment.schedule(at, () -> makeLeaderThrow(clockReads, cause, delayMillis));
         }
     }
 
     private void planEvacuations() {
-        int count = 1 + evacuations.nextInt(MOST_EVACUATIONS);
+        int count = 1 + evacuationRandom.nextInt(MAX_EVACUATIONS);
         for (int i = 0; i < count; i++) {
-            boolean all = evacuations.nextInt(4) == 0;
-            int which = evacuations.nextInt(MACHINES);
-            long millis = 200 + evacuations.nextInt((int) LONGEST_EVACUATION_MILLIS);
-            long at = evacuations.nextInt((int) (FAULTS_MILLIS - LONGEST_EVACUATION_MILLIS - 200));
+            boolean all = evacuationRandom.nextInt(4) == 0;
+            int index = evacuationRandom.nextInt(MACHINES);
+            long millis = 200 + evacuationRandom.nextInt((int) MAX_EVACUATION_MILLIS);
+            long at = evacuationRandom.nextInt((int) (FAULTS_MILLIS - MAX_EVACUATION_MILLIS - 200));
             for (SimulatedMachine machine : cell.getMachines()) {
-                if (all || machine == cell.getMachines().get(which)) {
+                if (all || machine == cell.getMachines().get(index)) {
                     HallId hall = machine.getHall();
-                    world.schedule(
+                    environment.schedule(
                             at, () -> cell.applyEvacuationChange(new EvacuationChange(hall, true)));
-                    world.schedule(
+                    environment.schedule(
                             at + millis,
                             () -> cell.applyEvacuationChange(new EvacuationChange(hall, false)));
                 }
@@ -187,12 +193,12 @@
         }
     }
 
-    /** The leader throws, and another one begins after a while. */
-    private void letLeaderThrow(long reading, Throwable cause, long after) {
-        cell.getInvariantChecker().recordImpairment(NEXT_LEADER_MILLIS * 2);
-        cell.newestLeader().throwOnClockRead(reading, cause);
-        world.schedule(
-                after,
+    /** Makes the leader throw, and starts another one after a delay. */
+    private void makeLeaderThrow(long clockReads, Throwable cause, long delayMillis) {
+        cell.getInvariantChecker().recordImpairment(MAX_TAKEOVER_MILLIS * 2);
+        cell.newestLeader().throwOnClockRead(clockReads, cause);
+        environment.schedule(
+                delayMillis,
                 () -> {
                     cell.startLeader();
                     cell.getMachines()
@@ -200,46 +206,49 @@
                 });
     }
 
-    /** Suspends the machine of an agent, or that of the leader. */
-    private void suspend(int which, long millis) {
-        world.trace("SUSPENDED " + which + " for " + millis);
+    /** Suspends the machine of an agent or, for the index after the last one, of the leader. */
+    private void suspend(int index, long millis) {
+        environment.trace("SUSPENDED " + index + " for " + millis);
         cell.getInvariantChecker().recordImpairment(millis);
-        if (which == MACHINES) {
+        if (index == MACHINES) {
             cell.newestLeader().suspend(millis);
-        } else if (cell.getMachines().get(which).hasAgent()) {
-            cell.getMachines().get(which).suspendAgent(millis);
+        } else if (cell.getMachines().get(index).hasAgent()) {
+            cell.getMachines().get(index).suspendAgent(millis);
         }
     }
 
     private void planJobs() {
-        int lasting = 0;
-        long count = world.draw(8, 16);
+        int longRunningTasks = 0;
+        long count = environment.draw(8, 16);
         for (int i = 0; i < count; i++) {
-            int tasks = (int) world.draw(1, 4);
-            boolean lasts = world.chance(30) && lasting + tasks <= MOST_LASTING;
-            lasting += lasts ? tasks : 0;
+            int tasks = (int) environment.draw(1, 4);
+            boolean longRunning =
+                    environment.chance(30) && longRunningTasks + tasks <= MAX_LONG_RUNNING_TASKS;
+            longRunningTasks += longRunning ? tasks : 0;
             JobDefinition job =
                     SimulatedCallers.createJob(
-                            String.format("%016x", i + 1), tasks, lasts ? 0 : drawWork());
-            long at = world.draw(0, FAULTS_MILLIS - BEGIN_MILLIS - 1);
-            world.schedule(at, () -> cell.getCallers().submit(job));
-            if (world.chance(lasts ? 60 : 40)) {
-                long after = world.draw(10, lasts ? 15_000 : 5000);
-                world.schedule(at + after, () -> cell.getCallers().cancel(job.id()));
+                            String.format("%016x", i + 1),
+                            tasks,
+                            longRunning ? 0 : drawWorkMillis());
+            long at = environment.draw(0, FAULTS_MILLIS - START_MILLIS - 1);
+            environment.schedule(at, () -> cell.getCallers().submit(job));
+            if (environment.chance(longRunning ? 60 : 40)) {
+                long delayMillis = environment.draw(10, longRunning ? 15_000 : 5000);
+                environment.schedule(at + delayMillis, () -> cell.getCallers().cancel(job.id()));
             }
         }
     }
 
-    private long drawWork() {
-        return world.chance(70) ? world.draw(200, 2500) : world.draw(2500, 9000);
+    private long drawWorkMillis() {
+        return environment.chance(70) ? environment.draw(200, 2500) : environment.draw(2500, 9000);
     }
 
-    private boolean isDone(JobDefinition job) {
+    private boolean isCompleted(JobDefinition job) {
         return SimulatedCallers.listTasks(job).stream()
                 .allMatch(cell.getInvariantChecker()::hasSucceeded);
     }
 
-    private List<TaskName> idleTasks() {
+    private List<TaskName> listIdleTasks() {
         List<TaskName> idle = new ArrayList<>();
         for (JobDefinition job : cell.getCallers().getAcceptedJobs()) {
             SimulatedCallers.listTasks(job).stream()
@@ -249,33 +258,33 @@
         return idle;
     }
 
-    private void judge(JobDefinition job, List<TaskName> idle) {
-        Optional<JobState> told = states.get(job.id());
+    private void checkJob(JobDefinition job, List<TaskName> idle) {
+        Optional<JobState> reported = states.get(job.id());
         List<TaskName> tasks = SimulatedCallers.listTasks(job);
         boolean cancelled = cell.getInvariantChecker().isCancelled(job.id());
-        boolean done = isDone(job);
-        boolean atWork = tasks.stream().anyMatch(cell.getInvariantChecker()::isRunning);
-        if (told == null) {
+        boolean completed = isCompleted(job);
+        boolean running = tasks.stream().anyMatch(cell.getInvariantChecker()::isRunning);
+        if (reported == null) {
             cell.getInvariantChecker()
-                    .addViolation("STUCK the state of " + job.id() + " is not told");
+                    .addViolation("STUCK the state of " + job.id() + " is not reported");
             return;
         }
-        JobState state = told.orElse(null);
+        JobState state = reported.orElse(null);
         boolean open = state != null && !state.isFinal();
         if (open && cancelled) {
             cell.getInvariantChecker()
                     .addViolation("STUCK " + job.id() + " is " + state + " though cancelled");
         } else if (open && isIdle(job, tasks, idle)) {
             cell.getInvariantChecker().addViolation("STUCK " + job.id() + " is " + state);
-        } else if (state == JobState.COMPLETED && !done) {
+        } else if (state == JobState.COMPLETED && !completed) {
             cell.getInvariantChecker().addViolation("UNDONE " + job.id() + " is " + state);
-        } else if (!open && atWork) {
+        } else if (!open && running) {
             cell.getInvariantChecker()
-                    .addViolation("STRAY " + job.id() + " is " + state + " and at work");
+                    .addViolation("STRAY " + job.id() + " is " + state + " and still running");
         }
     }
 
-    /** A job that lasts is to have all tasks at work, another one any. */
+    /** Checks whether any task of a long-running job, or every task of another job, is idle. */
     private static boolean isIdle(JobDefinition job, List<TaskName> tasks, List<TaskName> idle) {
         return job.steps().get(0).longRunning()
                 ? tasks.stream().anyMatch(idle::contains)
--- a/src/test/java/org/standlink/simulation/SimulatedFault.java
+++ b/src/test/java/org/standlink/simulation/SimulatedFault.java
@@ -16,58 +16,58 @@
 package org.standlink.simulation;
 
 /**
- * One fault of a simulated day.
+ * A fault of a simulated day.
  *
- * @param startMillis when it begins, since the start of the day
- * @param kind what it is
- * @param machine the number of the machine, if it is about one
- * @param durationMillis how long it lasts
- * @param variant picks among its forms
+ * @param startMillis the start in milliseconds since the start of the day
+ * @param kind the kind
+ * @param machine the index of the machine, for faults of a machine
+ * @param durationMillis the duration in milliseconds
+ * @param variant a drawn number that selects among the variants of the kind
  */
 record SimulatedFault(long startMillis, Kind kind, int machine, long durationMillis, int variant) {
 
-    /** What may happen. */
+    /** The kinds of faults. Kinds are drawn by ordinal, so the order of the constants is fixed. */
     enum Kind {
-        /** The store answers nobody. */
+        /** The store answers no process. */
         STORE_UNAVAILABLE,
-        /** The store refuses all. */
+        /** The store refuses all calls. */
         STORE_REFUSES,
-        /** The store is slow. */
+        /** The store answers slowly. */
         STORE_SLOW,
-        /** The store's answers are lost. */
+        /** Calls of the store are executed, and many answers are lost. */
         STORE_ANSWERS_LOST,
-        /** The newest leader alone has no store. */
+        /** The store does not answer the newest leader. */
         LEADER_STORE_UNAVAILABLE,
-        /** Calls of an agent to its worker stay without an answer. */
+        /** Some calls of an agent to its worker stay unanswered or are refused. */
         WORKER_UNRELIABLE,
-        /** A worker cannot be reached. */
+        /** No call of an agent to its worker is answered. */
         WORKER_UNRESPONSIVE,
-        /** A worker crashes, and another life begins. */
+        /** A worker crashes, and another incarnation starts. */
         WORKER_CRASH,
-        /** A worker says that it leaves, and another life begins later. */
+        /** A worker drains and ends, and another incarnation starts later. */
         WORKER_DRAINS,
-        /** Messages between an agent and the leader are held up. */
+        /** Messages between an agent and the leader are delayed. */
         LINK_DELAYED,
         /** Messages between an agent and the leader are lost. */
         LINK_LOST,
-        /** The open channel goes silent, while new ones work. */
+        /** Messages of the open channel to the leader are dropped, while new channels work. */
         CHANNEL_MESSAGES_DROPPED,
-        /** An agent process is started anew. */
+        /** An agent process ends and is restarted. */
         AGENT_RESTART,
-        /** An agent's process stands still. */
+        /** The event loop of an agent is frozen. */
         AGENT_FROZEN,
-        /** The leader stands still, and another one begins meanwhile. */
+        /** The leader is frozen, and another one starts meanwhile. */
         LEADER_OVERTAKEN,
-        /** The leader is cut off from the store for long, and another one begins. */
+        /** The leader is cut off from the store for a long time, and another one starts. */
         LEADER_PARTITIONED,
-        /** Another leader begins; the one before believes that it still leads. */
+        /** Another leader starts, while the previous one still considers itself the leader. */
         LEADER_REPLACED,
-        /** The leader's process ends, and another leader begins. */
+        /** The leader process ends, and another leader starts. */
         LEADER_CRASH,
-        /** The leader's loop, or all of its process, stands still. */
+        /** The event loop or the whole process of the leader is frozen. */
         LEADER_FROZEN;
 
-        /** Lists those that are about one machine. */
+        /** Lists the kinds drawn for clusters of faults at one machine. */
         static Kind[] listMachineKinds() {
             return new Kind[] {
                 WORKER_UNRELIABLE,
--- a/src/test/java/org/standlink/simulation/SimulatedLeader.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeader.java
@@ -26,44 +26,44 @@
 import org.standlink.wire.Message;
 import org.standlink.wire.MessageChannel;
 
-/** A process that leads for one epoch. */
+/** A leader process of one epoch. */
 final class SimulatedLeader {
 
-    private final SimulationEnvironment world;
+    private final SimulationEnvironment environment;
     private final Epoch epoch;
     private final SimulationEnvironment.ProcessLoop process;
     private final SimulatedStoreClient store;
     private final JobCellLeader leader;
-    private final Supplier<LeaderNotice> newest;
+    private final Supplier<LeaderNotice> newestNotice;
     private boolean deposed;
-    private boolean wholeFrozen;
+    private boolean wholeProcessFrozen;
 
     SimulatedLeader(
-            SimulationEnvironment world,
+            SimulationEnvironment environment,
             Epoch epoch,
-            FakeKeyedStore kept,
-            StoreFaults weather,
+            FakeKeyedStore sharedStore,
+            StoreFaults sharedFaults,
             CellTimes times,
             Configuration configuration,
-            Supplier<EvacuatedHalls> evacuated,
-            Supplier<LeaderNotice> newest) {
-        this.world = world;
+            Supplier<EvacuatedHalls> evacuatedHalls,
+            Supplier<LeaderNotice> newestNotice) {
+        this.environment = environment;
         this.epoch = epoch;
-        this.newest = newest;
-        this.process = world.newProcess();
-        this.store = new SimulatedStoreClient(world, kept, weather);
+        this.newestNotice = newestNotice;
+        this.process = environment.newProcess();
+        this.store = new SimulatedStoreClient(environment, sharedStore, sharedFaults);
         this.leader =
                 new JobCellLeader(
                         epoch,
                         store,
                         times,
                         process.getClock(),
-                        world.getClock()::nowMillis,
+                        environment.getClock()::nowMillis,
                         () -> configuration,
-                        evacuated,
+                        evacuatedHalls,
                         process.getLoop(),
                         this::depose);
-        world.trace("leader of epoch " + epoch + " begins");
+        environment.trace("leader of epoch " + epoch + " started");
         leader.start();
     }
 
@@ -79,44 +79,45 @@
         return new LeaderNotice(epoch, "leader-" + epoch);
     }
 
-    /** Takes a message; a process that does not lead any more says who does. */
+    /** Handles a message; a deposed leader answers with the address of the newest one. */
     void receive(MessageChannel channel, long call, Message message) {
         if (deposed) {
-            channel.answer(call, newest.get());
+            channel.answer(call, newestNotice.get());
         } else {
             leader.handle(channel, call, message);
         }
     }
 
-    /** Freezes the leader's loop, or all of its process. */
-    void freeze(long millis, boolean whole) {
+    /** Freezes the leader's event loop or, so that keep-alives stay unanswered too, its process. */
+    void freeze(long millis, boolean wholeProcess) {
         process.freeze(millis);
-        wholeFrozen = whole;
+        wholeProcessFrozen = wholeProcess;
     }
 
-    /** Lets the leader throw wherever it reads its clock for the n-th time from now on. */
-    void throwOnClockRead(long reading, Throwable thrown) {
-        process.throwOnClockRead(reading, thrown);
+    /** Makes the leader throw once, at the n-th read of its clock from now on. */
+    void throwOnClockRead(long clockReads, Throwable throwable) {
+        process.throwOnClockRead(clockReads, throwable);
     }
 
-    /** Suspends the machine. */
+    /** Suspends the machine; the clock of the leader does not advance meanwhile. */
     void suspend(long millis) {
         process.suspend(millis);
-        wholeFrozen = true;
+        wholeProcessFrozen = true;
     }
 
+    /** Checks whether the process answers keep-alives. */
     boolean isResponsive() {
-        return !(wholeFrozen && process.isFrozen());
+        return !(wholeProcessFrozen && process.isFrozen());
     }
 
-    /** Ends the process at once. */
+    /** Ends the process without notice. */
     void crash() {
-        world.trace("leader of epoch " + epoch + " crashes");
+        environment.trace("leader of epoch " + epoch + " crashed");
         process.end();
     }
 
     private void depose() {
-        world.trace("leader of epoch " + epoch + " is deposed");
+        environment.trace("leader of epoch " + epoch + " deposed");
         deposed = true;
         leader.close();
     }
--- a/src/test/java/org/standlink/simulation/SimulatedLeaderClient.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeaderClient.java
@@ -23,16 +23,16 @@
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.Message;
 
-/** The leader as one agent process knows it, over channels in memory. */
+/** The leader client of one agent process, over simulated channels. */
 final class SimulatedLeaderClient implements LeaderClient {
 
-    private static final long CONNECT_MILLIS = 1000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 1000;
 
-    private final SimulationEnvironment world;
-    private final OneWayChannel.NetworkPath up;
-    private final OneWayChannel.NetworkPath down;
+    private final SimulationEnvironment environment;
+    private final OneWayChannel.NetworkPath uplink;
+    private final OneWayChannel.NetworkPath downlink;
     private final LeaderDirectory directory;
-    private final SimulatedChannel.MessageReceiver agent;
+    private final SimulatedChannel.MessageReceiver receiver;
     private LeaderNotice leader = new LeaderNotice(Epoch.NONE, "");
     private SimulatedChannel channel;
     private boolean connecting;
@@ -40,21 +40,21 @@
     /** Finds leaders by their addresses. */
     interface LeaderDirectory {
 
-        /** Finds the leader at an address, null if no process listens there. */
+        /** Finds the leader at an address, or returns null if no process listens there. */
         SimulatedLeader find(String address);
     }
 
     SimulatedLeaderClient(
-            SimulationEnvironment world,
-            OneWayChannel.NetworkPath up,
-            OneWayChannel.NetworkPath down,
+            SimulationEnvironment environment,
+            OneWayChannel.NetworkPath uplink,
+            OneWayChannel.NetworkPath downlink,
             LeaderDirectory directory,
-            SimulatedChannel.MessageReceiver agent) {
-        this.world = world;
-        this.up = up;
-        this.down = down;
+            SimulatedChannel.MessageReceiver receiver) {
+        this.environment = environment;
+        this.uplink = uplink;
+        this.downlink = downlink;
         this.directory = directory;
-        this.agent = agent;
+        this.receiver = receiver;
     }
 
     @Override
@@ -79,10 +79,13 @@
         }
         connect();
         return CompletableFuture.failedFuture(
-                new StandlinkException(ErrorCode.PEER_UNREACHABLE, "simulated", "see the test"));
+                new StandlinkException(
+                        ErrorCode.PEER_UNREACHABLE,
+                        "simulated: no connection to the leader",
+                        "see the test"));
     }
 
-    /** Gets the open channel, null if there is none. */
+    /** Gets the open channel, or null if there is none. */
     SimulatedChannel getOpenChannel() {
         return channel == null || channel.isClosed() ? null : channel;
     }
@@ -102,21 +105,23 @@
         }
         connecting = true;
         LeaderNotice target = leader;
-        boolean open = up.isOpen() && down.isOpen();
-        world.schedule(open ? world.draw(1, 4) : CONNECT_MILLIS, () -> connected(target, open));
+        boolean open = uplink.isOpen() && downlink.isOpen();
+        environment.schedule(
+                open ? environment.draw(1, 4) : CONNECT_TIMEOUT_MILLIS,
+                () -> completeConnect(target, open));
     }
 
-    private void connected(LeaderNotice target, boolean open) {
+    private void completeConnect(LeaderNotice target, boolean open) {
         connecting = false;
-        SimulatedLeader found = directory.find(target.address());
-        if (open && found != null && target.equals(leader)) {
+        SimulatedLeader simulatedLeader = directory.find(target.address());
+        if (open && simulatedLeader != null && target.equals(leader)) {
             channel =
                     new SimulatedChannel(
-                            world,
-                            new OneWayChannel(world, up),
-                            new OneWayChannel(world, down),
-                            found,
-                            agent);
+                            environment,
+                            new OneWayChannel(environment, uplink),
+                            new OneWayChannel(environment, downlink),
+                            simulatedLeader,
+                            receiver);
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedMachine.java
+++ b/src/test/java/org/standlink/simulation/SimulatedMachine.java
@@ -28,7 +28,7 @@
 import org.standlink.wire.Message;
 import org.standlink.wire.RunOrders;
 
-/** A machine: a worker, and beside it an agent process that may be started again. */
+/** A worker and its agent process, each of which can be ended and started again. */
 final class SimulatedMachine {
 
     /** The service of all workers. */
@@ -36,92 +36,96 @@
 
     private static final long HEARTBEAT_MILLIS = 400;
     private static final long DRAIN_MILLIS = 1500;
-    private static final long BACK_SPREAD_MILLIS = 3000;
-    private static final long BORN_MILLIS = 1_700_000_000_000L;
+    private static final long RESTART_DELAY_SPREAD_MILLIS = 3000;
+    private static final long BASE_START_TIME_MILLIS = 1_700_000_000_000L;
 
-    private final SimulationEnvironment world;
-    private final InvariantChecker referee;
+    private final SimulationEnvironment environment;
+    private final InvariantChecker checker;
     private final String name;
     private final Resources capacity;
-    private final boolean guarded;
+    private final boolean enforcesCapacity;
     private final SimulatedLeaderClient.LeaderDirectory directory;
-    private final OneWayChannel.NetworkPath up;
-    private final OneWayChannel.NetworkPath down;
-    private final UnreliableWorkerClient path;
+    private final OneWayChannel.NetworkPath uplink;
+    private final OneWayChannel.NetworkPath downlink;
+    private final UnreliableWorkerClient workerClient;
     private SimulationEnvironment.ProcessLoop process;
     private AgentNode agent;
-    private SimulatedLeaderClient link;
-    private int lives;
-    private int processes;
-    private int births;
+    private SimulatedLeaderClient leaderClient;
+    private int workerNumber;
+    private int processCount;
+    private int startCount;
     private long sequence;
     private boolean draining;
-    private long backMillis = 1000;
-    private boolean idKept;
-    private final ObservedEvacuations operator = new ObservedEvacuations();
+    private long restartDelayMillis = 1000;
+    private boolean keepsWorkerId;
+    private final ObservedEvacuations observedEvacuations = new ObservedEvacuations();
 
     SimulatedMachine(
-            SimulationEnvironment world,
-            InvariantChecker referee,
+            SimulationEnvironment environment,
+            InvariantChecker checker,
             String name,
             int cores,
-            boolean guarded,
+            boolean enforcesCapacity,
             SimulatedLeaderClient.LeaderDirectory directory) {
-        this.world = world;
-        this.referee = referee;
+        this.environment = environment;
+        this.checker = checker;
         this.name = name;
         this.capacity = new Resources(cores * 1000L, 10_000, 0);
-        this.guarded = guarded;
+        this.enforcesCapacity = enforcesCapacity;
         this.directory = directory;
-        this.up = new OneWayChannel.NetworkPath(world);
-        this.down = new OneWayChannel.NetworkPath(world);
-        this.path = new UnreliableWorkerClient(world);
+        this.uplink = new OneWayChannel.NetworkPath(environment);
+        this.downlink = new OneWayChannel.NetworkPath(environment);
+        this.workerClient = new UnreliableWorkerClient(environment);
         startWorker();
-        world.scheduleRepeating(HEARTBEAT_MILLIS, this::heartbeat);
+        environment.scheduleRepeating(HEARTBEAT_MILLIS, this::heartbeat);
     }
 
     HallId getHall() {
         return HallId.parse(name);
     }
 
-    /** What the agent has read, and later processes of it have again at once. */
+    /** Gets the evacuations that the agent has read; a restarted agent process has them at once. */
     ObservedEvacuations getObservedEvacuations() {
-        return operator;
+        return observedEvacuations;
     }
 
     OneWayChannel.NetworkPath getUplink() {
-        return up;
+        return uplink;
     }
 
     OneWayChannel.NetworkPath getDownlink() {
-        return down;
+        return downlink;
     }
 
     UnreliableWorkerClient getWorkerClient() {
-        return path;
+        return workerClient;
     }
 
-    /** Starts an agent process that knows of a leader. */
+    /** Starts an agent process that knows the given leader. */
     void startAgent(LeaderNotice leader) {
-        processes++;
-        process = world.newProcess();
-        SimulationEnvironment.ProcessLoop own = process;
-        // What arrives after the end of the process finds its loop standing still.
-        link =
+        processCount++;
+        process = environment.newProcess();
+        SimulationEnvironment.ProcessLoop receivingProcess = process;
+        // Messages that arrive after the end of this process are discarded.
+        leaderClient =
                 new SimulatedLeaderClient(
-                        world, up, down, directory, message -> deliver(own, message));
+                        environment,
+                        uplink,
+                        downlink,
+                        directory,
+                        message -> deliver(receivingProcess, message));
         agent =
                 new AgentNode(
                         name,
                         name + ":2",
-                        Incarnation.of(name.hashCode() * 1000L + processes),
-                        link,
-                        path,
+                        Incarnation.of(name.hashCode() * 1000L + processCount),
+                        leaderClient,
+                        workerClient,
                         process.getClock(),
                         process.getLoop(),
-                        new NoObserver(),
-                        operator::getEvacuatedHalls);
-        link.offer(leader, "simulated");
+                        new NoOpObserver(),
+                        observedEvacuations::getEvacuatedHalls);
+        leaderClient.offer(leader, "simulated");
         agent.start();
         heartbeat();
     }
@@ -133,163 +137,179 @@
 
     /** Ends the agent process; its memory is lost. */
     void endAgent() {
-        world.trace("agent of " + name + " ends");
+        environment.trace("agent of " + name + " ended");
         process.end();
         process = null;
-        link.close();
+        leaderClient.close();
     }
 
     void notifyOfLeader(LeaderNotice leader) {
         if (process != null) {
-            link.offer(leader, "simulated");
+            leaderClient.offer(leader, "simulated");
         }
     }
 
-    /** Ends the worker's life without a word. */
+    /** Ends the incarnation of the worker without notice. */
     void crashWorker() {
-        world.trace("CRASH of " + path.getWorker().getIncarnation());
-        WorkerDescription last = describe(false);
+        environment.trace("CRASH of " + workerClient.getWorker().getIncarnation());
+        WorkerDescription lastDescription = describe(false);
         long lastSequence = sequence;
-        path.getWorker().crash();
-        // A heartbeat of the life that is over may come after those of the next one.
-        world.schedule(
-                world.draw(0, 5000),
+        workerClient.getWorker().crash();
+        // A heartbeat of the ended incarnation may arrive after heartbeats of the next one.
+        environment.schedule(
+                environment.draw(0, 5000),
                 () -> {
                     if (process != null) {
-                        agent.heartbeatReceived(last, lastSequence);
+                        agent.heartbeatReceived(lastDescription, lastSequence);
                     }
                 });
     }
 
-    /** Lets all further lives of the worker have the id of the present one. */
+    /** Makes all further incarnations of the worker keep the id of the current one. */
     void keepWorkerId() {
-        idKept = true;
+        keepsWorkerId = true;
     }
 
-    /** Sets after how long at least a worker is back that has crashed. */
+    /** Sets the minimum time until a crashed worker is restarted. */
     void setRestartDelayMillis(long millis) {
-        backMillis = millis;
+        restartDelayMillis = millis;
     }
 
-    /** Ends the worker's life without a word; another one begins after some seconds. */
+    /** Ends the incarnation of the worker without notice and starts another one after a delay. */
     void crashAndRestartWorker() {
-        if (!path.getWorker().isUp()) {
+        if (!workerClient.getWorker().isUp()) {
             return;
         }
         crashWorker();
-        world.schedule(
-                world.draw(backMillis, backMillis + BACK_SPREAD_MILLIS),
+        environment.schedule(
+                environment.draw(
+                        restartDelayMillis, restartDelayMillis + RESTART_DELAY_SPREAD_MILLIS),
                 () -> {
-                    if (!path.getWorker().isUp()) {
+                    if (!workerClient.getWorker().isUp()) {
                         startWorker();
                     }
                 });
     }
 
-    /** The worker says that it leaves, and ends after a while. */
+    /** Lets the worker announce that it is draining, and ends it after the drain time. */
     void drainWorker() {
-        SimulatedWorker leaving = path.getWorker();
-        world.trace("leaves " + leaving.getIncarnation());
+        SimulatedWorker worker = workerClient.getWorker();
+        environment.trace("draining " + worker.getIncarnation());
         draining = true;
         heartbeat();
-        world.schedule(
+        environment.schedule(
                 DRAIN_MILLIS,
                 () -> {
-                    if (path.getWorker() == leaving && leaving.isUp()) {
-                        leaving.crash();
+                    if (workerClient.getWorker() == worker && worker.isUp()) {
+                        worker.crash();
                         if (process != null) {
-                            agent.workerLeft(leaving.getIncarnation().getId());
+                            agent.workerLeft(worker.getIncarnation().getId());
                         }
                     }
                 });
     }
 
-    /** Lets nothing of the agent run for a while. */
+    /** Freezes the event loop of the agent for a time. */
     void freezeAgent(long millis) {
         if (process != null) {
             process.freeze(millis);
         }
     }
 
-    /** Suspends the machine of the agent; its worker is on another one and goes on. */
+    /** Suspends the machine of the agent; the worker is on another machine and keeps running. */
     void suspendAgent(long millis) {
         process.suspend(millis);
     }
 
-    /** Ends all that hinders; the agent process is started by others. */
+    /**
+     * Ends all faults and restarts the worker; an agent process that has ended is not restarted.
+     */
     void heal() {
-        up.heal();
-        down.heal();
-        path.heal();
-        if (!path.getWorker().isUp()) {
+        uplink.heal();
+        downlink.heal();
+        workerClient.heal();
+        if (!workerClient.getWorker().isUp()) {
             startWorker();
         }
     }
 
-    /** Begins another life of the worker, at the same address. */
+    /** Starts another incarnation of the worker at the same address. */
     void startWorker() {
-        lives += idKept ? 0 : 1;
+        workerNumber += keepsWorkerId ? 0 : 1;
         draining = false;
         sequence = 0;
-        WorkerIncarnation id =
-                WorkerIncarnation.of(WorkerId.parse(name + "-" + lives), drawBirth());
-        SimulatedWorker life =
-                new SimulatedWorker(world, referee, id, getHall(), capacity, guarded);
-        life.setCrashHandler(this::crashAndRestartWorker);
-        path.setWorker(life);
+        WorkerIncarnation incarnation =
+                WorkerIncarnation.of(WorkerId.parse(name + "-" + workerNumber), drawStartTime());
+        SimulatedWorker worker =
+                new SimulatedWorker(
+                        environment, checker, incarnation, getHall(), capacity, enforcesCapacity);
+        worker.setCrashHandler(this::crashAndRestartWorker);
+        workerClient.setWorker(worker);
     }
 
-    /** Births do not rise where ids are kept, as the time of day may be set back; none is equal. */
-    private long drawBirth() {
-        births++;
-        return BORN_MILLIS + births + (idKept ? world.draw(0, 1000) * 1000 : 0);
+    /**
+     * Draws a unique start time. With kept ids, start times do not increase, as the wall clock of a
+     * machine may be set back.
+     */
+    private long drawStartTime() {
+        startCount++;
+        return BASE_START_TIME_MILLIS
+                + startCount
+                + (keepsWorkerId ? environment.draw(0, 1000) * 1000 : 0);
     }
 
-    /** The open channel to the leader goes silent for good. */
-    void dropChannelMessages(boolean upwards, boolean downwards) {
-        SimulatedChannel open = process == null ? null : link.getOpenChannel();
-        if (open != null) {
-            open.dropMessages(upwards, downwards);
+    /** Drops all further messages of the open channel to the leader. */
+    void dropChannelMessages(boolean fromAgent, boolean fromLeader) {
+        SimulatedChannel channel = process == null ? null : leaderClient.getOpenChannel();
+        if (channel != null) {
+            channel.dropMessages(fromAgent, fromLeader);
         }
     }
 
-    /** What the agent sends over its open channel comes later, while new channels work. */
+    /** Delays what the agent sends over its open channel; new channels are not affected. */
     void delayChannel(long millis) {
-        SimulatedChannel open = process == null ? null : link.getOpenChannel();
-        if (open != null) {
-            open.delay(millis);
+        SimulatedChannel channel = process == null ? null : leaderClient.getOpenChannel();
+        if (channel != null) {
+            channel.delay(millis);
         }
     }
 
-    /** A leader's process has ended, and with it its channels. */
+    /** Closes the open channel if it leads to the given leader, whose process has ended. */
     void closeChannelTo(SimulatedLeader leader) {
-        SimulatedChannel open = process == null ? null : link.getOpenChannel();
-        if (open != null && open.getLeader() == leader) {
-            open.close();
+        SimulatedChannel channel = process == null ? null : leaderClient.getOpenChannel();
+        if (channel != null && channel.getLeader() == leader) {
+            channel.close();
         }
     }
 
     // -----------------------------------------------------------------------
     private void heartbeat() {
-        if (process != null && path.getWorker().isUp()) {
+        if (process != null && workerClient.getWorker().isUp()) {
             agent.heartbeatReceived(describe(draining), ++sequence);
         }
     }
 
-    private WorkerDescription describe(boolean leaves) {
-        WorkerIncarnation id = path.getWorker().getIncarnation();
-        long rest = leaves ? DRAIN_MILLIS : 0;
+    private WorkerDescription describe(boolean isDraining) {
+        WorkerIncarnation incarnation = workerClient.getWorker().getIncarnation();
+        long remainingMillis = isDraining ? DRAIN_MILLIS : 0;
         return new WorkerDescription(
-                id, SERVICE, name + ":1", capacity, HallId.parse(name), List.of(), leaves, rest);
+                incarnation,
+                SERVICE,
+                name + ":1",
+                capacity,
+                HallId.parse(name),
+                List.of(),
+                isDraining,
+                remainingMillis);
     }
 
-    private void deliver(SimulationEnvironment.ProcessLoop own, Message message) {
-        if (own != process) {
+    private void deliver(SimulationEnvironment.ProcessLoop receivingProcess, Message message) {
+        if (receivingProcess != process) {
             return;
         }
         if (message instanceof RunOrders orders
                 && !(orders.starts().isEmpty() && orders.stops().isEmpty())) {
-            world.trace(
+            environment.trace(
                     "orders of epoch "
                             + orders.epoch()
                             + " for "
@@ -302,8 +322,8 @@
         agent.handle(null, 0, message);
     }
 
-    /** Hears nothing of a leader. */
-    private static final class NoObserver implements LeaderObserver {
+    /** Ignores all notifications. */
+    private static final class NoOpObserver implements LeaderObserver {
 
         @Override
         public void leaderAnswered(long storeSilentMillis) {}
--- a/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
+++ b/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
@@ -28,30 +28,34 @@
 import org.standlink.store.Topic;
 import org.standlink.store.Writer;
 
-/** The store as one process sees it: at times away, slow, or with its answers lost. */
+/**
+ * The store client of one simulated process. Calls can fail, take long, lose their answers, or be
+ * executed after they have failed.
+ */
 final class SimulatedStoreClient implements KeyedStore {
 
-    private static final long CALL_MILLIS = 1000;
+    private static final long CALL_TIMEOUT_MILLIS = 1000;
     private static final int LOST_PERCENT = 60;
-    private static final int LATE_PERCENT = 25;
+    private static final int DELAYED_PERCENT = 25;
     private static final int REFUSED_PERCENT = 30;
 
-    private final SimulationEnvironment world;
+    private final SimulationEnvironment environment;
     private final FakeKeyedStore store;
-    private final StoreFaults shared;
-    private final StoreFaults own;
+    private final StoreFaults sharedFaults;
+    private final StoreFaults ownFaults;
 
-    /** A view that is hindered by what hinders all, and by what hinders only this process. */
-    SimulatedStoreClient(SimulationEnvironment world, FakeKeyedStore store, StoreFaults shared) {
-        this.world = world;
+    /** Creates a client affected by the faults of all processes and by those of its own process. */
+    SimulatedStoreClient(
+            SimulationEnvironment environment, FakeKeyedStore store, StoreFaults sharedFaults) {
+        this.environment = environment;
         this.store = store;
-        this.shared = shared;
-        this.own = new StoreFaults(world);
+        this.sharedFaults = sharedFaults;
+        this.ownFaults = new StoreFaults(environment);
     }
 
-    /** Gets what hinders only this process. */
+    /** Gets the faults that affect only this process. */
     StoreFaults getOwnFaults() {
-        return own;
+        return ownFaults;
     }
 
     // -----------------------------------------------------------------------
@@ -86,47 +90,54 @@
     }
 
     // -----------------------------------------------------------------------
-    private <T> CompletableFuture<T> call(Supplier<CompletableFuture<T>> effect) {
+    private <T> CompletableFuture<T> call(Supplier<CompletableFuture<T>> operation) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        world.schedule(
-                CALL_MILLIS,
-                () -> answer.completeExceptionally(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN)));
-        long away = Math.max(shared.getUnavailableMillis(), own.getUnavailableMillis());
-        if (shared.isRefusing() || own.isRefusing()) {
+        environment.schedule(
+                CALL_TIMEOUT_MILLIS,
+                () -> answer.completeExceptionally(newFailure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN)));
+        long unavailableMillis =
+                Math.max(sharedFaults.getUnavailableMillis(), ownFaults.getUnavailableMillis());
+        if (sharedFaults.isRefusing() || ownFaults.isRefusing()) {
             refuse(answer);
-        } else if (away > 0) {
-            callAway(away, effect, answer);
+        } else if (unavailableMillis > 0) {
+            callWhileUnavailable(unavailableMillis, operation, answer);
         } else {
-            boolean slow = shared.isSlow() || own.isSlow();
-            boolean loses = shared.isLosingAnswers() || own.isLosingAnswers();
-            long pause = slow ? world.draw(150, 950) : world.draw(1, 4);
-            boolean lost = loses && world.chance(LOST_PERCENT);
-            world.schedule(pause, () -> act(effect, lost ? new CompletableFuture<>() : answer));
+            boolean slow = sharedFaults.isSlow() || ownFaults.isSlow();
+            boolean losingAnswers = sharedFaults.isLosingAnswers() || ownFaults.isLosingAnswers();
+            long delayMillis = slow ? environment.draw(150, 950) : environment.draw(1, 4);
+            boolean answerLost = losingAnswers && environment.chance(LOST_PERCENT);
+            environment.schedule(
+                    delayMillis,
+                    () -> execute(operation, answerLost ? new CompletableFuture<>() : answer));
         }
         return answer;
     }
 
-    private <T> void callAway(
-            long away, Supplier<CompletableFuture<T>> effect, CompletableFuture<T> answer) {
-        if (world.chance(LATE_PERCENT)) {
-            long pause = away + world.draw(0, 2000);
-            world.schedule(pause, () -> act(effect, new CompletableFuture<>()));
-        } else if (world.chance(REFUSED_PERCENT)) {
+    private <T> void callWhileUnavailable(
+            long unavailableMillis,
+            Supplier<CompletableFuture<T>> operation,
+            CompletableFuture<T> answer) {
+        if (environment.chance(DELAYED_PERCENT)) {
+            long delayMillis = unavailableMillis + environment.draw(0, 2000);
+            environment.schedule(delayMillis, () -> execute(operation, new CompletableFuture<>()));
+        } else if (environment.chance(REFUSED_PERCENT)) {
             refuse(answer);
         }
     }
 
     private void refuse(CompletableFuture<?> answer) {
-        StandlinkException refused = failure(ErrorCode.PLATFORM_UNAVAILABLE);
-        world.schedule(world.draw(1, 4), () -> answer.completeExceptionally(refused));
+        StandlinkException refused = newFailure(ErrorCode.PLATFORM_UNAVAILABLE);
+        environment.schedule(environment.draw(1, 4), () -> answer.completeExceptionally(refused));
     }
 
-    private <T> void act(Supplier<CompletableFuture<T>> effect, CompletableFuture<T> answer) {
-        effect.get()
+    private <T> void execute(
+            Supplier<CompletableFuture<T>> operation, CompletableFuture<T> answer) {
+        operation
+                .get()
                 .whenComplete(
                         (value, failure) ->
-                                world.schedule(
-                                        world.draw(1, 4),
+                                environment.schedule(
+                                        environment.draw(1, 4),
                                         () -> {
                                             if (failure == null) {
                                                 answer.complete(value);
@@ -136,7 +147,7 @@
                                         }));
     }
 
-    private static StandlinkException failure(ErrorCode code) {
-        return new StandlinkException(code, "the simulated store", "see the test");
+    private static StandlinkException newFailure(ErrorCode code) {
+        return new StandlinkException(code, "simulated store fault", "see the test");
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulatedWorker.java
+++ b/src/test/java/org/standlink/simulation/SimulatedWorker.java
@@ -33,10 +33,12 @@
 import org.standlink.runner.RenewalResult;
 import org.standlink.wire.StartOrder;
 
-/** One life of a worker, by the worst reading of what its page allows. */
+/**
+ * One incarnation of a worker, which behaves as adversely as the specification of workers allows.
+ */
 final class SimulatedWorker {
 
-    /** What each task takes. */
+    /** The resources of each task. */
     static final Resources TASK_RESOURCES = new Resources(1000, 100, 0);
 
     /** The specification of a task that runs until it is stopped. */
@@ -48,228 +50,241 @@
     /** The specification of a task that crashes its worker after some seconds of work. */
     static final String CRASHES_LATE = "crashes late";
 
-    /** How long such tasks are at work at most. */
-    private static final long CRASH_MILLIS = 20;
+    /** Maximum time from the start of a task that crashes its worker to the crash. */
+    private static final long MAX_CRASH_DELAY_MILLIS = 20;
 
-    private static final long LATE_CRASH_MILLIS = 6000;
+    private static final long MAX_LATE_CRASH_DELAY_MILLIS = 6000;
 
-    private static final long MOST_HOLD_MILLIS = 6000;
-    private static final long STOP_MILLIS = 400;
+    private static final long MAX_LEASE_MILLIS = 6000;
+    private static final long MAX_STOP_MILLIS = 400;
     private static final int FAILING_PERCENT = 4;
 
-    private final SimulationEnvironment world;
-    private final InvariantChecker referee;
-    private final WorkerIncarnation id;
+    private final SimulationEnvironment environment;
+    private final InvariantChecker checker;
+    private final WorkerIncarnation incarnation;
     private final HallId hall;
     private final Resources capacity;
-    private final boolean guarded;
-    private final long bornAt;
-    private final double rate;
-    private final Map<RunId, Work> running = new LinkedHashMap<>();
-    private final Map<TaskName, Integer> barred = new HashMap<>();
-    private final List<RunEnd> ended = new ArrayList<>();
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final boolean enforcesCapacity;
+    private final long startedAt;
+    private final double clockRate;
+    private final Map<RunId, ActiveRun> activeRuns = new LinkedHashMap<>();
+    private final Map<TaskName, Integer> lastBarredRunNumbers = new HashMap<>();
+    private final List<RunEnd> unacknowledgedEnds = new ArrayList<>();
+    private final List<Runnable> waitingRenewals = new ArrayList<>();
     private long fence;
-    private long holdUntil;
-    private long lastNumber;
+    private long leaseExpiryMillis;
+    private long lastEndNumber;
     private boolean up = true;
-    private Runnable whenCrashing = this::crash;
+    private Runnable crashHandler = this::crash;
 
-    /** A run at work: when it began and how long it takes, 0 for ever. */
-    private record Work(long begunAt, long millis) {}
+    /** A run with its start time and its duration; 0 means until it is stopped. */
+    private record ActiveRun(long startedAt, long durationMillis) {}
 
     SimulatedWorker(
-            SimulationEnvironment world,
-            InvariantChecker referee,
-            WorkerIncarnation id,
+            SimulationEnvironment environment,
+            InvariantChecker checker,
+            WorkerIncarnation incarnation,
             HallId hall,
             Resources capacity,
-            boolean guarded) {
-        this.world = world;
-        this.referee = referee;
-        this.id = id;
+            boolean enforcesCapacity) {
+        this.environment = environment;
+        this.checker = checker;
+        this.incarnation = incarnation;
         this.hall = hall;
         this.capacity = capacity;
-        this.guarded = guarded;
-        this.bornAt = world.now();
-        this.rate = 1 - world.draw(0, 20) / 1000.0;
+        this.enforcesCapacity = enforcesCapacity;
+        this.startedAt = environment.now();
+        this.clockRate = 1 - environment.draw(0, 20) / 1000.0;
     }
 
     WorkerIncarnation getIncarnation() {
-        return id;
+        return incarnation;
     }
 
     HallId getHall() {
         return hall;
     }
 
-    /** Sets what happens when a task crashes this worker. */
-    void setCrashHandler(Runnable effect) {
-        whenCrashing = effect;
+    /** Sets the action to run when a task crashes this worker. */
+    void setCrashHandler(Runnable handler) {
+        crashHandler = handler;
     }
 
     boolean isUp() {
         return up;
     }
 
+    /** Gets the time of the worker's own clock, which runs up to 2 % slow. */
     long clockMillis() {
-        return 5000 + (long) ((world.now() - bornAt) * rate);
+        return 5000 + (long) ((environment.now() - startedAt) * clockRate);
     }
 
-    /** Ends this life without a word. */
+    /** Ends this incarnation without notice. */
     void crash() {
         up = false;
-        running.keySet().forEach(run -> referee.recordLostRun(this, run));
-        running.clear();
+        activeRuns.keySet().forEach(run -> checker.recordLostRun(this, run));
+        activeRuns.clear();
     }
 
     // -----------------------------------------------------------------------
-    CallResult start(StartOrder order, long until, long token, boolean late) {
+    CallResult start(StartOrder order, long until, long token, boolean delayed) {
         RunId run = order.run();
-        if (!admit(token)) {
+        if (!admitToken(token)) {
             return result(CallResult.Kind.FENCED);
         }
-        // An end that is past does not matter if the worker holds its runs for longer by now.
-        hold(until);
-        if (running.containsKey(run)) {
+        // A lease end in the past is ignored if a later call has already extended the lease.
+        extendLease(until);
+        if (activeRuns.containsKey(run)) {
             return result(CallResult.Kind.DONE);
         }
-        if (run.number() <= barred.getOrDefault(run.task(), 0)) {
+        if (run.number() <= lastBarredRunNumbers.getOrDefault(run.task(), 0)) {
             return result(CallResult.Kind.SUPERSEDED);
         }
-        if (holdUntil <= clockMillis()) {
+        if (leaseExpiryMillis <= clockMillis()) {
             return result(CallResult.Kind.LEASE_PAST);
         }
-        Resources taken =
+        Resources usage =
                 new Resources(
-                        TASK_RESOURCES.milliCores() * (running.size() + 1),
-                        TASK_RESOURCES.memoryMegabytes() * (running.size() + 1),
+                        TASK_RESOURCES.milliCores() * (activeRuns.size() + 1),
+                        TASK_RESOURCES.memoryMegabytes() * (activeRuns.size() + 1),
                         0);
-        if (guarded && !taken.fitsIn(capacity)) {
+        if (enforcesCapacity && !usage.fitsIn(capacity)) {
             return result(CallResult.Kind.NO_ROOM);
         }
-        referee.recordStart(this, run, late);
-        referee.checkCapacity(this, taken, capacity, run);
-        begin(run, order.specification());
+        checker.recordStart(this, run, delayed);
+        checker.checkCapacity(this, usage, capacity, run);
+        beginRun(run, order.specification());
         return result(CallResult.Kind.DONE);
     }
 
-    private void begin(RunId run, String specification) {
+    private void beginRun(RunId run, String specification) {
         if (specification.equals(CRASHES) || specification.equals(CRASHES_LATE)) {
-            long most = specification.equals(CRASHES) ? CRASH_MILLIS : LATE_CRASH_MILLIS;
-            running.put(run, new Work(world.now(), 2 * LATE_CRASH_MILLIS));
-            world.schedule(world.draw(most / 2, most), () -> crashUnder(run));
+            long maxDelayMillis =
+                    specification.equals(CRASHES)
+                            ? MAX_CRASH_DELAY_MILLIS
+                            : MAX_LATE_CRASH_DELAY_MILLIS;
+            activeRuns.put(run, new ActiveRun(environment.now(), 2 * MAX_LATE_CRASH_DELAY_MILLIS));
+            environment.schedule(
+                    environment.draw(maxDelayMillis / 2, maxDelayMillis), () -> crashDuring(run));
             return;
         }
-        boolean lasts = specification.equals(RUNS_UNTIL_STOPPED);
-        long millis = lasts ? 0 : Long.parseLong(specification);
-        boolean fails = world.chance(FAILING_PERCENT);
-        running.put(run, new Work(world.now(), millis));
+        boolean untilStopped = specification.equals(RUNS_UNTIL_STOPPED);
+        long durationMillis = untilStopped ? 0 : Long.parseLong(specification);
+        boolean fails = environment.chance(FAILING_PERCENT);
+        activeRuns.put(run, new ActiveRun(environment.now(), durationMillis));
         if (fails) {
-            long after = lasts ? world.draw(500, 9000) : world.draw(1, millis);
-            world.schedule(after, () -> end(run, RunEndKind.FAILED));
-        } else if (!lasts) {
-            world.schedule(millis, () -> end(run, RunEndKind.DONE));
+            long delayMillis =
+                    untilStopped
+                            ? environment.draw(500, 9000)
+                            : environment.draw(1, durationMillis);
+            environment.schedule(delayMillis, () -> endRun(run, RunEndKind.FAILED));
+        } else if (!untilStopped) {
+            environment.schedule(durationMillis, () -> endRun(run, RunEndKind.DONE));
         }
     }
 
-    private void crashUnder(RunId run) {
-        if (up && running.containsKey(run)) {
-            referee.recordCrash(run.task());
-            whenCrashing.run();
+    private void crashDuring(RunId run) {
+        if (up && activeRuns.containsKey(run)) {
+            checker.recordCrash(run.task());
+            crashHandler.run();
         }
     }
 
     CallResult stop(RunId run, long token) {
-        if (!admit(token)) {
+        if (!admitToken(token)) {
             return result(CallResult.Kind.FENCED);
         }
-        barred.merge(run.task(), run.number(), Math::max);
-        world.schedule(world.draw(1, STOP_MILLIS), () -> end(run, RunEndKind.STOPPED));
+        lastBarredRunNumbers.merge(run.task(), run.number(), Math::max);
+        environment.schedule(
+                environment.draw(1, MAX_STOP_MILLIS), () -> endRun(run, RunEndKind.STOPPED));
         return result(CallResult.Kind.DONE);
     }
 
-    /** Holds the runs, and answers at the first end or after a while. */
+    /** Extends the lease and answers at the next end of a run or after the wait time. */
     CompletableFuture<RenewalResult> renew(
             long until, long token, long recordedEnd, long waitMillis) {
-        if (!admit(token)) {
+        if (!admitToken(token)) {
             return CompletableFuture.completedFuture(
                     RenewalResult.notDone(result(CallResult.Kind.FENCED)));
         }
         if (until >= 0) {
-            hold(until);
+            extendLease(until);
         }
-        referee.recordPersistedEnds(this, recordedEnd);
-        ended.removeIf(end -> end.number() <= recordedEnd);
+        checker.recordPersistedEnds(this, recordedEnd);
+        unacknowledgedEnds.removeIf(end -> end.number() <= recordedEnd);
         CompletableFuture<RenewalResult> answer = new CompletableFuture<>();
-        Runnable tell = () -> answer.complete(lists());
-        if (!ended.isEmpty() || waitMillis == 0) {
-            tell.run();
+        Runnable respond = () -> answer.complete(listRuns());
+        if (!unacknowledgedEnds.isEmpty() || waitMillis == 0) {
+            respond.run();
         } else {
-            waiting.add(tell);
-            world.schedule(waitMillis, tell);
+            waitingRenewals.add(respond);
+            environment.schedule(waitMillis, respond);
         }
         return answer;
     }
 
     // -----------------------------------------------------------------------
-    private boolean admit(long token) {
+    private boolean admitToken(long token) {
         fence = Math.max(fence, token);
         return token >= fence;
     }
 
-    private void hold(long until) {
-        long wanted = Math.min(until, clockMillis() + MOST_HOLD_MILLIS);
-        if (wanted > holdUntil) {
-            holdUntil = wanted;
-            lapseWhenDue();
+    private void extendLease(long until) {
+        long expiryMillis = Math.min(until, clockMillis() + MAX_LEASE_MILLIS);
+        if (expiryMillis > leaseExpiryMillis) {
+            leaseExpiryMillis = expiryMillis;
+            scheduleLapse();
         }
     }
 
-    private void lapseWhenDue() {
-        long rest = holdUntil - clockMillis();
-        world.schedule(Math.max(1, (long) Math.ceil(rest / rate)), this::lapseIfDue);
+    private void scheduleLapse() {
+        long remainingMillis = leaseExpiryMillis - clockMillis();
+        environment.schedule(
+                Math.max(1, (long) Math.ceil(remainingMillis / clockRate)), this::lapseIfExpired);
     }
 
-    /** The hold runs out also where nothing runs, which matters for ends not recorded yet. */
-    private void lapseIfDue() {
-        if (!up || clockMillis() < holdUntil) {
+    /** Ends all runs; without runs, the lapse still matters for ends that are not persisted. */
+    private void lapseIfExpired() {
+        if (!up || clockMillis() < leaseExpiryMillis) {
             return;
         }
-        world.trace("LAPSES " + id + " with " + running.size());
-        referee.recordLapse(this);
-        List.copyOf(running.keySet()).forEach(run -> end(run, RunEndKind.LAPSED));
+        environment.trace("LAPSED " + incarnation + " with active runs: " + activeRuns.size());
+        checker.recordLapse(this);
+        List.copyOf(activeRuns.keySet()).forEach(run -> endRun(run, RunEndKind.LAPSED));
     }
 
-    private void end(RunId run, RunEndKind kind) {
-        if (!up || running.remove(run) == null) {
+    private void endRun(RunId run, RunEndKind kind) {
+        if (!up || activeRuns.remove(run) == null) {
             return;
         }
-        barred.merge(run.task(), run.number(), Math::max);
-        ended.add(new RunEnd(lastNumber + 1, run, kind, ""));
-        lastNumber++;
-        referee.recordEnd(this, run, kind, lastNumber);
-        List<Runnable> told = List.copyOf(waiting);
-        waiting.clear();
-        told.forEach(Runnable::run);
+        lastBarredRunNumbers.merge(run.task(), run.number(), Math::max);
+        unacknowledgedEnds.add(new RunEnd(lastEndNumber + 1, run, kind, ""));
+        lastEndNumber++;
+        checker.recordEnd(this, run, kind, lastEndNumber);
+        List<Runnable> responses = List.copyOf(waitingRenewals);
+        waitingRenewals.clear();
+        responses.forEach(Runnable::run);
     }
 
     private CallResult result(CallResult.Kind kind) {
         return new CallResult(kind, clockMillis(), "simulated");
     }
 
-    private RenewalResult lists() {
+    private RenewalResult listRuns() {
         return new RenewalResult(
                 result(CallResult.Kind.DONE),
-                id,
-                running.entrySet().stream().map(this::progress).toList(),
-                List.copyOf(ended));
+                incarnation,
+                activeRuns.entrySet().stream().map(this::toProgress).toList(),
+                List.copyOf(unacknowledgedEnds));
     }
 
-    private RunProgress progress(Map.Entry<RunId, Work> entry) {
-        Work work = entry.getValue();
-        long age = world.now() - work.begunAt();
-        int percent = work.millis() == 0 ? 100 : (int) (age * 100 / work.millis());
+    private RunProgress toProgress(Map.Entry<RunId, ActiveRun> entry) {
+        ActiveRun activeRun = entry.getValue();
+        long age = environment.now() - activeRun.startedAt();
+        int percent =
+                activeRun.durationMillis() == 0
+                        ? 100
+                        : (int) (age * 100 / activeRun.durationMillis());
         return new RunProgress(entry.getKey(), "", percent, 0);
     }
 }
--- a/src/test/java/org/standlink/simulation/SimulationEnvironment.java
+++ b/src/test/java/org/standlink/simulation/SimulationEnvironment.java
@@ -23,90 +23,95 @@
 import org.standlink.FakeLoop;
 import org.standlink.lease.MonotonicClock;
 
-/** Time, chance and notes of one simulated cell; its processes run in turn on one clock. */
+/**
+ * The clock, the random numbers and the trace of one simulated cell. All processes of the cell run
+ * in turn on one thread and one clock, so a run with a given seed is reproducible.
+ */
 final class SimulationEnvironment {
 
     private final FakeClock clock = new FakeClock();
     private final FakeLoop loop = new FakeLoop(clock);
     private final List<ProcessLoop> processes = new ArrayList<>();
-    private final List<String> notes = new ArrayList<>();
+    private final List<String> traceLines = new ArrayList<>();
     private final Random random;
     private final long startedAt = clock.nowMillis();
 
-    /** A world in which chance rules. */
+    /** Creates an environment whose draws depend on the seed. */
     SimulationEnvironment(long seed) {
         random = new Random(seed);
     }
 
-    /** A world without chance: the first of all possibilities happens, and nothing fails. */
+    /**
+     * Creates a deterministic environment: each draw returns its first value, and no chance occurs.
+     */
     SimulationEnvironment() {
         random = null;
     }
 
-    /** The loop of one process, which may be frozen and ended. */
+    /** The event loop of one process, which can be frozen, suspended and ended. */
     final class ProcessLoop {
 
-        private final FakeLoop work = new FakeLoop(clock);
+        private final FakeLoop processLoop = new FakeLoop(clock);
         private long frozenUntil;
-        private long asleepMillis;
-        private long readingsLeft;
-        private Throwable toBeThrown;
+        private long suspendedMillis;
+        private long clockReadsLeft;
+        private Throwable scheduledThrowable;
 
         ProcessLoop() {
             processes.add(this);
         }
 
         FakeLoop getLoop() {
-            return work;
+            return processLoop;
         }
 
-        /** Lets nothing run until then; what becomes due meanwhile runs late, all at once. */
+        /** Stops the loop for a time; tasks that become due meanwhile all run at its end. */
         void freeze(long millis) {
             frozenUntil = Math.max(frozenUntil, now() + millis);
         }
 
-        /** Gets the clock of the process, which stands still while its machine is suspended. */
+        /** Gets the clock of the process, which does not advance while its machine is suspended. */
         MonotonicClock getClock() {
             return this::readClock;
         }
 
-        /** Lets the clock throw when it is read for the n-th time from now on, once. */
-        void throwOnClockRead(long reading, Throwable thrown) {
-            readingsLeft = reading;
-            toBeThrown = thrown;
+        /** Makes the clock throw once, at the n-th read from now on. */
+        void throwOnClockRead(long clockReads, Throwable throwable) {
+            clockReadsLeft = clockReads;
+            scheduledThrowable = throwable;
         }
 
         private long readClock() {
-            readingsLeft--;
-            if (readingsLeft == 0) {
-                trace("THROWN " + toBeThrown);
-                if (toBeThrown instanceof Error error) {
+            clockReadsLeft--;
+            if (clockReadsLeft == 0) {
+                trace("THROWN " + scheduledThrowable);
+                if (scheduledThrowable instanceof Error error) {
                     throw error;
                 }
-                throw (RuntimeException) toBeThrown;
+                throw (RuntimeException) scheduledThrowable;
             }
-            return clock.nowMillis() - asleepMillis;
+            return clock.nowMillis() - suspendedMillis;
         }
 
-        /** Runs what is due; what is thrown on purpose ends the work that threw it. */
+        /** Runs all due tasks; the scheduled exception ends only the task that threw it. */
         private void runDue() {
-            boolean all = false;
-            while (!all) {
+            boolean finished = false;
+            while (!finished) {
                 try {
-                    work.runDue();
-                    all = true;
-                } catch (RuntimeException | Error thrown) {
-                    if (thrown != toBeThrown) {
-                        throw thrown;
+                    processLoop.runDue();
+                    finished = true;
+                } catch (RuntimeException | Error throwable) {
+                    if (throwable != scheduledThrowable) {
+                        throw throwable;
                     }
                 }
             }
         }
 
-        /** Suspends the machine: nothing runs, and the clock does not count that time. */
+        /** Suspends the machine: nothing runs, and the clock of the process does not advance. */
         void suspend(long millis) {
             freeze(millis);
-            schedule(millis, () -> asleepMillis += millis);
+            schedule(millis, () -> suspendedMillis += millis);
         }
 
         boolean isFrozen() {
@@ -115,11 +120,11 @@
 
         void end() {
             processes.remove(this);
-            work.shutdown();
+            processLoop.shutdown();
         }
 
         private long nextDue() {
-            return Math.max(frozenUntil, work.nextDue());
+            return Math.max(frozenUntil, processLoop.nextDue());
         }
     }
 
@@ -135,37 +140,38 @@
         return clock.nowMillis();
     }
 
-    /** Tells the time since the start of the day. */
+    /** Gets the milliseconds since the start of the simulation. */
     long elapsed() {
         return now() - startedAt;
     }
 
-    /** Draws a number from the first to the last, both included. */
+    /** Draws a number between two bounds, both inclusive. */
     long draw(long first, long last) {
         return random == null ? first : first + random.nextInt((int) (last - first + 1));
     }
 
+    /** Draws whether an event of the given probability occurs. */
     boolean chance(int percent) {
         return random != null && random.nextInt(100) < percent;
     }
 
-    void schedule(long millis, Runnable work) {
-        loop.schedule(work, millis, TimeUnit.MILLISECONDS);
+    void schedule(long millis, Runnable task) {
+        loop.schedule(task, millis, TimeUnit.MILLISECONDS);
     }
 
-    void scheduleRepeating(long millis, Runnable work) {
-        loop.scheduleWithFixedDelay(work, millis, millis, TimeUnit.MILLISECONDS);
+    void scheduleRepeating(long millis, Runnable task) {
+        loop.scheduleWithFixedDelay(task, millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    void trace(String what) {
-        notes.add(String.format("%7.3f %s", elapsed() / 1000.0, what));
+    void trace(String message) {
+        traceLines.add(String.format("%7.3f %s", elapsed() / 1000.0, message));
     }
 
     List<String> getTrace() {
-        return notes;
+        return traceLines;
     }
 
-    /** Lets time pass until so long after the start. */
+    /** Advances the simulation to a time after its start, in milliseconds. */
     void runUntil(long millis) {
         long end = startedAt + millis;
         while (true) {
--- a/src/test/java/org/standlink/simulation/StoreFaults.java
+++ b/src/test/java/org/standlink/simulation/StoreFaults.java
@@ -15,60 +15,60 @@
  */
 package org.standlink.simulation;
 
-/** What hinders calls of the store for a while, for one process or for all. */
+/** Temporary faults of store calls, of one process or of all. */
 final class StoreFaults {
 
-    private final SimulationEnvironment world;
-    private long awayUntil;
-    private long refusesUntil;
+    private final SimulationEnvironment environment;
+    private long unavailableUntil;
+    private long refusingUntil;
     private long slowUntil;
-    private long losesUntil;
+    private long losingAnswersUntil;
 
-    StoreFaults(SimulationEnvironment world) {
-        this.world = world;
+    StoreFaults(SimulationEnvironment environment) {
+        this.environment = environment;
     }
 
-    /** No call is answered for a while; some of them are done once the store is back. */
+    /** Leaves all calls unanswered for a time; some of them are executed once the store is back. */
     void makeUnavailable(long millis) {
-        awayUntil = Math.max(awayUntil, world.now() + millis);
+        unavailableUntil = Math.max(unavailableUntil, environment.now() + millis);
     }
 
-    /** Every call is refused at once for a while. */
+    /** Refuses every call at once for a time. */
     void refuseCalls(long millis) {
-        refusesUntil = Math.max(refusesUntil, world.now() + millis);
+        refusingUntil = Math.max(refusingUntil, environment.now() + millis);
     }
 
-    /** Calls take long for a while. */
+    /** Slows all calls down for a time. */
     void slowDown(long millis) {
-        slowUntil = Math.max(slowUntil, world.now() + millis);
+        slowUntil = Math.max(slowUntil, environment.now() + millis);
     }
 
-    /** Calls are done for a while, and many are not answered. */
+    /** Executes calls but loses many of their answers for a time. */
     void loseAnswers(long millis) {
-        losesUntil = Math.max(losesUntil, world.now() + millis);
+        losingAnswersUntil = Math.max(losingAnswersUntil, environment.now() + millis);
     }
 
-    /** Ends all that hinders. */
+    /** Ends all faults. */
     void heal() {
-        awayUntil = 0;
-        refusesUntil = 0;
+        unavailableUntil = 0;
+        refusingUntil = 0;
         slowUntil = 0;
-        losesUntil = 0;
+        losingAnswersUntil = 0;
     }
 
     long getUnavailableMillis() {
-        return Math.max(0, awayUntil - world.now());
+        return Math.max(0, unavailableUntil - environment.now());
     }
 
     boolean isRefusing() {
-        return refusesUntil > world.now();
+        return refusingUntil > environment.now();
     }
 
     boolean isSlow() {
-        return slowUntil > world.now();
+        return slowUntil > environment.now();
     }
 
     boolean isLosingAnswers() {
-        return losesUntil > world.now();
+        return losingAnswersUntil > environment.now();
     }
 }
--- a/src/test/java/org/standlink/simulation/TestCellSimulation.java
+++ b/src/test/java/org/standlink/simulation/TestCellSimulation.java
@@ -29,52 +29,54 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays days of a whole cell with faults that are drawn from fixed seeds, and judges what the
- * workers did.
+ * Runs simulated days of a whole cell with faults drawn from fixed seeds, and checks the
+ * invariants.
  *
- * <p>More seeds than the usual ones are played with {@code -Dstandlink.simulation.seeds=500}, from
- * the one that {@code -Dstandlink.simulation.first} names. {@code -Dstandlink.simulation.trace=7,9}
- * plays only these with as few faults as still show a finding of the same kind, and writes all that
- * happened to {@code target/simulation-7.txt}; with {@code -Dstandlink.simulation.ids=kept} it does
- * so for days on which workers keep their ids.
+ * <p>{@code -Dstandlink.simulation.seeds=500} runs more seeds than the default, from the one given
+ * by {@code -Dstandlink.simulation.first}. {@code -Dstandlink.simulation.trace=7,9} runs only the
+ * given seeds, with the smallest set of faults that still shows a violation of the same kind, and
+ * writes the trace to {@code target/simulation-7.txt}; with {@code
+ * -Dstandlink.simulation.ids=kept}, workers keep their ids on these days.
  */
 public class TestCellSimulation {
 
-    private static final int USUAL_SEEDS = 120;
+    private static final int DEFAULT_SEED_COUNT = 120;
     private static final long REPEATED_SEED = 7;
 
-    private static final long WAITING_SEED = 2107;
-    private static final int FEWEST_STARTS = 5;
+    private static final long WAITING_JOBS_SEED = 2107;
+    private static final int MIN_STARTS = 5;
 
     @Test
     public void noDayWithFaultsBreaksARule() throws IOException {
         String traced = System.getProperty("standlink.simulation.trace");
         if (traced != null) {
             for (String seed : traced.split(",")) {
-                trace(Long.parseLong(seed));
+                writeMinimisedTrace(Long.parseLong(seed));
             }
             return;
         }
         int first = Integer.getInteger("standlink.simulation.first", 1);
-        int count = Integer.getInteger("standlink.simulation.seeds", USUAL_SEEDS);
-        TreeMap<Long, List<String>> red = new TreeMap<>();
+        int count = Integer.getInteger("standlink.simulation.seeds", DEFAULT_SEED_COUNT);
+        TreeMap<Long, List<String>> failures = new TreeMap<>();
         for (long seed = first; seed < first + count; seed++) {
             SimulatedDay day = new SimulatedDay(seed);
-            List<String> found = day.run();
-            if (!found.isEmpty()) {
-                red.put(seed, found);
+            List<String> violations = day.run();
+            if (!violations.isEmpty()) {
+                failures.put(seed, violations);
             }
-            assertTrue(day.countStarts() >= FEWEST_STARTS, "started too little, seed " + seed);
+            assertTrue(
+                    day.countStarts() >= MIN_STARTS, "too few runs were started with seed " + seed);
         }
-        StringBuilder told = new StringBuilder();
-        red.forEach(
-                (seed, found) -> told.append("\nseed ").append(seed).append(": ").append(found));
-        assertEquals(0, red.size(), () -> "of " + count + told);
+        StringBuilder message = new StringBuilder();
+        failures.forEach(
+                (seed, violations) ->
+                        message.append("\nseed ").append(seed).append(": ").append(violations));
+        assertEquals(0, failures.size(), () -> "seeds with violations out of " + count + message);
     }
 
     @Test
     public void noDayOnWhichMachinesAreSuspendedBreaksARule() {
-        playSeeds(
+        assertNoViolations(
                 seed -> {
                     List<SimulatedFault> faults = new SimulatedDay(seed).getFaults();
                     return new SimulatedDay(seed, faults, new Random(seed * 17));
@@ -82,45 +84,47 @@
     }
 
     /**
-     * Seen: what callers and workers had been told was not in the store, since changes that had
-     * been taken were lost by a throw. A leader throws wherever it reads its clock.
+     * Guards against state that was reported to callers and workers but is not in the store, as an
+     * exception discarded accepted changes. A leader throws at any read of its clock.
      */
     @Test
     public void noDayOnWhichLeadersThrowBreaksARule() {
-        playSeeds(seed -> new SimulatedDay(seed).withThrowingLeaders(new Random(seed * 13)));
+        assertNoViolations(
+                seed -> new SimulatedDay(seed).withThrowingLeaders(new Random(seed * 13)));
     }
 
     /**
-     * Seen: what a worker that had started again did counted as known, since the agent told it what
-     * was recorded of its former life. Workers that crash come back under their ids.
+     * Guards against lost ends of a restarted worker, which the agent told what was recorded of its
+     * former incarnation. Workers that crash restart under their ids.
      */
     @Test
     public void noDayOnWhichWorkersKeepTheirIdsBreaksARule() {
-        playSeeds(seed -> new SimulatedDay(seed).withKeptWorkerIds());
+        assertNoViolations(seed -> new SimulatedDay(seed).withKeptWorkerIds());
     }
 
     /**
-     * Seen: three jobs were taken for stuck that waited for room at the first look and had ended by
-     * the second, since no task of theirs was at work at either.
+     * Guards against false STUCK violations: three jobs waited for capacity at the first check and
+     * had completed by the second, so none of their tasks was running at either.
      */
     @Test
     public void jobsThatWaitForRoomAndThenEndAreNotStuck() {
-        assertEquals(List.of(), new SimulatedDay(WAITING_SEED).withKeptWorkerIds().run());
+        assertEquals(List.of(), new SimulatedDay(WAITING_JOBS_SEED).withKeptWorkerIds().run());
     }
 
     /**
-     * Seen: 842 tasks were started in two halls that the operator had evacuated, since nothing read
-     * the request. Starts under way, repeated ones and those that a new leader orders count too.
+     * Guards against starts in evacuated halls: 842 tasks were started in two halls, as no process
+     * read the request. Starts in progress, repeated ones and those of a new leader are checked
+     * too.
      */
     @Test
     public void noDayOnWhichHallsAreEvacuatedBreaksARule() {
-        playSeeds(seed -> new SimulatedDay(seed).withEvacuations(new Random(seed * 19)));
+        assertNoViolations(seed -> new SimulatedDay(seed).withEvacuations(new Random(seed * 19)));
     }
 
-    /** Several kinds of trouble at once, each drawn on its own. */
+    /** Combines suspended machines, throwing leaders and kept worker ids, each drawn separately. */
     @Test
     public void noDayWithAllOfTheseBreaksARule() {
-        playSeeds(
+        assertNoViolations(
                 seed -> {
                     List<SimulatedFault> faults = new SimulatedDay(seed).getFaults();
                     return new SimulatedDay(seed, faults, new Random(seed * 17))
@@ -138,54 +142,57 @@
         assertEquals(first.getTrace(), second.getTrace());
     }
 
-    private static void playSeeds(LongFunction<SimulatedDay> days) {
+    private static void assertNoViolations(LongFunction<SimulatedDay> days) {
         int first = Integer.getInteger("standlink.simulation.first", 1);
-        int count = Integer.getInteger("standlink.simulation.seeds", USUAL_SEEDS);
-        List<String> red = new ArrayList<>();
+        int count = Integer.getInteger("standlink.simulation.seeds", DEFAULT_SEED_COUNT);
+        List<String> failures = new ArrayList<>();
         for (long seed = first; seed < first + count; seed++) {
-            List<String> found = days.apply(seed).run();
-            if (!found.isEmpty()) {
-                red.add("seed " + seed + ": " + found);
+            List<String> violations = days.apply(seed).run();
+            if (!violations.isEmpty()) {
+                failures.add("seed " + seed + ": " + violations);
             }
         }
-        assertEquals(0, red.size(), () -> "of " + count + "\n" + String.join("\n", red));
+        assertEquals(
+                0,
+                failures.size(),
+                () -> "seeds with violations out of " + count + "\n" + String.join("\n", failures));
     }
 
-    /** Leaves out one fault after the other as long as the day still shows what it showed. */
-    private static void trace(long seed) throws IOException {
+    /** Removes faults one by one while the day still shows a violation of the same kind. */
+    private static void writeMinimisedTrace(long seed) throws IOException {
         List<SimulatedFault> faults = new ArrayList<>(new SimulatedDay(seed).getFaults());
-        SimulatedDay last = traced(seed, faults);
-        List<String> found = last.run();
-        String kind = found.isEmpty() ? "" : kindOf(found.get(0));
-        int next = found.isEmpty() ? faults.size() : 0;
+        SimulatedDay lastDay = createTracedDay(seed, faults);
+        List<String> violations = lastDay.run();
+        String kind = violations.isEmpty() ? "" : kindOf(violations.get(0));
+        int next = violations.isEmpty() ? faults.size() : 0;
         while (next < faults.size()) {
             List<SimulatedFault> fewer = new ArrayList<>(faults);
             fewer.remove(next);
-            SimulatedDay trial = traced(seed, fewer);
-            List<String> still = trial.run();
-            if (still.stream().anyMatch(one -> kindOf(one).equals(kind))) {
+            SimulatedDay trial = createTracedDay(seed, fewer);
+            List<String> trialViolations = trial.run();
+            if (trialViolations.stream().anyMatch(violation -> kindOf(violation).equals(kind))) {
                 faults = fewer;
-                last = trial;
-                found = still;
+                lastDay = trial;
+                violations = trialViolations;
                 next = 0;
             } else {
                 next++;
             }
         }
-        List<String> lines = new ArrayList<>(last.getTrace());
+        List<String> lines = new ArrayList<>(lastDay.getTrace());
         lines.add("faults " + faults);
-        lines.add("found " + found);
+        lines.add("violations " + violations);
         Files.write(Path.of("target", "simulation-" + seed + ".txt"), lines);
     }
 
-    private static SimulatedDay traced(long seed, List<SimulatedFault> faults) {
+    private static SimulatedDay createTracedDay(long seed, List<SimulatedFault> faults) {
         SimulatedDay day = new SimulatedDay(seed, faults);
         return "kept".equals(System.getProperty("standlink.simulation.ids"))
                 ? day.withKeptWorkerIds()
                 : day;
     }
 
-    private static String kindOf(String found) {
-        return found.split(" ")[1];
+    private static String kindOf(String violation) {
+        return violation.split(" ")[1];
     }
 }
--- a/src/test/java/org/standlink/simulation/TestDelayedStarts.java
+++ b/src/test/java/org/standlink/simulation/TestDelayedStarts.java
@@ -22,57 +22,56 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a start that a worker carries out late does not bring back a run that was given up.
+ * Tests that a start call that a worker executes late does not revive a released run.
  *
- * <p>Seen: on random days of the simulated cell, a run began seconds after its task had been done
- * elsewhere, or beside a run that had taken its place, or on a worker whose room was given again.
+ * <p>Guards against runs that start seconds after their task has been completed elsewhere, beside
+ * the run that replaced them, or on a worker whose capacity has been assigned again: a worker is
+ * unresponsive for longer than its lease just after its agent has called it to start a run. The
+ * lease expires, the run is released, and the task is completed on another worker. Then the worker
+ * answers again, its lease is extended, and only then does it execute the call. The cause was that
+ * the call named only the epoch, which had not changed, so the worker could not detect that the
+ * call was superseded. The lease end in the call is past, but the specification of workers does not
+ * say that it counts once the lease has been extended by another call.
  *
- * <p>How it came about: a worker was silent for longer than its lease just after its agent had
- * called it to start a run. The lease was taken for over, the run was given up and the task was
- * done on another worker. Then the worker answered again and was told to hold its runs, and only
- * then it carried out the call to start.
- *
- * <p>Cause: the call named the epoch alone, which had not changed, so the worker could not tell
- * that it was void. The time up to which the call let the run go on was past, but the worker's page
- * does not say that this counts once the worker holds its runs for longer.
- *
- * <p>Proof: a real leader and two real agents; the call to start is carried out at every half
- * second from the worker's return to the longest time that such a call takes.
+ * <p>A real leader runs with two real agents. The start call is executed at each half second from
+ * the moment the worker answers again to the longest delay of such a call.
  */
 public class TestDelayedStarts {
 
-    private static final long SILENT_MILLIS = 7300;
-    private static final long LONGEST_LATE_MILLIS = 12_000;
+    private static final long UNRESPONSIVE_MILLIS = 7300;
+    private static final long MAX_DELAY_MILLIS = 12_000;
 
-    private static List<String> play(long lateMillis, long workMillis) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.runUntil(1500);
+    private static List<String> run(long delayMillis, long workMillis) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 2, false);
+        environment.runUntil(1500);
         SimulatedMachine first = cell.getMachines().get(0);
-        first.getWorkerClient().makeUnresponsive(SILENT_MILLIS, lateMillis);
-        world.runUntil(1550);
+        first.getWorkerClient().makeUnresponsive(UNRESPONSIVE_MILLIS, delayMillis);
+        environment.runUntil(1550);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, workMillis));
-        world.runUntil(1550 + LONGEST_LATE_MILLIS + 3000);
+        environment.runUntil(1550 + MAX_DELAY_MILLIS + 3000);
         return cell.getInvariantChecker().finish();
     }
 
-    private static List<String> playAll(long workMillis) {
-        List<String> found = new ArrayList<>();
-        for (long late = SILENT_MILLIS; late <= LONGEST_LATE_MILLIS; late += 500) {
-            for (String one : play(late, workMillis)) {
-                found.add("late by " + late + ": " + one);
+    private static List<String> runAll(long workMillis) {
+        List<String> violations = new ArrayList<>();
+        for (long delayMillis = UNRESPONSIVE_MILLIS;
+                delayMillis <= MAX_DELAY_MILLIS;
+                delayMillis += 500) {
+            for (String violation : run(delayMillis, workMillis)) {
+                violations.add("delayed by " + delayMillis + ": " + violation);
             }
         }
-        return found;
+        return violations;
     }
 
     @Test
     public void aTaskCompletedElsewhereIsNotStartedAgain() {
-        assertEquals(List.of(), playAll(500));
+        assertEquals(List.of(), runAll(500));
     }
 
     @Test
     public void aTaskRunningElsewhereIsNotStartedTwice() {
-        assertEquals(List.of(), playAll(0));
+        assertEquals(List.of(), runAll(0));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestFrozenAgent.java
+++ b/src/test/java/org/standlink/simulation/TestFrozenAgent.java
@@ -22,56 +22,54 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that an agent that stood still does not start what was given up meanwhile.
+ * Tests that an agent that was frozen does not start runs that were released meanwhile.
  *
- * <p>Seen: on random days of the simulated cell, a run began on a worker two seconds after its task
- * had been done on another one.
- *
- * <p>How it came about: an agent stood still, for longer than its lease. An order that had come
- * meanwhile waited in its queue. The leader gave the run up when the lease was over in its book,
- * and the task was done elsewhere. Then the agent went on: its first call was too late for the
- * worker, it took its next lease and called again.
- *
- * <p>Cause: as in {@link TestOrdersAfterLeaseExpiry}; neither the store nor the leader is hindered
+ * <p>Guards against runs that start seconds after their task has been completed elsewhere: an agent
+ * is frozen for longer than its lease with an order in its queue. The leader releases the run once
+ * the lease has expired, and the task is completed on another worker. When the agent resumes, its
+ * first start call is too late for the worker, but it gets its next lease and calls again. The
+ * cause is that of {@link TestOrdersAfterLeaseExpiry}; neither the store nor the leader is at fault
  * here.
  *
- * <p>Proof: a real leader and two real agents, one of which stands still for different times; its
- * messages and timers then run all at once.
+ * <p>A real leader runs with two real agents, one of which is frozen for various times. Its
+ * messages and timers are then all processed at once.
  */
 public class TestFrozenAgent {
 
-    private static final long FIRST_MILLIS = 5500;
-    private static final long LAST_MILLIS = 11_000;
+    private static final long MIN_FREEZE_MILLIS = 5500;
+    private static final long MAX_FREEZE_MILLIS = 11_000;
     private static final long STEP_MILLIS = 100;
 
-    private static List<String> play(long millis, long workMillis) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.runUntil(4000);
-        cell.getMachines().get(0).freezeAgent(millis);
-        world.runUntil(4500);
+    private static List<String> run(long freezeMillis, long workMillis) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 2, false);
+        environment.runUntil(4000);
+        cell.getMachines().get(0).freezeAgent(freezeMillis);
+        environment.runUntil(4500);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, workMillis));
-        world.runUntil(4000 + millis + 3000);
+        environment.runUntil(4000 + freezeMillis + 3000);
         return cell.getInvariantChecker().finish();
     }
 
-    private static List<String> playAll(long workMillis) {
-        List<String> found = new ArrayList<>();
-        for (long millis = FIRST_MILLIS; millis <= LAST_MILLIS; millis += STEP_MILLIS) {
-            for (String one : play(millis, workMillis)) {
-                found.add("still for " + millis + ": " + one);
+    private static List<String> runAll(long workMillis) {
+        List<String> violations = new ArrayList<>();
+        for (long freezeMillis = MIN_FREEZE_MILLIS;
+                freezeMillis <= MAX_FREEZE_MILLIS;
+                freezeMillis += STEP_MILLIS) {
+            for (String violation : run(freezeMillis, workMillis)) {
+                violations.add("frozen for " + freezeMillis + ": " + violation);
             }
         }
-        return found;
+        return violations;
     }
 
     @Test
     public void aTaskCompletedElsewhereIsNotStartedAgain() {
-        assertEquals(List.of(), playAll(500));
+        assertEquals(List.of(), runAll(500));
     }
 
     @Test
     public void aTaskRunningElsewhereIsNotStartedTwice() {
-        assertEquals(List.of(), playAll(0));
+        assertEquals(List.of(), runAll(0));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestFrozenLeader.java
+++ b/src/test/java/org/standlink/simulation/TestFrozenLeader.java
@@ -22,58 +22,55 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a leader that stood still for as long as a lease gives no run that it then takes for
- * over.
+ * Tests that a leader that was frozen for as long as a lease assigns no run that it then releases.
  *
- * <p>Seen: on random days of the simulated cell, runs 1 and 2 of a task began on two workers within
- * half a second after the leader had gone on.
+ * <p>Guards against two concurrent runs of a task within half a second after the leader resumes:
+ * the leader is frozen for longer than its authority. It then handles the reports received
+ * meanwhile without granting leases, as its last contact to the store is too old, assigns runs to
+ * the workers, and releases these runs at its next check of leases. The agents keep the orders and
+ * start the runs under their next lease. The cause is that of {@link TestOrdersAfterLeaseExpiry};
+ * the store is always available here.
  *
- * <p>How it came about: the leader stood still for longer than its authority. When it went on, it
- * handled the reports that had come meanwhile without granting a lease, since it had not heard of
- * the store for so long, gave the workers runs, and took these for over with its next look at
- * leases. The agents kept the orders and started them with their next lease.
- *
- * <p>Cause: as in {@link TestOrdersAfterLeaseExpiry}; here the store is never away.
- *
- * <p>Proof: a real leader that stands still for every time, in tenths of a second, from its
- * authority to somewhat more than authority and a lease together; its messages and timers then run
- * all at once.
+ * <p>A real leader is frozen for each tenth of a second from its authority to somewhat more than
+ * authority and a lease together. Its messages and timers are then all processed at once.
  */
 public class TestFrozenLeader {
 
-    private static final long FIRST_MILLIS = 3000;
-    private static final long LAST_MILLIS = 10_000;
+    private static final long MIN_FREEZE_MILLIS = 3000;
+    private static final long MAX_FREEZE_MILLIS = 10_000;
     private static final long STEP_MILLIS = 100;
 
-    private static List<String> play(long millis, boolean whole) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 1, false);
-        world.runUntil(250);
+    private static List<String> run(long freezeMillis, boolean wholeProcess) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 1, false);
+        environment.runUntil(250);
         cell.addMachine(false);
-        world.runUntil(4000);
-        cell.newestLeader().freeze(millis, whole);
+        environment.runUntil(4000);
+        cell.newestLeader().freeze(freezeMillis, wholeProcess);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 3, 0));
-        world.runUntil(4000 + millis + 3000);
+        environment.runUntil(4000 + freezeMillis + 3000);
         return cell.getInvariantChecker().finish();
     }
 
-    private static List<String> playAll(boolean whole) {
-        List<String> found = new ArrayList<>();
-        for (long millis = FIRST_MILLIS; millis <= LAST_MILLIS; millis += STEP_MILLIS) {
-            for (String one : play(millis, whole)) {
-                found.add("still for " + millis + ": " + one);
+    private static List<String> runAll(boolean wholeProcess) {
+        List<String> violations = new ArrayList<>();
+        for (long freezeMillis = MIN_FREEZE_MILLIS;
+                freezeMillis <= MAX_FREEZE_MILLIS;
+                freezeMillis += STEP_MILLIS) {
+            for (String violation : run(freezeMillis, wholeProcess)) {
+                violations.add("frozen for " + freezeMillis + ": " + violation);
             }
         }
-        return found;
+        return violations;
     }
 
     @Test
     public void aLeaderWhoseProcessWasFrozenCausesNoTwoRunsOfOneTask() {
-        assertEquals(List.of(), playAll(true));
+        assertEquals(List.of(), runAll(true));
     }
 
     @Test
     public void aLeaderWhoseLoopWasFrozenCausesNoTwoRunsOfOneTask() {
-        assertEquals(List.of(), playAll(false));
+        assertEquals(List.of(), runAll(false));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestIncarnationsUnderOneId.java
+++ b/src/test/java/org/standlink/simulation/TestIncarnationsUnderOneId.java
@@ -27,45 +27,42 @@
 import org.standlink.job.TaskName;
 
 /**
- * Tests that what is known of a worker is not taken for known of its next life under the same id.
+ * Tests that the state of a worker is not taken for that of its next incarnation under the same id.
  *
- * <p>Seen: a worker crashed and started again under its id. Tasks that were done there began again
- * elsewhere, two seconds after their ends had been noted. Tasks that were to last, and that had
- * been at work there, did not run again at all.
+ * <p>Guards against two faults after a worker crashed and restarted under its id: completed tasks
+ * started again elsewhere, two seconds after their ends had been recorded, and long-running tasks
+ * that had run there were never started again.
  *
- * <p>How it came about: the numbers of a worker's ends start anew with each life. The agent went on
- * telling the worker that its ends up to the last recorded one of its former life were recorded, so
- * it forgot as many of its own before anybody had heard of them; the leader took their runs for
- * ones that stand still and gave them to others. What had run in the former life was taken to be at
- * work still, and nothing ever asked the worker for it again.
- *
- * <p>Cause: an id was taken for a life, by the agent and by the leader.
- *
- * <p>Proof: with 17 ends recorded before the crash, the first end of the new life that the leader
- * heard of was its 18th, and the worker's clock seemed to jump ahead by 1,641 s.
+ * <p>The numbers of a worker's ends restart with each incarnation. The agent went on acknowledging
+ * the ends up to the last recorded one of the former incarnation, so the worker discarded as many
+ * of its own before they were reported; the leader took their runs for stalled and assigned the
+ * tasks elsewhere. Runs of the former incarnation were considered still running and were not
+ * requested again. With 17 ends recorded before the crash, the first end of the new incarnation
+ * that the leader received was its 18th, and the clock of the worker seemed to jump ahead by 1,641
+ * seconds. The cause was that agent and leader identified an incarnation by the id of its worker.
  */
 public class TestIncarnationsUnderOneId {
 
     private static final long CRASH_AT_MILLIS = 5000;
-    private static final long FIRST_BACK_MILLIS = 50;
-    private static final long LAST_BACK_MILLIS = 2000;
+    private static final long MIN_RESTART_MILLIS = 50;
+    private static final long MAX_RESTART_MILLIS = 2000;
     private static final long STEP_MILLIS = 150;
-    private static final long BOUND_MILLIS = 6000;
-    private static final int BEFORE = 5;
-    private static final int AFTER = 4;
+    private static final long MAX_RECOVERY_MILLIS = 6000;
+    private static final int JOBS_BEFORE_CRASH = 5;
+    private static final int JOBS_AFTER_CRASH = 4;
 
-    private static SimulatedCell cell() {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 2, false);
+    private static SimulatedCell startCell() {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 2, false);
         cell.getMachines().forEach(SimulatedMachine::keepWorkerId);
-        world.runUntil(1500);
+        environment.runUntil(1500);
         return cell;
     }
 
-    private static void startAgain(SimulatedCell cell, long backMillis) {
+    private static void restartWorkers(SimulatedCell cell, long restartMillis) {
         cell.getEnvironment().runUntil(CRASH_AT_MILLIS);
         cell.getMachines().forEach(SimulatedMachine::crashWorker);
-        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + backMillis);
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + restartMillis);
         cell.getMachines().forEach(SimulatedMachine::startWorker);
     }
 
@@ -76,59 +73,65 @@
         return job;
     }
 
-    /** Several jobs end before the crash, so that numbers of ends are recorded of both workers. */
-    private static List<String> playShortJobs(long backMillis) {
-        SimulatedCell cell = cell();
-        SimulationEnvironment world = cell.getEnvironment();
+    /** Completes several jobs before the crash, so that ends of both workers are recorded. */
+    private static List<String> runShortJobs(long restartMillis) {
+        SimulatedCell cell = startCell();
+        SimulationEnvironment environment = cell.getEnvironment();
         List<JobDefinition> jobs = new ArrayList<>();
-        for (int i = 0; i < BEFORE; i++) {
+        for (int i = 0; i < JOBS_BEFORE_CRASH; i++) {
             jobs.add(submit(cell, i + 1, 4, 200));
-            world.runUntil(1500 + 600 * (i + 1));
+            environment.runUntil(1500 + 600 * (i + 1));
         }
-        startAgain(cell, backMillis);
-        for (int i = 0; i < AFTER; i++) {
-            jobs.add(submit(cell, BEFORE + i + 1, 2, 300));
-            world.runUntil(CRASH_AT_MILLIS + backMillis + 500 * (i + 1));
+        restartWorkers(cell, restartMillis);
+        for (int i = 0; i < JOBS_AFTER_CRASH; i++) {
+            jobs.add(submit(cell, JOBS_BEFORE_CRASH + i + 1, 2, 300));
+            environment.runUntil(CRASH_AT_MILLIS + restartMillis + 500 * (i + 1));
         }
-        world.runUntil(CRASH_AT_MILLIS + backMillis + 10_000);
+        environment.runUntil(CRASH_AT_MILLIS + restartMillis + 10_000);
         List<Optional<JobState>> states = new ArrayList<>();
         jobs.forEach(job -> cell.getCallers().queryState(job.id(), states::add));
-        world.runUntil(world.elapsed() + 1000);
-        List<String> found = new ArrayList<>(cell.getInvariantChecker().finish());
+        environment.runUntil(environment.elapsed() + 1000);
+        List<String> violations = new ArrayList<>(cell.getInvariantChecker().finish());
         if (!states.stream().allMatch(Optional.of(JobState.COMPLETED)::equals)) {
-            found.add("states " + states);
+            violations.add("states " + states);
         }
-        return found;
+        return violations;
     }
 
-    private static List<TaskName> idleAfter(long backMillis) {
-        SimulatedCell cell = cell();
+    private static List<TaskName> listIdleTasks(long restartMillis) {
+        SimulatedCell cell = startCell();
         JobDefinition job = submit(cell, 1, 6, 0);
         cell.getEnvironment().runUntil(CRASH_AT_MILLIS - 100);
         List<TaskName> tasks = SimulatedCallers.listTasks(job);
         assertTrue(
-                tasks.stream().allMatch(cell.getInvariantChecker()::isRunning), "all are at work");
-        startAgain(cell, backMillis);
-        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + backMillis + BOUND_MILLIS);
+                tasks.stream().allMatch(cell.getInvariantChecker()::isRunning),
+                "all tasks are running");
+        restartWorkers(cell, restartMillis);
+        cell.getEnvironment().runUntil(CRASH_AT_MILLIS + restartMillis + MAX_RECOVERY_MILLIS);
         assertEquals(List.of(), cell.getInvariantChecker().finish());
         return tasks.stream().filter(task -> !cell.getInvariantChecker().isRunning(task)).toList();
     }
 
     @Test
     public void tasksCompletedAfterAWorkerRestartAreNotStartedAgain() {
-        List<String> found = new ArrayList<>();
-        for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
-            for (String one : playShortJobs(back)) {
-                found.add("back after " + back + ": " + one);
+        List<String> violations = new ArrayList<>();
+        for (long restartMillis = MIN_RESTART_MILLIS;
+                restartMillis <= MAX_RESTART_MILLIS;
+                restartMillis += STEP_MILLIS) {
+            for (String violation : runShortJobs(restartMillis)) {
+                violations.add("restarted after " + restartMillis + ": " + violation);
             }
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), violations);
     }
 
     @Test
     public void longRunningTasksRunAgainAfterAWorkerRestart() {
-        for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
-            assertEquals(List.of(), idleAfter(back), "back after " + back);
+        for (long restartMillis = MIN_RESTART_MILLIS;
+                restartMillis <= MAX_RESTART_MILLIS;
+                restartMillis += STEP_MILLIS) {
+            assertEquals(
+                    List.of(), listIdleTasks(restartMillis), "restarted after " + restartMillis);
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/TestIncarnationsWithoutALease.java
+++ b/src/test/java/org/standlink/simulation/TestIncarnationsWithoutALease.java
@@ -24,71 +24,80 @@
 import org.standlink.JobId;
 
 /**
- * Tests that a worker's life that the leader came to know without granting a lease is given no run
- * that the leader then takes for over.
+ * Tests that no run is assigned to an incarnation of a worker for which no lease has been granted,
+ * as the leader would release that run at once.
  *
- * <p>Seen: on random days of the simulated cell, a run began on a worker that had just crashed and
- * come back, and within a tenth of a second the next run of the task began.
+ * <p>Guards against two runs of a task that start within a tenth of a second on a worker that has
+ * just crashed and restarted: the store is unavailable, so the leader grants no lease when the
+ * agent reports the new incarnation, but the agent still has an earlier lease. When the store is
+ * back, the leader assigns a run to the new incarnation, which the agent starts at once, and
+ * releases it at its next check of leases. The cause is that an agent has one lease for all its
+ * workers, while the leader records one for each incarnation; that of a new incarnation has expired
+ * from the beginning, and it was not checked before a run was assigned.
  *
- * <p>How it came about: the store was away, so the leader granted nothing when the agent reported
- * the new life. The agent still had a lease of before. When the store came back, the leader gave
- * the new life a run, which the agent started at once, and with its next look at leases the leader
- * took that run for over.
- *
- * <p>Cause: an agent's lease is one for all its workers, while the leader's book has one for each
- * life, and that of a new life was past from the beginning. Nothing checked it before a run was
- * given.
- *
- * <p>Proof: a real leader and two real agents; the store goes away and comes back at many moments,
- * among them some at which it comes back between a report and the leader's next look at leases.
+ * <p>A real leader runs with two real agents. The store fails and recovers at many moments, some of
+ * them between a report and the next check of leases.
  */
 public class TestIncarnationsWithoutALease {
 
     private static final JobId JOB = JobId.parse("aaaaaaaaaaaaaaaa");
-    private static final long ASK_MILLIS = 5;
+    private static final long QUERY_INTERVAL_MILLIS = 5;
     private static final int TASKS = 6;
-    private static final long FIRST_AWAY_MILLIS = 4100;
-    private static final long LAST_AWAY_MILLIS = 4300;
+    private static final long MIN_OUTAGE_START_MILLIS = 4100;
+    private static final long MAX_OUTAGE_START_MILLIS = 4300;
     private static final long CRASH_AT_MILLIS = 7600;
-    private static final long FIRST_BACK_MILLIS = 8900;
-    private static final long LAST_BACK_MILLIS = 9100;
+    private static final long MIN_OUTAGE_END_MILLIS = 8900;
+    private static final long MAX_OUTAGE_END_MILLIS = 9100;
     private static final long STEP_MILLIS = 25;
 
-    private static SimulatedCell play(long awayMillis, long backMillis) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 0, false);
-        // Reports are to come half-way between the leader's looks at leases.
-        world.runUntil(50);
+    private static SimulatedCell run(long outageStartMillis, long outageEndMillis) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 0, false);
+        // Reports arrive half-way between two checks of leases by the leader.
+        environment.runUntil(50);
         cell.addMachine(false);
         cell.addMachine(false);
-        // The job fills both workers, so that what runs on the first can only go on there.
-        world.runUntil(1500);
+        // The job fills both workers, so the runs of the first worker can only continue there.
+        environment.runUntil(1500);
         cell.getCallers().submit(SimulatedCallers.createJob(JOB.toString(), TASKS, 0));
-        world.runUntil(awayMillis);
-        cell.getStoreFaults().refuseCalls(backMillis - awayMillis);
-        world.runUntil(CRASH_AT_MILLIS);
+        environment.runUntil(outageStartMillis);
+        cell.getStoreFaults().refuseCalls(outageEndMillis - outageStartMillis);
+        environment.runUntil(CRASH_AT_MILLIS);
         SimulatedMachine first = cell.getMachines().get(0);
         first.crashWorker();
-        world.runUntil(CRASH_AT_MILLIS + 300);
+        environment.runUntil(CRASH_AT_MILLIS + 300);
         first.startWorker();
-        // The leader decides whenever somebody asks, not only with its looks at leases.
-        world.scheduleRepeating(ASK_MILLIS, () -> cell.getCallers().queryState(JOB, state -> {}));
-        world.runUntil(backMillis + 1500);
+        // The leader makes decisions at each query, not only at its checks of leases.
+        environment.scheduleRepeating(
+                QUERY_INTERVAL_MILLIS, () -> cell.getCallers().queryState(JOB, state -> {}));
+        environment.runUntil(outageEndMillis + 1500);
         return cell;
     }
 
     @Test
     public void noRunIsAssignedToAnIncarnationWithoutALease() {
-        List<String> found = new ArrayList<>();
-        for (long away = FIRST_AWAY_MILLIS; away <= LAST_AWAY_MILLIS; away += STEP_MILLIS) {
-            for (long back = FIRST_BACK_MILLIS; back <= LAST_BACK_MILLIS; back += STEP_MILLIS) {
-                SimulatedCell cell = play(away, back);
-                for (String one : cell.getInvariantChecker().finish()) {
-                    found.add("away at " + away + ", back at " + back + ": " + one);
+        List<String> violations = new ArrayList<>();
+        for (long outageStart = MIN_OUTAGE_START_MILLIS;
+                outageStart <= MAX_OUTAGE_START_MILLIS;
+                outageStart += STEP_MILLIS) {
+            for (long outageEnd = MIN_OUTAGE_END_MILLIS;
+                    outageEnd <= MAX_OUTAGE_END_MILLIS;
+                    outageEnd += STEP_MILLIS) {
+                SimulatedCell cell = run(outageStart, outageEnd);
+                for (String violation : cell.getInvariantChecker().finish()) {
+                    violations.add(
+                            "store unavailable from "
+                                    + outageStart
+                                    + " to "
+                                    + outageEnd
+                                    + ": "
+                                    + violation);
                 }
-                assertTrue(cell.getInvariantChecker().countStarts() > TASKS, "tasks ran again");
+                assertTrue(
+                        cell.getInvariantChecker().countStarts() > TASKS,
+                        "tasks were started again");
             }
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), violations);
     }
 }
