--- a/src/test/java/org/standlink/simulation/TestInvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/TestInvariantChecker.java
@@ -28,22 +28,22 @@
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerIncarnation;
 
-/** Tests that what breaks a rule is found, and that the rules' exceptions are heeded. */
+/** Tests that violations are found, and that what the invariants allow is not reported. */
 public class TestInvariantChecker {
 
     private static final TaskName TASK = TaskName.parse("aaaaaaaaaaaaaaaa.0.0.0");
     private static final RunId FIRST = new RunId(TASK, 1);
     private static final RunId SECOND = new RunId(TASK, 2);
 
-    private final SimulationEnvironment world = new SimulationEnvironment();
-    private final InvariantChecker referee = new InvariantChecker(world);
-    private final SimulatedWorker one = life("i-1");
-    private final SimulatedWorker two = life("i-2");
+    private final SimulationEnvironment environment = new SimulationEnvironment();
+    private final InvariantChecker checker = new InvariantChecker(environment);
+    private final SimulatedWorker firstWorker = newWorker("i-1");
+    private final SimulatedWorker secondWorker = newWorker("i-2");
 
-    private SimulatedWorker life(String id) {
+    private SimulatedWorker newWorker(String id) {
         return new SimulatedWorker(
-                world,
-                referee,
+                environment,
+                checker,
                 WorkerIncarnation.parse(id + "@1000"),
                 HallId.parse("h"),
                 new Resources(1000, 1000, 0),
@@ -51,156 +51,156 @@
     }
 
     private void assertFound(String... kinds) {
-        List<String> found = referee.finish();
-        assertEquals(kinds.length, found.size(), found::toString);
+        List<String> violations = checker.finish();
+        assertEquals(kinds.length, violations.size(), violations::toString);
         for (int i = 0; i < kinds.length; i++) {
-            assertTrue(found.get(i).contains(kinds[i]), found::toString);
+            assertTrue(violations.get(i).contains(kinds[i]), violations::toString);
         }
     }
 
     @Test
     public void twoRunsOfATaskAtOnceAreFound() {
-        referee.recordStart(one, FIRST, false);
-        referee.recordStart(two, SECOND, false);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordStart(secondWorker, SECOND, false);
         assertFound("TWICE");
     }
 
     @Test
     public void oneRunOnTwoWorkersIsFound() {
-        referee.recordStart(one, FIRST, false);
-        referee.recordStart(two, FIRST, false);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordStart(secondWorker, FIRST, false);
         assertFound("TWICE");
     }
 
     @Test
     public void aRunAfterOneLostWithItsWorkerIsAllowed() {
-        referee.recordStart(one, FIRST, false);
-        referee.recordLostRun(one, FIRST);
-        referee.recordStart(two, SECOND, false);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordLostRun(firstWorker, FIRST);
+        checker.recordStart(secondWorker, SECOND, false);
         assertFound();
     }
 
     @Test
     public void theThirdStartOfATaskAfterThreeCrashesUnderItIsFound() {
         for (int number = 1; number <= 5; number++) {
-            begunAndCrashed(number);
+            startAndCrash(number);
         }
         assertFound();
-        begunAndCrashed(6);
+        startAndCrash(6);
         assertFound("CRASHES");
     }
 
-    private void begunAndCrashed(int number) {
+    private void startAndCrash(int number) {
         RunId run = new RunId(TASK, number);
-        referee.recordStart(one, run, false);
-        referee.recordCrash(TASK);
-        referee.recordLostRun(one, run);
+        checker.recordStart(firstWorker, run, false);
+        checker.recordCrash(TASK);
+        checker.recordLostRun(firstWorker, run);
     }
 
     @Test
     public void aStartInAnEvacuatedHallIsFoundAfterTheTimeToReadTheRequest() {
-        referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), true));
-        world.runUntil(2500);
-        referee.recordStart(one, FIRST, false);
+        checker.evacuationAcknowledged(new EvacuationChange(firstWorker.getHall(), true));
+        environment.runUntil(2500);
+        checker.recordStart(firstWorker, FIRST, false);
         assertFound();
-        referee.recordLostRun(one, FIRST);
-        world.runUntil(2600);
-        referee.recordStart(one, SECOND, true);
+        checker.recordLostRun(firstWorker, FIRST);
+        environment.runUntil(2600);
+        checker.recordStart(firstWorker, SECOND, true);
         assertFound();
-        referee.recordLostRun(one, SECOND);
-        referee.recordStart(one, new RunId(TASK, 3), false);
+        checker.recordLostRun(firstWorker, SECOND);
+        checker.recordStart(firstWorker, new RunId(TASK, 3), false);
         assertFound("EVAC");
-        referee.recordLostRun(one, new RunId(TASK, 3));
-        referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), false));
-        referee.recordStart(one, new RunId(TASK, 4), false);
+        checker.recordLostRun(firstWorker, new RunId(TASK, 3));
+        checker.evacuationAcknowledged(new EvacuationChange(firstWorker.getHall(), false));
+        checker.recordStart(firstWorker, new RunId(TASK, 4), false);
         assertFound("EVAC");
     }
 
     @Test
     public void aStartAfterASuccessfulEndThatIsRecordedLaterIsFound() {
-        endWellAndBeginAgain();
-        referee.recordPersistedEnds(one, 1);
+        succeedAndStartAgain();
+        checker.recordPersistedEnds(firstWorker, 1);
         assertFound("AGAIN");
     }
 
     @Test
     public void aStartAfterASuccessfulEndThatIsNeverRecordedIsAllowed() {
-        endWellAndBeginAgain();
+        succeedAndStartAgain();
         assertFound();
     }
 
     @Test
     public void aSuccessfulEndIsIgnoredOnceTheLeaseHasExpired() {
-        endWellAndBeginAgain();
-        referee.recordLapse(one);
-        referee.recordPersistedEnds(one, 1);
+        succeedAndStartAgain();
+        checker.recordLapse(firstWorker);
+        checker.recordPersistedEnds(firstWorker, 1);
         assertFound();
     }
 
-    private void endWellAndBeginAgain() {
-        referee.recordStart(one, FIRST, false);
-        world.runUntil(100);
-        referee.recordEnd(one, FIRST, RunEndKind.DONE, 1);
-        world.runUntil(200);
-        referee.recordStart(two, SECOND, false);
+    private void succeedAndStartAgain() {
+        checker.recordStart(firstWorker, FIRST, false);
+        environment.runUntil(100);
+        checker.recordEnd(firstWorker, FIRST, RunEndKind.DONE, 1);
+        environment.runUntil(200);
+        checker.recordStart(secondWorker, SECOND, false);
     }
 
     @Test
     public void aRunStartedLongAfterTheCancelIsFound() {
-        referee.cancelAcknowledged(TASK.job());
-        world.runUntil(3200);
-        referee.recordStart(one, FIRST, false);
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(3200);
+        checker.recordStart(firstWorker, FIRST, false);
         assertFound("UNASKED");
     }
 
     @Test
     public void aRunStartedSoonAfterTheCancelIsAllowed() {
-        referee.cancelAcknowledged(TASK.job());
-        world.runUntil(2900);
-        referee.recordStart(one, FIRST, false);
-        world.runUntil(3300);
-        referee.recordEnd(one, FIRST, RunEndKind.STOPPED, 1);
-        world.runUntil(9000);
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(2900);
+        checker.recordStart(firstWorker, FIRST, false);
+        environment.runUntil(3300);
+        checker.recordEnd(firstWorker, FIRST, RunEndKind.STOPPED, 1);
+        environment.runUntil(9000);
         assertFound();
     }
 
     @Test
     public void aRunStillRunningLongAfterTheCancelIsFoundOnce() {
-        referee.recordStart(one, FIRST, false);
-        referee.cancelAcknowledged(TASK.job());
-        world.runUntil(9000);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(9000);
         assertFound("UNASKED");
     }
 
     @Test
     public void anImpairmentExtendsTheTimeToStopACancelledJob() {
-        referee.recordStart(one, FIRST, false);
-        referee.cancelAcknowledged(TASK.job());
-        referee.recordImpairment(4000);
-        world.runUntil(6900);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.cancelAcknowledged(TASK.job());
+        checker.recordImpairment(4000);
+        environment.runUntil(6900);
         assertFound();
-        world.runUntil(7200);
+        environment.runUntil(7200);
         assertFound("UNASKED");
     }
 
     @Test
     public void aDelayedStartExtendsTheTimeToStopACancelledJob() {
-        referee.cancelAcknowledged(TASK.job());
-        world.runUntil(5000);
-        referee.recordStart(one, FIRST, true);
-        world.runUntil(7900);
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(5000);
+        checker.recordStart(firstWorker, FIRST, true);
+        environment.runUntil(7900);
         assertFound();
-        world.runUntil(8200);
+        environment.runUntil(8200);
         assertFound("UNASKED");
     }
 
     @Test
     public void aWorkerOverItsCapacityIsFound() {
-        referee.checkCapacity(
-                one, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
+        checker.checkCapacity(
+                firstWorker, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
         assertFound();
-        referee.checkCapacity(
-                one, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
+        checker.checkCapacity(
+                firstWorker, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
         assertFound("ROOM");
     }
 }
--- a/src/test/java/org/standlink/simulation/TestLeaseOfUnreportedWorker.java
+++ b/src/test/java/org/standlink/simulation/TestLeaseOfUnreportedWorker.java
@@ -21,43 +21,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a worker keeps its runs under a lease only if the leader knows that it does.
+ * Tests that a lease covers a worker only if a report that the leader has received names it.
  *
- * <p>How it comes about: an agent's process is started anew. Its first reports name no worker, as
- * none has answered it yet; the leader grants a lease for them and prolongs nothing in its book.
- * Then the worker answers, and the way to the leader is cut before the next report. The agent tells
- * the worker to keep its runs until the end of that lease, while the leader gives them up by the
- * last report of the earlier process.
- *
- * <p>Cause: an agent has one lease for all of its workers, whether the report that it was granted
- * for named them or not.
+ * <p>Guards against runs that outlive their release: a restarted agent process sends reports that
+ * name no worker, as none has answered it yet. The leader grants a lease for them, but extends the
+ * lease of no worker in its records. Then the worker answers, and the link to the leader fails
+ * before the next report. If the agent extended the worker's lease to the end of its own, the
+ * leader would release the runs earlier, by the last report of the previous process. The cause is
+ * that an agent has one lease for all of its workers, whether or not the report it was granted for
+ * named them.
  */
 public class TestLeaseOfUnreportedWorker {
 
     private static final long END_MILLIS = 4000;
     private static final long RESTART_MILLIS = 5500;
-    private static final long UNHEARD_MILLIS = 900;
-    private static final long CUT_MILLIS = 800;
+    private static final long UNRESPONSIVE_MILLIS = 900;
+    private static final long PARTITION_DELAY_MILLIS = 800;
 
     @Test
     public void aLeaseDoesNotCoverAWorkerThatNoReportHasNamed() {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 1, false);
-        world.runUntil(1000);
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 1, false);
+        environment.runUntil(1000);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 1, 0));
-        world.runUntil(2000);
+        environment.runUntil(2000);
         cell.addMachine(false);
-        world.runUntil(END_MILLIS);
+        environment.runUntil(END_MILLIS);
         SimulatedMachine machine = cell.getMachines().get(0);
         machine.endAgent();
-        world.runUntil(RESTART_MILLIS);
-        machine.getWorkerClient().makeUnresponsive(UNHEARD_MILLIS);
+        environment.runUntil(RESTART_MILLIS);
+        machine.getWorkerClient().makeUnresponsive(UNRESPONSIVE_MILLIS);
         machine.startAgent(cell.newestLeaderNotice());
-        world.runUntil(RESTART_MILLIS + CUT_MILLIS);
+        environment.runUntil(RESTART_MILLIS + PARTITION_DELAY_MILLIS);
         machine.getUplink().loseMessages(20_000);
         machine.getDownlink().loseMessages(20_000);
-        world.runUntil(RESTART_MILLIS + 15_000);
-        List<String> found = cell.getInvariantChecker().finish();
-        assertEquals(List.of(), found, () -> String.join("\n", world.getTrace()));
+        environment.runUntil(RESTART_MILLIS + 15_000);
+        List<String> violations = cell.getInvariantChecker().finish();
+        assertEquals(List.of(), violations, () -> String.join("\n", environment.getTrace()));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestOrdersAfterLeaseExpiry.java
+++ b/src/test/java/org/standlink/simulation/TestOrdersAfterLeaseExpiry.java
@@ -23,65 +23,72 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that an order does not outlive the lease under which the leader gave it.
+ * Tests that an order is not executed after the lease under which the leader gave it.
  *
- * <p>Seen: the store was away for as long as a leader's authority and a lease together. Within half
- * a second of its return, runs 2 and 3 of one task began on two workers; run 2 was stopped half a
- * second later.
+ * <p>Guards against two concurrent runs of a task: the store was unavailable for as long as leader
+ * authority and a lease together, so all leases expired and run 1 lapsed. When the store was back,
+ * the leader assigned run 2 to a worker whose agent had just reported, but whose last lease was
+ * about to expire in the leader's records. It expired before the agent's next heartbeat, so the
+ * leader released run 2 and assigned run 3 to another worker. The agent had kept the order for run
+ * 2, as it had no lease itself, and started it under its next lease. The two runs started within
+ * half a second, and run 2 was stopped half a second later. The cause was that nothing bound an
+ * order to the lease under which it was given.
  *
- * <p>How it came about: all leases ran out while the store was away, and run 1 lapsed. When the
- * store came back, the leader gave run 2 to a worker whose agent it had heard just before, but
- * whose last lease was about to run out in the leader's book. It ran out before the agent's next
- * heartbeat, so the leader released run 2 and gave run 3 to another worker. The agent had kept the
- * order for run 2, since it had no lease itself; with its next heartbeat it got one and started it.
- *
- * <p>Cause: nothing bound an order to the lease under which it was given. The leader's release
- * rests on the old lease, while the agent starts a run that it was told of under any later one.
- *
- * <p>Proof: a real leader and two real agents with simulated workers. In the sweep, the store comes
- * back at every tenth of a heartbeat around the end of the leases.
+ * <p>A real leader runs with two real agents and simulated workers. The store recovers at each
+ * tenth of a heartbeat interval around the end of the leases.
  */
 public class TestOrdersAfterLeaseExpiry {
 
-    private static final long FIRST_AWAY_MILLIS = 8400;
-    private static final long LAST_AWAY_MILLIS = 9600;
+    private static final long MIN_OUTAGE_MILLIS = 8400;
+    private static final long MAX_OUTAGE_MILLIS = 9600;
     private static final long STEP_MILLIS = 50;
     private static final long HEARTBEAT_MILLIS = 500;
 
-    /** Plays a day on which the store is away for so long, from so long after a heartbeat. */
-    private static SimulatedCell play(long phaseMillis, long awayMillis) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 1, false);
-        // The agents' heartbeats are to be half a period apart.
-        world.runUntil(250);
+    /**
+     * Runs a cell whose store is unavailable for a time that starts at a phase of the heartbeats.
+     */
+    private static SimulatedCell run(long phaseMillis, long outageMillis) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 1, false);
+        // The heartbeats of the two agents are half an interval apart.
+        environment.runUntil(250);
         cell.addMachine(false);
-        world.runUntil(1500);
+        environment.runUntil(1500);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, 0));
-        world.runUntil(4000 + phaseMillis);
-        cell.getStoreFaults().refuseCalls(awayMillis);
-        world.runUntil(4000 + phaseMillis + awayMillis + 3000);
+        environment.runUntil(4000 + phaseMillis);
+        cell.getStoreFaults().refuseCalls(outageMillis);
+        environment.runUntil(4000 + phaseMillis + outageMillis + 3000);
         return cell;
     }
 
     @Test
     public void aRunReleasedWithItsLeaseIsNotStartedUnderTheNextOne() {
-        SimulatedCell cell = play(0, 8700);
-        List<String> found = cell.getInvariantChecker().finish();
-        assertEquals(List.of(), found, () -> String.join("\n", cell.getEnvironment().getTrace()));
+        SimulatedCell cell = run(0, 8700);
+        List<String> violations = cell.getInvariantChecker().finish();
+        assertEquals(
+                List.of(), violations, () -> String.join("\n", cell.getEnvironment().getTrace()));
     }
 
     @Test
     public void noRecoveryTimeOfTheStoreCausesTwoRunsOfOneTask() {
-        List<String> found = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (long phase = 0; phase < HEARTBEAT_MILLIS; phase += 2 * STEP_MILLIS) {
-            for (long away = FIRST_AWAY_MILLIS; away <= LAST_AWAY_MILLIS; away += STEP_MILLIS) {
-                SimulatedCell cell = play(phase, away);
-                for (String one : cell.getInvariantChecker().finish()) {
-                    found.add("away for " + away + " from " + phase + ": " + one);
+            for (long outageMillis = MIN_OUTAGE_MILLIS;
+                    outageMillis <= MAX_OUTAGE_MILLIS;
+                    outageMillis += STEP_MILLIS) {
+                SimulatedCell cell = run(phase, outageMillis);
+                for (String violation : cell.getInvariantChecker().finish()) {
+                    violations.add(
+                            "store unavailable for "
+                                    + outageMillis
+                                    + " from "
+                                    + phase
+                                    + ": "
+                                    + violation);
                 }
-                assertTrue(cell.getInvariantChecker().countStarts() >= 2, "the job ran");
+                assertTrue(cell.getInvariantChecker().countStarts() >= 2, "all tasks were started");
             }
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), violations);
     }
 }
--- a/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
+++ b/src/test/java/org/standlink/simulation/TestReportsOfAnEarlierProcess.java
@@ -23,38 +23,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a report that comes after its sender's process has ended does not make a life of the
- * past the present one.
+ * Tests that a delayed report of an ended agent process does not replace the current incarnation of
+ * a worker by an earlier one.
  *
- * <p>Seen: on a random day of the simulated cell, the next run of a task began elsewhere while the
- * last one was at work, and another one beside it on the same worker.
+ * <p>Guards against two concurrent runs of a task: a report is delayed. The agent process that sent
+ * it ends, the worker it names crashes, and a new process reports the next incarnation, which is
+ * assigned runs. When the delayed report arrives, a leader that has discarded the ended incarnation
+ * takes it for a new one, considers the current one at the same address replaced, and releases its
+ * runs. Report numbers do not help, as each process has its own.
  *
- * <p>How it came about: a report was held up on its way. Its sender's process ended, the worker it
- * named crashed, and a new process reported the worker's next life, which was given runs. Then the
- * old report came.
- *
- * <p>Cause: the leader had forgotten the life that was over. It took the life that the old report
- * named for a new one, and so the present one at the same address for replaced, and gave up what
- * ran there. Numbers of reports tell nothing here, as each process counts its own.
- *
- * <p>Proof: a real leader and real agents; only the channel of the earlier process is held up, by
- * different times.
+ * <p>A real leader runs with real agents. Only the channel of the earlier process is delayed, by
+ * various times.
  */
 public class TestReportsOfAnEarlierProcess {
 
-    private static final long FIRST_HELD_MILLIS = 2500;
-    private static final long LAST_HELD_MILLIS = 8000;
+    private static final long MIN_DELAY_MILLIS = 2500;
+    private static final long MAX_DELAY_MILLIS = 8000;
     private static final long STEP_MILLIS = 250;
     private static final int TASKS = 6;
 
-    private static SimulatedCell play(long heldMillis, boolean restarts) {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 2, false);
+    private static SimulatedCell run(long delayMillis, boolean restarts) {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 2, false);
         SimulatedMachine first = cell.getMachines().get(0);
-        world.runUntil(4000);
-        first.delayChannel(heldMillis);
-        // Time for one report, and too little for the agent to find its channel silent.
-        world.runUntil(4600);
+        environment.runUntil(4000);
+        first.delayChannel(delayMillis);
+        // Long enough for one report, but too short for the agent to close the channel as
+        // unresponsive.
+        environment.runUntil(4600);
         first.crashWorker();
         if (restarts) {
             first.endAgent();
@@ -63,31 +59,33 @@
         if (restarts) {
             first.startAgent(cell.newestLeaderNotice());
         }
-        world.runUntil(5500);
+        environment.runUntil(5500);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", TASKS, 0));
-        world.runUntil(4000 + heldMillis + 3000);
+        environment.runUntil(4000 + delayMillis + 3000);
         return cell;
     }
 
-    private static List<String> playAll(boolean restarts) {
-        List<String> found = new ArrayList<>();
-        for (long held = FIRST_HELD_MILLIS; held <= LAST_HELD_MILLIS; held += STEP_MILLIS) {
-            SimulatedCell cell = play(held, restarts);
-            for (String one : cell.getInvariantChecker().finish()) {
-                found.add("held up by " + held + ": " + one);
+    private static List<String> runAll(boolean restarts) {
+        List<String> violations = new ArrayList<>();
+        for (long delayMillis = MIN_DELAY_MILLIS;
+                delayMillis <= MAX_DELAY_MILLIS;
+                delayMillis += STEP_MILLIS) {
+            SimulatedCell cell = run(delayMillis, restarts);
+            for (String violation : cell.getInvariantChecker().finish()) {
+                violations.add("delayed by " + delayMillis + ": " + violation);
             }
-            assertTrue(cell.getInvariantChecker().countStarts() >= TASKS, "all tasks began");
+            assertTrue(cell.getInvariantChecker().countStarts() >= TASKS, "all tasks were started");
         }
-        return found;
+        return violations;
     }
 
     @Test
     public void anEndedIncarnationDoesNotReplaceTheCurrentOne() {
-        assertEquals(List.of(), playAll(true));
+        assertEquals(List.of(), runAll(true));
     }
 
     @Test
     public void anOvertakenReportDoesNotReplaceTheCurrentIncarnation() {
-        assertEquals(List.of(), playAll(false));
+        assertEquals(List.of(), runAll(false));
     }
 }
--- a/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
+++ b/src/test/java/org/standlink/simulation/TestSuspendedMachines.java
@@ -23,87 +23,93 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that a machine that was suspended does not take its rights for longer than they are.
+ * Tests that suspending a machine extends neither the leases of an agent nor the authority of a
+ * leader.
  *
- * <p>How it comes about: the steady clock of a suspended machine stands still. An agent that goes
- * on believes that its lease has the same time left, hears the worker's clock, which went on, and
- * has the worker keep its runs beyond what the leader waits out. A leader that goes on believes
- * that it has just written to the store, and grants leases beyond what its successor waits out.
+ * <p>Guards against leases that outlive what the leader waits for: the monotonic clock of a
+ * suspended machine stands still. When an agent resumes, its lease seems to have the same time
+ * left, while the clock of the worker went on; it would extend the worker's lease beyond the time
+ * the leader waits for. When a leader resumes, its last write to the store seems to have just
+ * happened; it would grant leases beyond the time its successor waits for.
  *
- * <p>Proof: real leaders and agents whose clocks stand still for different times, with the agent's
- * link or the news of the next leader lost meanwhile.
+ * <p>Real leaders and agents run with clocks that stand still for various times. Meanwhile, the
+ * link of the agent or the notification of the next leader is lost.
  */
 public class TestSuspendedMachines {
 
-    private static final long AT_MILLIS = 5000;
-    private static final long LAST_MILLIS = 14_000;
+    private static final long SUSPEND_AT_MILLIS = 5000;
+    private static final long MAX_SUSPENSION_MILLIS = 14_000;
     private static final long STEP_MILLIS = 250;
-    private static final long AFTER_MILLIS = 20_000;
+    private static final long RECOVERY_MILLIS = 20_000;
 
-    private static SimulatedCell cellWithWork() {
-        SimulationEnvironment world = new SimulationEnvironment();
-        SimulatedCell cell = new SimulatedCell(world, 2, false);
-        world.runUntil(1500);
+    private static SimulatedCell startCellWithJobs() {
+        SimulationEnvironment environment = new SimulationEnvironment();
+        SimulatedCell cell = new SimulatedCell(environment, 2, false);
+        environment.runUntil(1500);
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 2, 0));
         cell.getCallers().submit(SimulatedCallers.createJob("bbbbbbbbbbbbbbbb", 2, 9000));
-        world.runUntil(AT_MILLIS);
-        assertTrue(cell.getInvariantChecker().countStarts() >= 4, "the jobs run");
+        environment.runUntil(SUSPEND_AT_MILLIS);
+        assertTrue(cell.getInvariantChecker().countStarts() >= 4, "all tasks were started");
         return cell;
     }
 
-    private static List<String> end(SimulatedCell cell, long suspended) {
-        cell.getEnvironment().runUntil(AT_MILLIS + suspended + AFTER_MILLIS);
-        List<String> found = new ArrayList<>();
-        for (String one : cell.getInvariantChecker().finish()) {
-            found.add("suspended for " + suspended + ": " + one);
+    private static List<String> listViolations(SimulatedCell cell, long suspensionMillis) {
+        cell.getEnvironment().runUntil(SUSPEND_AT_MILLIS + suspensionMillis + RECOVERY_MILLIS);
+        List<String> violations = new ArrayList<>();
+        for (String violation : cell.getInvariantChecker().finish()) {
+            violations.add("suspended for " + suspensionMillis + ": " + violation);
         }
-        return found;
+        return violations;
     }
 
-    private static List<String> suspendAgent(long millis, boolean linkLost) {
-        SimulatedCell cell = cellWithWork();
+    private static List<String> suspendAgent(long suspensionMillis, boolean linkLost) {
+        SimulatedCell cell = startCellWithJobs();
         SimulatedMachine machine = cell.getMachines().get(0);
         if (linkLost) {
-            machine.getUplink().loseMessages(millis + AFTER_MILLIS / 2);
+            machine.getUplink().loseMessages(suspensionMillis + RECOVERY_MILLIS / 2);
         }
-        machine.suspendAgent(millis);
-        return end(cell, millis);
+        machine.suspendAgent(suspensionMillis);
+        return listViolations(cell, suspensionMillis);
     }
 
-    private static List<String> suspendLeader(long millis, long nextAfterMillis) {
-        SimulatedCell cell = cellWithWork();
+    private static List<String> suspendLeader(long suspensionMillis, long takeoverMillis) {
+        SimulatedCell cell = startCellWithJobs();
         SimulatedLeader first = cell.newestLeader();
-        first.suspend(millis);
-        // It goes on for long enough to answer the reports that have come meanwhile.
-        cell.getEnvironment().schedule(millis + 100, () -> cell.crash(first));
+        first.suspend(suspensionMillis);
+        // It resumes for long enough to answer the reports received meanwhile.
+        cell.getEnvironment().schedule(suspensionMillis + 100, () -> cell.crash(first));
         cell.getEnvironment()
                 .schedule(
-                        nextAfterMillis,
+                        takeoverMillis,
                         () -> {
                             cell.startLeader();
-                            // The other agent is cut off from all news but those of its leader.
+                            // The other agent receives nothing but the messages of its leader.
                             cell.getMachines().get(1).notifyOfLeader(cell.newestLeaderNotice());
                         });
-        return end(cell, millis);
+        return listViolations(cell, suspensionMillis);
     }
 
     @Test
     public void anAgentExtendsNoLeaseByTheTimeItWasSuspended() {
-        List<String> found = new ArrayList<>();
-        for (long millis = STEP_MILLIS; millis <= LAST_MILLIS; millis += STEP_MILLIS) {
-            found.addAll(suspendAgent(millis, true));
-            found.addAll(suspendAgent(millis, false));
+        List<String> violations = new ArrayList<>();
+        for (long suspensionMillis = STEP_MILLIS;
+                suspensionMillis <= MAX_SUSPENSION_MILLIS;
+                suspensionMillis += STEP_MILLIS) {
+            violations.addAll(suspendAgent(suspensionMillis, true));
+            violations.addAll(suspendAgent(suspensionMillis, false));
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), violations);
     }
 
     @Test
     public void aLeaderGrantsNoLeaseForTheTimeItWasSuspended() {
-        List<String> found = new ArrayList<>();
-        for (long millis = STEP_MILLIS; millis <= LAST_MILLIS; millis += STEP_MILLIS) {
-            found.addAll(suspendLeader(millis, 1000));
-            found.addAll(suspendLeader(millis, 3000));
+        List<String> violations = new ArrayList<>();
+        for (long suspensionMillis = STEP_MILLIS;
+                suspensionMillis <= MAX_SUSPENSION_MILLIS;
+                suspensionMillis += STEP_MILLIS) {
+            violations.addAll(suspendLeader(suspensionMillis, 1000));
+            violations.addAll(suspendLeader(suspensionMillis, 3000));
         }
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), violations);
     }
 }
--- a/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
+++ b/src/test/java/org/standlink/simulation/TestTasksThatCrashTheirWorkers.java
@@ -29,59 +29,63 @@
 import org.standlink.job.TaskName;
 
 /**
- * Tests that a task which crashes the workers that start it is given up, and that those beside it
- * are not.
+ * Tests that a task that crashes the workers it starts on fails permanently, and that other tasks
+ * on these workers do not.
  *
- * <p>Seen: tasks were started up to 44 times, each run at work for 10 ms, after which its worker
- * was gone and came back 3 s later under a new identity. All that ran beside them was started anew
- * with each of these crashes, until hardly any job was completed.
+ * <p>Guards against crash loops: tasks were started up to 44 times and ran for 10 ms each, after
+ * which the worker was gone and restarted 3 s later under a new identity. All other runs on these
+ * workers were restarted with each crash, until hardly any job was completed. A new incarnation
+ * answered at the address of the worker, so the leader released all runs of the former one and
+ * assigned them, together, to the new one, which crashed as well. Only runs whose worker listed
+ * their end were counted, and a crashed worker lists none; nor was the task that causes the crashes
+ * distinguished from the others.
  *
- * <p>How it came about: a new life answered at the worker's address, so the leader released all
- * runs of the earlier life and assigned them again, together, to the new one, which crashed as
- * well.
- *
- * <p>Cause: a run counted only if its worker listed its end, and a worker that has crashed lists
- * none. Nor did anything tell the task that crashes its worker from those beside it.
- *
- * <p>Proof: a real leader and real agents on a fake clock, with one task whose workers crash within
- * 20 ms of its start. Nothing else happens, or the leader is replaced meanwhile.
+ * <p>A real leader runs with real agents on a fake clock, with one task whose workers crash within
+ * 20 ms of its start. Nothing else happens, or leaders and agents are replaced meanwhile.
  */
 public class TestTasksThatCrashTheirWorkers {
 
     private static final int MACHINES = 5;
-    private static final int INNOCENT_JOBS = 14;
-    private static final long FIRST_MILLIS = 1500;
-    private static final long BUSY_MILLIS = 16_000;
+    private static final int OTHER_JOBS = 14;
+    private static final long FIRST_SUBMISSION_MILLIS = 1500;
+    private static final long LAST_DISTURBANCE_MILLIS = 16_000;
     private static final long END_MILLIS = 100_000;
 
-    /** Callers bear two more starts after three crashes. */
-    private static final int MOST_CRASHES = 5;
+    /** Callers accept two more starts after three crashes. */
+    private static final int MAX_CRASHES = 5;
 
     private static final int SEEDS = 60;
 
-    /** The first seed; others than the usual ones are played by hand. */
+    /** The first seed; a system property selects others than the default ones. */
     private static final long FIRST_SEED = Long.getLong("standlink.simulation.first", 1);
 
-    /** How many jobs in a hundred may be given up by mistake where workers crash all the time. */
-    private static final int MOST_WRONG_PERCENT = 3;
+    /**
+     * Maximum percentage of other jobs that may fail by mistake while workers crash all the time.
+     */
+    private static final int MAX_WRONG_PERCENT = 3;
 
-    /** What happens on a day. */
-    private record Day(
-            int crashingJobs, boolean late, long backMillis, boolean restarts, long crashEvery) {
+    /** The faults of one simulation. */
+    private record Scenario(
+            int crashingJobs,
+            boolean lateCrash,
+            long restartDelayMillis,
+            boolean restarts,
+            long crashIntervalMillis) {
 
-        static final Day ONE_TASK = new Day(1, false, 1000, false, 0);
+        static final Scenario ONE_TASK = new Scenario(1, false, 1000, false, 0);
 
-        Day withRestarts() {
-            return new Day(crashingJobs, late, backMillis, true, crashEvery);
+        Scenario withRestarts() {
+            return new Scenario(
+                    crashingJobs, lateCrash, restartDelayMillis, true, crashIntervalMillis);
         }
     }
 
-    /** How a day ended. */
+    /** The final states of the jobs of one simulation. */
     private final class Outcome {
 
         private final SimulatedCell cell;
         private final Map<JobId, JobState> states = new LinkedHashMap<>();
-        private final List<JobDefinition> innocent = new ArrayList<>();
+        private final List<JobDefinition> others = new ArrayList<>();
         private final List<JobDefinition> crashing = new ArrayList<>();
 
         Outcome(SimulatedCell cell) {
@@ -96,75 +100,85 @@
             return cell.getInvariantChecker().countCrashes(new TaskName(job.id(), 0, 0, 0));
         }
 
-        List<String> judge() {
-            List<String> found = new ArrayList<>(cell.getInvariantChecker().finish());
-            crashing.forEach(job -> expect(job, JobState.FAILED, found));
-            for (JobDefinition job : innocent) {
-                boolean lasts = job.steps().get(0).longRunning();
-                expect(job, lasts ? JobState.RUNNING : JobState.COMPLETED, found);
+        List<String> listViolations() {
+            List<String> violations = new ArrayList<>(cell.getInvariantChecker().finish());
+            crashing.forEach(job -> checkState(job, JobState.FAILED, violations));
+            for (JobDefinition job : others) {
+                boolean longRunning = job.steps().get(0).longRunning();
+                checkState(job, longRunning ? JobState.RUNNING : JobState.COMPLETED, violations);
             }
             for (JobDefinition job : crashing) {
-                if (countCrashes(job) > MOST_CRASHES) {
-                    found.add("CRASHED " + countCrashes(job) + " by " + job.id());
+                if (countCrashes(job) > MAX_CRASHES) {
+                    violations.add("CRASHED " + countCrashes(job) + " by " + job.id());
                 }
             }
-            return found;
+            return violations;
         }
 
-        private void expect(JobDefinition job, JobState due, List<String> found) {
-            if (states.get(job.id()) != due) {
-                found.add("STATE of " + job.id() + " is " + states.get(job.id()));
+        private void checkState(JobDefinition job, JobState expected, List<String> violations) {
+            if (states.get(job.id()) != expected) {
+                violations.add("STATE of " + job.id() + " is " + states.get(job.id()));
             }
         }
     }
 
-    private Outcome play(SimulationEnvironment world, Day day) {
-        SimulatedCell cell = new SimulatedCell(world, MACHINES, false);
+    private Outcome run(SimulationEnvironment environment, Scenario scenario) {
+        SimulatedCell cell = new SimulatedCell(environment, MACHINES, false);
         Outcome outcome = new Outcome(cell);
-        cell.getMachines().forEach(machine -> machine.setRestartDelayMillis(day.backMillis()));
-        submitAll(world, cell, day, outcome);
-        if (day.restarts()) {
-            for (long at = 3500; at <= BUSY_MILLIS; at += 4000) {
-                world.schedule(at, () -> replaceLeader(cell));
-                world.schedule(at + 2000, () -> restartAgent(world, cell));
+        cell.getMachines()
+                .forEach(machine -> machine.setRestartDelayMillis(scenario.restartDelayMillis()));
+        submitAll(environment, cell, scenario, outcome);
+        if (scenario.restarts()) {
+            for (long at = 3500; at <= LAST_DISTURBANCE_MILLIS; at += 4000) {
+                environment.schedule(at, () -> replaceLeader(cell));
+                environment.schedule(at + 2000, () -> restartAgent(environment, cell));
             }
         }
-        if (day.crashEvery() > 0) {
-            for (long at = 2000; at <= BUSY_MILLIS; at += day.crashEvery()) {
-                int machine = (int) (at / day.crashEvery() % MACHINES);
-                world.schedule(at, () -> cell.getMachines().get(machine).crashAndRestartWorker());
+        if (scenario.crashIntervalMillis() > 0) {
+            for (long at = 2000;
+                    at <= LAST_DISTURBANCE_MILLIS;
+                    at += scenario.crashIntervalMillis()) {
+                int machine = (int) (at / scenario.crashIntervalMillis() % MACHINES);
+                environment.schedule(
+                        at, () -> cell.getMachines().get(machine).crashAndRestartWorker());
             }
         }
-        world.runUntil(END_MILLIS);
+        environment.runUntil(END_MILLIS);
         for (JobDefinition job : cell.getCallers().getAcceptedJobs()) {
             cell.getCallers()
                     .queryState(job.id(), state -> outcome.states.put(job.id(), state.get()));
         }
-        world.runUntil(END_MILLIS + 3000);
+        environment.runUntil(END_MILLIS + 3000);
         return outcome;
     }
 
     private static void submitAll(
-            SimulationEnvironment world, SimulatedCell cell, Day day, Outcome outcome) {
-        for (int i = 0; i < INNOCENT_JOBS; i++) {
+            SimulationEnvironment environment,
+            SimulatedCell cell,
+            Scenario scenario,
+            Outcome outcome) {
+        for (int i = 0; i < OTHER_JOBS; i++) {
             long millis = i == 0 ? 0 : 400 + 700L * (i % 9);
-            outcome.innocent.add(
+            outcome.others.add(
                     SimulatedCallers.createJob(String.format("%016x", i + 1), 2, millis));
         }
-        for (int i = 0; i < day.crashingJobs(); i++) {
+        for (int i = 0; i < scenario.crashingJobs(); i++) {
             String id = String.format("c%015x", i + 1);
-            outcome.crashing.add(SimulatedCallers.createCrashingJob(id, day.late()));
+            outcome.crashing.add(SimulatedCallers.createCrashingJob(id, scenario.lateCrash()));
         }
-        submitInTurn(world, cell, outcome.innocent, 500);
-        submitInTurn(world, cell, outcome.crashing, 900);
+        submitAtIntervals(environment, cell, outcome.others, 500);
+        submitAtIntervals(environment, cell, outcome.crashing, 900);
     }
 
-    private static void submitInTurn(
-            SimulationEnvironment world, SimulatedCell cell, List<JobDefinition> jobs, long pause) {
-        long at = FIRST_MILLIS;
+    private static void submitAtIntervals(
+            SimulationEnvironment environment,
+            SimulatedCell cell,
+            List<JobDefinition> jobs,
+            long intervalMillis) {
+        long at = FIRST_SUBMISSION_MILLIS;
         for (JobDefinition job : jobs) {
-            world.schedule(at, () -> cell.getCallers().submit(job));
-            at += pause;
+            environment.schedule(at, () -> cell.getCallers().submit(job));
+            at += intervalMillis;
         }
     }
 
@@ -174,90 +188,93 @@
         cell.getMachines().forEach(machine -> machine.notifyOfLeader(cell.newestLeaderNotice()));
     }
 
-    private static void restartAgent(SimulationEnvironment world, SimulatedCell cell) {
+    private static void restartAgent(SimulationEnvironment environment, SimulatedCell cell) {
         SimulatedMachine machine =
-                cell.getMachines().get((int) (world.elapsed() / 1000 % MACHINES));
+                cell.getMachines().get((int) (environment.elapsed() / 1000 % MACHINES));
         machine.endAgent();
-        world.schedule(1000, () -> machine.startAgent(cell.newestLeaderNotice()));
+        environment.schedule(1000, () -> machine.startAgent(cell.newestLeaderNotice()));
     }
 
-    private void assertClean(Day day) {
-        Outcome outcome = play(new SimulationEnvironment(), day);
-        List<String> notes = outcome.cell.getEnvironment().getTrace();
-        assertEquals(List.of(), outcome.judge(), () -> String.join("\n", notes));
+    private void assertNoViolations(Scenario scenario) {
+        Outcome outcome = run(new SimulationEnvironment(), scenario);
+        List<String> trace = outcome.cell.getEnvironment().getTrace();
+        assertEquals(List.of(), outcome.listViolations(), () -> String.join("\n", trace));
     }
 
-    /** Plays days that are drawn. */
-    private List<Outcome> playSeeds(Day day) {
+    /** Runs the scenario with each seed. */
+    private List<Outcome> runSeeds(Scenario scenario) {
         List<Outcome> outcomes = new ArrayList<>();
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            outcomes.add(play(new SimulationEnvironment(seed), day));
+            outcomes.add(run(new SimulationEnvironment(seed), scenario));
         }
         return outcomes;
     }
 
-    private static List<String> findAll(List<Outcome> outcomes) {
-        List<String> found = new ArrayList<>();
+    private static List<String> listViolations(List<Outcome> outcomes) {
+        List<String> violations = new ArrayList<>();
         for (int i = 0; i < outcomes.size(); i++) {
-            for (String one : outcomes.get(i).judge()) {
-                found.add("seed " + (FIRST_SEED + i) + ": " + one);
+            for (String violation : outcomes.get(i).listViolations()) {
+                violations.add("seed " + (FIRST_SEED + i) + ": " + violation);
             }
         }
-        return found;
+        return violations;
     }
 
-    private void assertCleanFor(Day day) {
-        assertEquals(List.of(), findAll(playSeeds(day)));
+    private void assertNoViolationsOnAnySeed(Scenario scenario) {
+        assertEquals(List.of(), listViolations(runSeeds(scenario)));
     }
 
     @Test
     public void onlyTheTaskThatCrashesItsWorkersFailsPermanently() {
-        assertClean(Day.ONE_TASK);
+        assertNoViolations(Scenario.ONE_TASK);
     }
 
     @Test
     public void onlyTheCrashingTaskFailsWhenLeadersAndAgentsAreReplaced() {
-        assertClean(Day.ONE_TASK.withRestarts());
+        assertNoViolations(Scenario.ONE_TASK.withRestarts());
     }
 
     @Test
     public void onlyTheCrashingTaskFailsOnEverySeed() {
-        List<Outcome> outcomes = playSeeds(Day.ONE_TASK);
-        assertEquals(List.of(), findAll(outcomes));
+        List<Outcome> outcomes = runSeeds(Scenario.ONE_TASK);
+        assertEquals(List.of(), listViolations(outcomes));
         int crashes = outcomes.stream().mapToInt(Outcome::countCrashes).sum();
-        assertTrue(crashes <= 4 * SEEDS, "four workers a task at most, were " + crashes);
+        assertTrue(
+                crashes <= 4 * SEEDS,
+                "expected at most four crashes of each task, total was " + crashes);
     }
 
     @Test
     public void onlyTheCrashingTaskFailsOnEverySeedWithRestarts() {
-        assertCleanFor(Day.ONE_TASK.withRestarts());
+        assertNoViolationsOnAnySeed(Scenario.ONE_TASK.withRestarts());
     }
 
-    /**
-     * With so many, few are given up though they could have ended, and no start is one too many.
-     */
+    /** With many crashing tasks, few other jobs fail by mistake, and no task starts too often. */
     @Test
     public void manyCrashingTasksAreDistinguishedFromMostOthers() {
-        List<String> found = findAll(playSeeds(new Day(8, false, 1000, false, 0)));
-        List<String> innocent = found.stream().filter(one -> one.contains("STATE of 0")).toList();
-        found.removeAll(innocent);
-        assertEquals(List.of(), found);
-        int most = SEEDS * INNOCENT_JOBS * MOST_WRONG_PERCENT / 100;
-        assertTrue(innocent.size() <= most, () -> innocent.size() + " of them: " + innocent);
+        List<String> violations = listViolations(runSeeds(new Scenario(8, false, 1000, false, 0)));
+        List<String> falseFailures =
+                violations.stream().filter(violation -> violation.contains("STATE of 0")).toList();
+        violations.removeAll(falseFailures);
+        assertEquals(List.of(), violations);
+        int maxFalseFailures = SEEDS * OTHER_JOBS * MAX_WRONG_PERCENT / 100;
+        assertTrue(
+                falseFailures.size() <= maxFalseFailures,
+                () -> falseFailures.size() + " other jobs failed: " + falseFailures);
     }
 
     @Test
     public void aCrashOfAWorkerThatRestartsAfterItsLeaseIsCounted() {
-        assertCleanFor(new Day(2, false, 7000, false, 0));
+        assertNoViolationsOnAnySeed(new Scenario(2, false, 7000, false, 0));
     }
 
     @Test
     public void aTaskThatCrashesItsWorkerLateFailsPermanently() {
-        assertCleanFor(new Day(2, true, 1000, false, 0));
+        assertNoViolationsOnAnySeed(new Scenario(2, true, 1000, false, 0));
     }
 
     @Test
     public void workerCrashesWithOtherCausesFailNoTask() {
-        assertCleanFor(new Day(0, false, 1000, false, 2000));
+        assertNoViolationsOnAnySeed(new Scenario(0, false, 1000, false, 2000));
     }
 }
--- a/src/test/java/org/standlink/simulation/UnreliableWorkerClient.java
+++ b/src/test/java/org/standlink/simulation/UnreliableWorkerClient.java
@@ -25,79 +25,82 @@
 import org.standlink.runner.WorkerClient;
 import org.standlink.wire.StartOrder;
 
-/** The way from an agent to the worker beside it, on which calls stay without an answer. */
+/** A client of a simulated worker whose calls can fail, be delayed or stay unanswered. */
 final class UnreliableWorkerClient implements WorkerClient {
 
-    private static final long CALL_MILLIS = 500;
-    private static final int UNWELL_PERCENT = 25;
-    private static final long FIRST_LATE_MILLIS = 2000;
-    private static final long LAST_LATE_MILLIS = 12_000;
+    private static final long CALL_TIMEOUT_MILLIS = 500;
+    private static final int UNHEALTHY_PERCENT = 25;
+    private static final long MIN_DELAY_MILLIS = 2000;
+    private static final long MAX_DELAY_MILLIS = 12_000;
 
-    private final SimulationEnvironment world;
-    private SimulatedWorker life;
-    private long silentUntil;
-    private long unsureUntil;
-    private int unsurePercent;
-    private long doneAfterMillis = -1;
+    private final SimulationEnvironment environment;
+    private SimulatedWorker worker;
+    private long unresponsiveUntil;
+    private long unreliableUntil;
+    private int unreliablePercent;
+    private long executionDelayMillis = -1;
 
-    UnreliableWorkerClient(SimulationEnvironment world) {
-        this.world = world;
+    UnreliableWorkerClient(SimulationEnvironment environment) {
+        this.environment = environment;
     }
 
     SimulatedWorker getWorker() {
-        return life;
+        return worker;
     }
 
-    void setWorker(SimulatedWorker present) {
-        life = present;
+    void setWorker(SimulatedWorker newWorker) {
+        worker = newWorker;
     }
 
-    /** No call is done or answered for a while. */
+    /** Leaves all calls unanswered for a time; many of them are executed late. */
     void makeUnresponsive(long millis) {
-        silentUntil = Math.max(silentUntil, world.now() + millis);
+        unresponsiveUntil = Math.max(unresponsiveUntil, environment.now() + millis);
     }
 
-    /** No call is answered for a while, and each one is done so long after it was made. */
-    void makeUnresponsive(long millis, long lateMillis) {
+    /** Leaves all calls unanswered for a time and executes each one after the given delay. */
+    void makeUnresponsive(long millis, long delayMillis) {
         makeUnresponsive(millis);
-        doneAfterMillis = lateMillis;
+        executionDelayMillis = delayMillis;
     }
 
     /**
-     * Calls may stay without an answer for a while, and be done at once, late or not at all; or the
-     * worker says that it is unwell, and does nothing.
+     * Leaves some calls unanswered for a time, which are executed at once, late or not at all;
+     * other calls are refused by the worker as unhealthy and not executed.
      */
     void makeUnreliable(long millis, int percent) {
-        unsureUntil = Math.max(unsureUntil, world.now() + millis);
-        unsurePercent = percent;
+        unreliableUntil = Math.max(unreliableUntil, environment.now() + millis);
+        unreliablePercent = percent;
     }
 
-    /** Ends all faults of this way; what is late stays late. */
+    /** Ends all faults; calls that are already delayed are still executed late. */
     void heal() {
-        silentUntil = 0;
-        unsureUntil = 0;
+        unresponsiveUntil = 0;
+        unreliableUntil = 0;
     }
 
     // -----------------------------------------------------------------------
     @Override
     public CompletableFuture<CallResult> start(
             WorkerDescription to, StartOrder order, long until, Fence fence) {
-        return simple(
+        return callWithResult(
                 to,
                 "start " + order.run() + " fence " + fence,
-                late -> life.start(order, until, fence.toToken(), late));
+                delayed -> worker.start(order, until, fence.toToken(), delayed));
     }
 
     @Override
     public CompletableFuture<CallResult> stop(WorkerDescription to, RunId run, Fence fence) {
-        return simple(
-                to, "stop " + run + " fence " + fence, late -> life.stop(run, fence.toToken()));
+        return callWithResult(
+                to,
+                "stop " + run + " fence " + fence,
+                delayed -> worker.stop(run, fence.toToken()));
     }
 
     @Override
     public CompletableFuture<CallResult> throttle(
             WorkerDescription to, RunId run, int percent, Fence fence) {
-        return simple(to, "pace", late -> new CallResult(CallResult.Kind.DONE, -1, ""));
+        return callWithResult(
+                to, "throttle", delayed -> new CallResult(CallResult.Kind.DONE, -1, ""));
     }
 
     @Override
@@ -105,105 +108,120 @@
             WorkerDescription to, long until, Fence fence, long recordedEnd, long waitMillis) {
         return call(
                 "",
-                late ->
-                        isOther(to)
-                                ? CompletableFuture.completedFuture(unheard(otherLife()))
-                                : life.renew(until, fence.toToken(), recordedEnd, waitMillis),
-                UnreliableWorkerClient::unheard,
-                CALL_MILLIS + waitMillis);
+                delayed ->
+                        isOtherIncarnation(to)
+                                ? CompletableFuture.completedFuture(notDone(otherIncarnation()))
+                                : worker.renew(until, fence.toToken(), recordedEnd, waitMillis),
+                UnreliableWorkerClient::notDone,
+                CALL_TIMEOUT_MILLIS + waitMillis);
     }
 
     // -----------------------------------------------------------------------
-    private CompletableFuture<CallResult> simple(
-            WorkerDescription to, String name, Function<Boolean, CallResult> effect) {
+    private CompletableFuture<CallResult> callWithResult(
+            WorkerDescription to, String name, Function<Boolean, CallResult> operation) {
         return call(
                 name + " on " + to.incarnation(),
-                late ->
+                delayed ->
                         CompletableFuture.completedFuture(
-                                isOther(to) ? otherLife() : effect.apply(late)),
+                                isOtherIncarnation(to)
+                                        ? otherIncarnation()
+                                        : operation.apply(delayed)),
                 result -> result,
-                CALL_MILLIS);
+                CALL_TIMEOUT_MILLIS);
     }
 
     private <T> CompletableFuture<T> call(
             String name,
-            Function<Boolean, CompletableFuture<T>> effect,
-            Function<CallResult, T> failed,
+            Function<Boolean, CompletableFuture<T>> operation,
+            Function<CallResult, T> toFailure,
             long timeoutMillis) {
         CompletableFuture<T> answer = new CompletableFuture<>();
-        T unheard = failed.apply(unknown());
-        world.schedule(timeoutMillis, () -> answer.complete(unheard));
-        boolean silent = silentUntil > world.now();
-        boolean unsure = unsureUntil > world.now() && world.chance(unsurePercent);
-        if (!silent && !unsure) {
-            world.schedule(world.draw(1, 4), () -> doNow(name, effect, unheard, answer));
+        T failureResult = toFailure.apply(unknownResult());
+        environment.schedule(timeoutMillis, () -> answer.complete(failureResult));
+        boolean unresponsive = unresponsiveUntil > environment.now();
+        boolean unreliable =
+                unreliableUntil > environment.now() && environment.chance(unreliablePercent);
+        if (!unresponsive && !unreliable) {
+            environment.schedule(
+                    environment.draw(1, 4),
+                    () -> executeNow(name, operation, failureResult, answer));
             return answer;
         }
-        if (unsure && !silent && world.chance(UNWELL_PERCENT)) {
-            T unwell = failed.apply(new CallResult(CallResult.Kind.UNWELL, -1, "simulated"));
-            world.schedule(world.draw(2, 8), () -> answer.complete(unwell));
+        if (unreliable && !unresponsive && environment.chance(UNHEALTHY_PERCENT)) {
+            T unhealthyResult =
+                    toFailure.apply(new CallResult(CallResult.Kind.UNWELL, -1, "simulated"));
+            environment.schedule(environment.draw(2, 8), () -> answer.complete(unhealthyResult));
             return answer;
         }
-        long fate = world.draw(0, 3);
-        if (silent && doneAfterMillis >= 0) {
-            world.schedule(doneAfterMillis, () -> doLate(name, effect, true));
-        } else if (fate == 0 && !silent) {
-            world.schedule(world.draw(1, 4), () -> doLate(name, effect, false));
-        } else if (fate <= 2) {
-            long late = world.draw(FIRST_LATE_MILLIS, LAST_LATE_MILLIS);
-            world.schedule(late, () -> doLate(name, effect, true));
+        long outcome = environment.draw(0, 3);
+        if (unresponsive && executionDelayMillis >= 0) {
+            environment.schedule(
+                    executionDelayMillis, () -> executeUnanswered(name, operation, true));
+        } else if (outcome == 0 && !unresponsive) {
+            environment.schedule(
+                    environment.draw(1, 4), () -> executeUnanswered(name, operation, false));
+        } else if (outcome <= 2) {
+            long delayMillis = environment.draw(MIN_DELAY_MILLIS, MAX_DELAY_MILLIS);
+            environment.schedule(delayMillis, () -> executeUnanswered(name, operation, true));
         }
         if (!name.isEmpty()) {
-            world.trace("call without answer: " + name);
+            environment.trace("call left unanswered: " + name);
         }
         return answer;
     }
 
-    private <T> void doNow(
+    private <T> void executeNow(
             String name,
-            Function<Boolean, CompletableFuture<T>> effect,
-            T unheard,
+            Function<Boolean, CompletableFuture<T>> operation,
+            T failureResult,
             CompletableFuture<T> answer) {
-        if (!life.isUp()) {
-            answer.complete(unheard);
+        if (!worker.isUp()) {
+            answer.complete(failureResult);
             return;
         }
-        effect.apply(false)
+        operation
+                .apply(false)
                 .thenAccept(
                         value -> {
                             if (value instanceof CallResult result) {
-                                world.trace("call: " + name + " " + result.kind());
+                                environment.trace("call: " + name + " " + result.kind());
                             }
-                            world.schedule(world.draw(1, 4), () -> answer.complete(value));
+                            environment.schedule(
+                                    environment.draw(1, 4), () -> answer.complete(value));
                         });
     }
 
-    private <T> void doLate(
-            String name, Function<Boolean, CompletableFuture<T>> effect, boolean late) {
-        if (life.isUp()) {
-            effect.apply(late)
+    private <T> void executeUnanswered(
+            String name, Function<Boolean, CompletableFuture<T>> operation, boolean delayed) {
+        if (worker.isUp()) {
+            operation
+                    .apply(delayed)
                     .thenAccept(
                             value -> {
                                 if (value instanceof CallResult result) {
-                                    world.trace("unheard call: " + name + " " + result.kind());
+                                    environment.trace(
+                                            "unanswered call executed: "
+                                                    + name
+                                                    + " "
+                                                    + result.kind());
                                 }
                             });
         }
     }
 
-    private boolean isOther(WorkerDescription to) {
-        return !to.incarnation().getId().equals(life.getIncarnation().getId());
+    private boolean isOtherIncarnation(WorkerDescription to) {
+        return !to.incarnation().getId().equals(worker.getIncarnation().getId());
     }
 
-    private static CallResult otherLife() {
+    private static CallResult otherIncarnation() {
         return new CallResult(CallResult.Kind.OTHER_LIFE, -1, "simulated");
     }
 
-    private static CallResult unknown() {
+    private static CallResult unknownResult() {
         return new CallResult(CallResult.Kind.UNKNOWN, -1, "simulated");
     }
 
-    private static RenewalResult unheard(CallResult result) {
+    private static RenewalResult notDone(CallResult result) {
         return RenewalResult.notDone(result);
     }
 }
