--- a/src/test/java/org/standlink/simulation/FaultInjector.java
+++ b/src/test/java/org/standlink/simulation/FaultInjector.java
@@ -171,8 +171,8 @@
     }
 
     /**
-     * Cuts the leader off from the store, so it grants leases until its authority ends, and starts
-     * another one, which some agents learn of only later than that.
+     * Partitions the leader from the store, so it grants leases until its authority ends, and
+     * starts another one, which some agents learn of only later than that.
      */
     private void partitionLeader(SimulatedFault fault) {
         if (!cell.isLeaderless()) {
--- a/src/test/java/org/standlink/simulation/InvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/InvariantChecker.java
@@ -187,7 +187,7 @@
         removeActiveRun(worker, run);
     }
 
-    /** Records that the worker was told that its ends up to a number are persisted. */
+    /** Records that the ends of a worker up to a number were acknowledged as persisted. */
     void recordPersistedEnds(SimulatedWorker worker, long number) {
         for (SuccessfulEnd end : successfulEnds) {
             if (end.worker == worker && end.number <= number && !end.lapsed) {
--- a/src/test/java/org/standlink/simulation/SimulatedFault.java
+++ b/src/test/java/org/standlink/simulation/SimulatedFault.java
@@ -19,7 +19,7 @@
  * A fault of a simulated day.
  *
  * @param startMillis the start in milliseconds since the start of the day
- * @param kind the kind
+ * @param kind the kind of the fault
  * @param machine the index of the machine, for faults of a machine
  * @param durationMillis the duration in milliseconds
  * @param variant a drawn number that selects among the variants of the kind
@@ -58,7 +58,7 @@
         AGENT_FROZEN,
         /** The leader is frozen, and another one starts meanwhile. */
         LEADER_OVERTAKEN,
-        /** The leader is cut off from the store for a long time, and another one starts. */
+        /** The leader is partitioned from the store for a long time, and another one starts. */
         LEADER_PARTITIONED,
         /** Another leader starts, while the previous one still considers itself the leader. */
         LEADER_REPLACED,
--- a/src/test/java/org/standlink/simulation/SimulatedLeader.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeader.java
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Freezes the leader's event loop or, so that keep-alives stay unanswered too, its process. */
+    /** Freezes the event loop, or the whole process, which then does not answer keep-alives. */
     void freeze(long millis, boolean wholeProcess) {
         process.freeze(millis);
         wholeProcessFrozen = wholeProcess;
--- a/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
+++ b/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
@@ -29,8 +29,8 @@
 import org.standlink.store.Writer;
 
 /**
- * The store client of one simulated process. Calls can fail, take long, lose their answers, or be
- * executed after they have failed.
+ * The store client of one simulated process. Calls can be refused, take long, lose their answers,
+ * or be executed after they have timed out.
  */
 final class SimulatedStoreClient implements KeyedStore {
 
--- a/src/test/java/org/standlink/simulation/SimulationEnvironment.java
+++ b/src/test/java/org/standlink/simulation/SimulationEnvironment.java
@@ -42,7 +42,8 @@
     }
 
     /**
-     * Creates a deterministic environment: each draw returns its first value, and no chance occurs.
+     * Creates a deterministic environment: each draw returns its lower bound, and {@link #chance}
+     * is always false.
      */
     SimulationEnvironment() {
         random = null;
--- a/src/test/java/org/standlink/simulation/TestCellSimulation.java
+++ b/src/test/java/org/standlink/simulation/TestCellSimulation.java
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Guards against lost ends of a restarted worker, which the agent told what was recorded of its
-     * former incarnation. Workers that crash restart under their ids.
+     * Guards against lost ends of a restarted worker: the agent acknowledged to it the recorded
+     * ends of its former incarnation. Workers that crash restart under their ids.
      */
     @Test
     public void noDayOnWhichWorkersKeepTheirIdsBreaksARule() {
--- a/src/test/java/org/standlink/simulation/TestIncarnationsWithoutALease.java
+++ b/src/test/java/org/standlink/simulation/TestIncarnationsWithoutALease.java
@@ -27,13 +27,13 @@
  * Tests that no run is assigned to an incarnation of a worker for which no lease has been granted,
  * as the leader would release that run at once.
  *
- * <p>Guards against two runs of a task that start within a tenth of a second on a worker that has
- * just crashed and restarted: the store is unavailable, so the leader grants no lease when the
- * agent reports the new incarnation, but the agent still has an earlier lease. When the store is
- * back, the leader assigns a run to the new incarnation, which the agent starts at once, and
- * releases it at its next check of leases. The cause is that an agent has one lease for all its
- * workers, while the leader records one for each incarnation; that of a new incarnation has expired
- * from the beginning, and it was not checked before a run was assigned.
+ * <p>Guards against two runs of a task that start within a tenth of a second, the first one on a
+ * worker that has just crashed and restarted: the store is unavailable, so the leader grants no
+ * lease when the agent reports the new incarnation, but the agent still has an earlier lease. When
+ * the store is back, the leader assigns a run to the new incarnation, which the agent starts at
+ * once, and releases it at its next check of leases. The cause is that an agent has one lease for
+ * all its workers, while the leader records one for each incarnation; that of a new incarnation has
+ * expired from the beginning, and it was not checked before a run was assigned.
  *
  * <p>A real leader runs with two real agents. The store fails and recovers at many moments, some of
  * them between a report and the next check of leases.
--- a/src/test/java/org/standlink/simulation/TestLeaseOfUnreportedWorker.java
+++ b/src/test/java/org/standlink/simulation/TestLeaseOfUnreportedWorker.java
@@ -33,8 +33,8 @@
  */
 public class TestLeaseOfUnreportedWorker {
 
-    private static final long END_MILLIS = 4000;
-    private static final long RESTART_MILLIS = 5500;
+    private static final long AGENT_END_MILLIS = 4000;
+    private static final long AGENT_RESTART_MILLIS = 5500;
     private static final long UNRESPONSIVE_MILLIS = 900;
     private static final long PARTITION_DELAY_MILLIS = 800;
 
@@ -46,16 +46,16 @@
         cell.getCallers().submit(SimulatedCallers.createJob("aaaaaaaaaaaaaaaa", 1, 0));
         environment.runUntil(2000);
         cell.addMachine(false);
-        environment.runUntil(END_MILLIS);
+        environment.runUntil(AGENT_END_MILLIS);
         SimulatedMachine machine = cell.getMachines().get(0);
         machine.endAgent();
-        environment.runUntil(RESTART_MILLIS);
+        environment.runUntil(AGENT_RESTART_MILLIS);
         machine.getWorkerClient().makeUnresponsive(UNRESPONSIVE_MILLIS);
         machine.startAgent(cell.newestLeaderNotice());
-        environment.runUntil(RESTART_MILLIS + PARTITION_DELAY_MILLIS);
+        environment.runUntil(AGENT_RESTART_MILLIS + PARTITION_DELAY_MILLIS);
         machine.getUplink().loseMessages(20_000);
         machine.getDownlink().loseMessages(20_000);
-        environment.runUntil(RESTART_MILLIS + 15_000);
+        environment.runUntil(AGENT_RESTART_MILLIS + 15_000);
         List<String> violations = cell.getInvariantChecker().finish();
         assertEquals(List.of(), violations, () -> String.join("\n", environment.getTrace()));
     }
--- a/src/test/java/org/standlink/simulation/TestOrdersAfterLeaseExpiry.java
+++ b/src/test/java/org/standlink/simulation/TestOrdersAfterLeaseExpiry.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that an order is not executed after the lease under which the leader gave it.
+ * Tests that an order is not executed after the lease under which the leader issued it.
  *
  * <p>Guards against two concurrent runs of a task: the store was unavailable for as long as leader
  * authority and a lease together, so all leases expired and run 1 lapsed. When the store was back,
@@ -32,7 +32,7 @@
  * leader released run 2 and assigned run 3 to another worker. The agent had kept the order for run
  * 2, as it had no lease itself, and started it under its next lease. The two runs started within
  * half a second, and run 2 was stopped half a second later. The cause was that nothing bound an
- * order to the lease under which it was given.
+ * order to the lease under which it was issued.
  *
  * <p>A real leader runs with two real agents and simulated workers. The store recovers at each
  * tenth of a heartbeat interval around the end of the leases.
