--- a/src/main/java/org/standlink/entry/Upstream.java
+++ b/src/main/java/org/standlink/entry/Upstream.java
@@ -18,38 +18,31 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.standlink.VmId;
 import org.standlink.wire.Connection;
-import org.standlink.wire.Load;
-import org.standlink.wire.Peer;
+import org.standlink.wire.PeerConnection;
+import org.standlink.wire.UpstreamLoad;
 
 /**
- * What an entry knows of the agent beside one upstream.
+ * The state of an upstream and its agent, as known to an entry.
  *
  * <p>{@code Upstream} is thread-safe.
  */
 final class Upstream {
 
-    /** The VM. */
     private final VmId vm;
 
-    /** The agent. */
-    private final Peer peer;
+    /** The connection to the agent. */
+    private final PeerConnection peer;
 
-    /** Requests sent from here and not answered. */
+    /** The number of requests that this entry has sent and that have not ended. */
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    /** What the agent last told. */
-    private volatile Load load = new Load(0, false, false);
+    /** The load that the agent last reported. */
+    private volatile UpstreamLoad load = new UpstreamLoad(0, false, false);
 
     /** Whether the platform lists the VM as leaving. */
     private volatile boolean listedLeaving;
 
-    /**
-     * Constructor.
-     *
-     * @param vm the VM
-     * @param peer the agent
-     */
-    Upstream(VmId vm, Peer peer) {
+    Upstream(VmId vm, PeerConnection peer) {
         this.vm = vm;
         this.peer = peer;
     }
@@ -58,51 +51,51 @@
         return vm;
     }
 
-    Peer getPeer() {
+    PeerConnection getPeer() {
         return peer;
     }
 
-    void setLoad(Load told) {
-        load = told;
+    void setLoad(UpstreamLoad newLoad) {
+        load = newLoad;
     }
 
     void setListedLeaving(boolean leaving) {
         listedLeaving = leaving;
     }
 
-    void sent() {
+    void recordSend() {
         inFlight.incrementAndGet();
     }
 
-    void ended() {
+    void recordEnd() {
         inFlight.decrementAndGet();
     }
 
     /**
-     * Gets the requests running or queued there.
+     * Gets the number of requests running or queued at the upstream.
      *
-     * @return what the agent told, or what was sent from here if that is more
+     * @return the number reported by the agent, or the number in flight from this entry if greater
      */
     int getOutstanding() {
         return Math.max(load.outstanding(), inFlight.get());
     }
 
     /**
-     * Checks whether new requests may go there.
+     * Checks whether new requests may be sent to the upstream.
      *
-     * @return true if it is connected and neither leaving nor failing
+     * @return true if the agent is connected and the upstream is neither leaving nor failing
      */
     boolean isOpen() {
-        Connection connection = peer.getOpen();
+        Connection connection = peer.getOpenConnection();
         boolean greeted =
-                connection != null && connection.getHello() != null && !connection.isLeftByPeer();
+                connection != null && connection.getHello() != null && !connection.isPeerLeaving();
         return greeted && !isLeaving() && !load.failing();
     }
 
     /**
-     * Checks whether the upstream is leaving, by any sign.
+     * Checks whether the upstream is leaving.
      *
-     * @return true if so
+     * @return true if the agent reports it as leaving or the platform lists it as leaving
      */
     boolean isLeaving() {
         return load.leaving() || listedLeaving;
--- a/src/main/java/org/standlink/leader/CellStatus.java
+++ b/src/main/java/org/standlink/leader/CellStatus.java
@@ -32,22 +32,20 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Describes a cell for operators, as JSON.
+ * Formats the status of a cell for operators, as JSON.
  *
  * <p>{@code CellStatus} is thread-safe and immutable.
  */
 final class CellStatus {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** No instances. */
     private CellStatus() {}
 
     /**
      * Describes a cell.
      *
-     * @param leader the leader
+     * @param leader the leader of the cell
      * @param state the folded state of the cell
      * @param bundle the bundle in force, null if none
      * @param nowMillis the time, in milliseconds
@@ -55,61 +53,64 @@
      */
     static String describe(
             BundleCellLeader leader, CellState state, Bundle bundle, long nowMillis) {
-        ObjectNode top = MAPPER.createObjectNode();
-        top.put("cell", state.getCell().toString());
-        top.put("epoch", state.getEpoch().getValue());
-        top.put("leader", String.valueOf(state.getLeader()));
-        top.put("bundle", bundle == null ? 0 : bundle.version().getValue());
-        ArrayNode workers = top.putArray("workers");
-        ArrayNode tasks = top.putArray("tasks");
+        ObjectNode status = MAPPER.createObjectNode();
+        status.put("cell", state.getCell().toString());
+        status.put("epoch", state.getEpoch().getValue());
+        status.put("leader", String.valueOf(state.getLeader()));
+        status.put("bundle", bundle == null ? 0 : bundle.version().getValue());
+        ArrayNode workers = status.putArray("workers");
+        ArrayNode tasks = status.putArray("tasks");
         if (bundle != null && bundle.findCell(state.getCell()).isPresent()) {
             bundle.findCell(state.getCell())
                     .orElseThrow()
                     .workers()
-                    .forEach(worker -> workers.add(worker(worker, leader, nowMillis)));
+                    .forEach(worker -> workers.add(describeWorker(worker, leader, nowMillis)));
             bundle.jobs().stream()
                     .filter(job -> job.cell().equals(state.getCell()))
                     .forEach(job -> addTasks(tasks, job, leader, state));
         }
         try {
-            return MAPPER.writeValueAsString(top);
+            return MAPPER.writeValueAsString(status);
         } catch (JsonProcessingException impossible) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "status not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "status could not be encoded",
+                    "report a defect",
+                    impossible);
         }
     }
 
-    private static ObjectNode worker(
+    private static ObjectNode describeWorker(
             WorkerSpecification worker, BundleCellLeader leader, long nowMillis) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("vm", worker.vm().toString());
         node.put("hall", worker.hall().toString());
         node.put("rack", worker.rack().toString());
-        AgentRecord agent = leader.getAgents().get(worker.vm());
-        boolean heard = agent != null && agent.isHeard();
+        AgentEntry agent = leader.getAgents().get(worker.vm());
+        boolean reported = agent != null && agent.hasReported();
         node.put("state", stateOf(agent));
-        node.put("bundle", heard ? agent.getLast().bundle().getValue() : 0);
-        node.put("silentMillis", heard ? nowMillis - agent.getGrantedMillis() : -1);
-        node.put("tasks", heard ? agent.getReports().size() : 0);
+        node.put("bundle", reported ? agent.getLastHeartbeat().bundle().getValue() : 0);
+        node.put("silentMillis", reported ? nowMillis - agent.getGrantedMillis() : -1);
+        node.put("tasks", reported ? agent.getReports().size() : 0);
         return node;
     }
 
-    private static String stateOf(AgentRecord agent) {
-        if (agent == null || !agent.isHeard()) {
+    private static String stateOf(AgentEntry agent) {
+        if (agent == null || !agent.hasReported()) {
             return "unheard";
         }
         if (agent.isLost()) {
             return "lost";
         }
-        if (agent.getLast().leaving()) {
+        if (agent.getLastHeartbeat().leaving()) {
             return "leaving";
         }
-        return agent.getLast().workerReady() ? "ready" : "worker not ready";
+        return agent.getLastHeartbeat().workerReady() ? "ready" : "worker not ready";
     }
 
     private static void addTasks(
             ArrayNode tasks, JobSpecification job, BundleCellLeader leader, CellState state) {
-        Map<TaskId, String> waiting = leader.getPlanner().getWaiting();
+        Map<TaskId, String> waiting = leader.getPlanner().getWaitingReasons();
         for (int index = 0; index < job.tasks(); index++) {
             TaskState task = state.get(TaskId.of(job.id(), index));
             ObjectNode node = tasks.addObject();
@@ -131,7 +132,7 @@
             return task.phase().name().toLowerCase(java.util.Locale.ROOT);
         }
         VmId worker = task.worker();
-        AgentRecord agent = leader.getAgents().get(worker);
+        AgentEntry agent = leader.getAgents().get(worker);
         TaskReport report = agent == null ? null : agent.getReport(task.task());
         return report == null
                 ? "assigned"
--- a/src/main/java/org/standlink/leader/CellViews.java
+++ b/src/main/java/org/standlink/leader/CellViews.java
@@ -43,27 +43,22 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Shows the state of a cell in the terms of the policies.
+ * Creates the policies' views of the state of a cell.
  *
- * <p>{@code CellViews} is thread-safe and immutable, if its orders do not change meanwhile.
+ * <p>{@code CellViews} is immutable, and thread-safe as long as its orders do not change.
  */
 final class CellViews {
 
-    /** The cell. */
     private final CellId cell;
-
-    /** The bundle in force. */
     private final Bundle bundle;
-
-    /** Throttles and stops. */
     private final TaskOrders orders;
 
     /**
-     * Constructor.
+     * Creates the views of a cell.
      *
      * @param cell the cell
      * @param bundle the bundle in force
-     * @param orders throttles and stops
+     * @param orders the throttles and stops in force
      */
     CellViews(CellId cell, Bundle bundle, TaskOrders orders) {
         this.cell = cell;
@@ -72,32 +67,32 @@
     }
 
     /**
-     * Sums up what the teams hold.
+     * Computes the quota usage of the teams.
      *
-     * @param running the tasks that hold room
-     * @return the quotas with what is held of them
+     * @param running the tasks that hold capacity
+     * @return the quotas with their usage
      */
-    QuotaUsage quotas(List<RunningTask> running) {
+    QuotaUsage computeQuotaUsage(List<RunningTask> running) {
         Map<TeamId, Resources> quotas = new HashMap<>();
         for (TeamSpecification team : bundle.teams()) {
             quotas.put(team.id(), team.quota());
         }
-        QuotaUsage ledger = new QuotaUsage(quotas);
-        running.forEach(task -> ledger.add(task.team(), task.granted()));
-        return ledger;
+        QuotaUsage usage = new QuotaUsage(quotas);
+        running.forEach(task -> usage.add(task.team(), task.granted()));
+        return usage;
     }
 
     /**
-     * Makes the views of the workers.
+     * Creates the views of the workers.
      *
-     * @param agents what the leader knows of the agents
-     * @param running the tasks that hold room
+     * @param agents the leader's state of the agents
+     * @param running the tasks that hold capacity
      * @param loads the load of the services on each VM, as last reported
-     * @param isHealthy tells whether a worker may take new work
+     * @param isHealthy whether the health policy permits new tasks on a worker
      * @return the views
      */
-    List<WorkerView> workers(
-            Map<VmId, AgentRecord> agents,
+    List<WorkerView> createWorkerViews(
+            Map<VmId, AgentEntry> agents,
             List<RunningTask> running,
             Map<VmId, List<ServiceLoad>> loads,
             Predicate<VmId> isHealthy) {
@@ -105,9 +100,9 @@
         Map<VmId, WorkerView> byVm = new HashMap<>();
         CellSpecification specification = bundle.findCell(cell).orElseThrow();
         for (WorkerSpecification worker : specification.workers()) {
-            AgentRecord agent = agents.get(worker.vm());
+            AgentEntry agent = agents.get(worker.vm());
             boolean usable = isReady(agent) && isHealthy.test(worker.vm());
-            WorkerView view = view(worker, loads, usable);
+            WorkerView view = createWorkerView(worker, loads, usable);
             views.add(view);
             byVm.put(worker.vm(), view);
         }
@@ -122,22 +117,22 @@
         return views;
     }
 
-    private static boolean isReady(AgentRecord agent) {
+    private static boolean isReady(AgentEntry agent) {
         return agent != null
-                && agent.isHeard()
+                && agent.hasReported()
                 && !agent.isLost()
-                && agent.getLast().workerReady()
-                && !agent.getLast().leaving();
+                && agent.getLastHeartbeat().workerReady()
+                && !agent.getLastHeartbeat().leaving();
     }
 
-    private WorkerView view(
+    private WorkerView createWorkerView(
             WorkerSpecification worker, Map<VmId, List<ServiceLoad>> loads, boolean usable) {
         Resources reserved = Resources.NONE;
-        List<ServiceLoad> present = new ArrayList<>();
+        List<ServiceLoad> serviceLoads = new ArrayList<>();
         for (ServiceSpecification service : bundle.services()) {
             if (service.upstreams().contains(worker.vm())) {
                 reserved = reserved.plus(service.reserved());
-                present.add(loadOf(loads.get(worker.vm()), service));
+                serviceLoads.add(loadOf(loads.get(worker.vm()), service));
             }
         }
         return new WorkerView(
@@ -146,39 +141,39 @@
                 worker.rack(),
                 worker.capacity(),
                 reserved,
-                present,
+                serviceLoads,
                 usable);
     }
 
     private static ServiceLoad loadOf(List<ServiceLoad> reported, ServiceSpecification service) {
-        List<ServiceLoad> known = reported == null ? List.of() : reported;
-        return known.stream()
+        List<ServiceLoad> loads = reported == null ? List.of() : reported;
+        return loads.stream()
                 .filter(load -> load.service().equals(service.id()))
                 .findFirst()
                 .orElse(new ServiceLoad(service.id(), 0));
     }
 
     /**
-     * Lists the tasks that hold room.
+     * Lists the tasks that hold capacity.
      *
      * @param state the folded state of the cell
-     * @param agents what the leader knows of the agents
+     * @param agents the leader's state of the agents
      * @return the tasks
      */
-    List<RunningTask> running(CellState state, Map<VmId, AgentRecord> agents) {
+    List<RunningTask> listAssignedTasks(CellState state, Map<VmId, AgentEntry> agents) {
         List<RunningTask> result = new ArrayList<>();
         for (TaskState task : state.getTasks()) {
             if (!task.isAssigned()) {
                 continue;
             }
-            AgentRecord agent = agents.get(task.worker());
+            AgentEntry agent = agents.get(task.worker());
             TaskReport report = agent == null ? null : agent.getReport(task.task());
-            result.add(running(task, report));
+            result.add(createRunningTask(task, report));
         }
         return result;
     }
 
-    private RunningTask running(TaskState task, TaskReport report) {
+    private RunningTask createRunningTask(TaskState task, TaskReport report) {
         Optional<JobSpecification> job = bundle.findJob(task.task().getJob());
         boolean queued =
                 report != null
@@ -194,7 +189,7 @@
                 job.map(JobSpecification::checkpointable).orElse(false),
                 orders.getThrottle(task.task()),
                 queued,
-                orders.isStopping(task) || job.isEmpty());
+                orders.isStopOrdered(task) || job.isEmpty());
     }
 
     /**
@@ -205,14 +200,14 @@
      * @param state the folded state of the cell
      * @return the tasks
      */
-    List<RunningTask> runningOn(VmId vm, Collection<TaskReport> reported, CellState state) {
+    List<RunningTask> listReportedTasks(VmId vm, Collection<TaskReport> reported, CellState state) {
         Map<TaskId, TaskReport> reports = new HashMap<>();
         reported.forEach(report -> reports.put(report.task(), report));
         List<RunningTask> result = new ArrayList<>();
         for (TaskState task : state.getTasks()) {
             TaskReport report = reports.get(task.task());
             if (task.isAssigned() && task.worker().equals(vm) && report != null) {
-                result.add(running(task, report));
+                result.add(createRunningTask(task, report));
             }
         }
         return result;
--- a/src/main/java/org/standlink/wire/ImageShare.java
+++ b/src/main/java/org/standlink/wire/ImageShare.java
@@ -18,7 +18,9 @@
 import com.fasterxml.jackson.annotation.JsonFormat;
 
 /**
- * The share of time for which an agent lets the runs of a best-effort image work.
+ * The share of time during which an agent lets the runs of a best-effort image run.
+ *
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code ImageShare} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/wire/Message.java
+++ b/src/main/java/org/standlink/wire/Message.java
@@ -19,15 +19,16 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
 /**
- * A message between two processes of standlink.
+ * A message between two standlink processes.
  *
- * <p>Implementations are immutable records. The number of a type on the wire never changes meaning.
+ * <p>Implementations are immutable records. The meaning of the number that identifies a type on the
+ * wire never changes.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, include = JsonTypeInfo.As.PROPERTY, property = "@")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Hello.class, name = "1"),
-    @JsonSubTypes.Type(value = Load.class, name = "2"),
-    @JsonSubTypes.Type(value = Forward.class, name = "3"),
+    @JsonSubTypes.Type(value = UpstreamLoad.class, name = "2"),
+    @JsonSubTypes.Type(value = ForwardRequest.class, name = "3"),
     @JsonSubTypes.Type(value = ForwardAnswer.class, name = "4"),
     @JsonSubTypes.Type(value = OutcomeQuery.class, name = "5"),
     @JsonSubTypes.Type(value = Heartbeat.class, name = "6"),
@@ -52,8 +53,8 @@
 })
 public sealed interface Message
         permits Hello,
-                Load,
-                Forward,
+                UpstreamLoad,
+                ForwardRequest,
                 ForwardAnswer,
                 OutcomeQuery,
                 Heartbeat,
--- a/src/test/java/org/standlink/entry/TestCallerServer.java
+++ b/src/test/java/org/standlink/entry/TestCallerServer.java
@@ -25,22 +25,22 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Tests how a caller's header is read. */
+/** Tests the parsing of request headers by {@link CallerServer}. */
 public class TestCallerServer {
 
     @Test
-    public void aCallerMaySayHowLongItWaits() {
-        assertEquals(0, CallerServer.waitMillis(null));
-        assertEquals(250, CallerServer.waitMillis(" 250 "));
+    public void parsesTheWaitHeader() {
+        assertEquals(0, CallerServer.parseWaitMillis(null));
+        assertEquals(250, CallerServer.parseWaitMillis(" 250 "));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"zzz", "-5", "0", "1.5", "3600001", ""})
-    public void anythingElseIsRefusedWithTheRange(String header) {
-        StandlinkException refused =
-                assertThrows(StandlinkException.class, () -> CallerServer.waitMillis(header));
-        assertEquals(ErrorCode.INVALID_MESSAGE, refused.getCode());
-        assertTrue(refused.getMessage().contains(CallerServer.WAIT_HEADER));
-        assertTrue(refused.getMessage().contains("milliseconds"));
+    public void rejectsAnInvalidWaitHeaderWithItsRange(String header) {
+        StandlinkException rejected =
+                assertThrows(StandlinkException.class, () -> CallerServer.parseWaitMillis(header));
+        assertEquals(ErrorCode.INVALID_MESSAGE, rejected.getCode());
+        assertTrue(rejected.getMessage().contains(CallerServer.WAIT_HEADER));
+        assertTrue(rejected.getMessage().contains("milliseconds"));
     }
 }
--- a/src/test/java/org/standlink/platform/TestCallerHttp.java
+++ b/src/test/java/org/standlink/platform/TestCallerHttpServer.java
@@ -38,14 +38,14 @@
 import org.standlink.process.ConnectionDrain;
 import org.standlink.process.ProcessThreads;
 
-/** Tests what a caller is told that sends too much. */
-public class TestCallerHttp {
+/** Tests the answers to callers whose body is too long. */
+public class TestCallerHttpServer {
 
-    private static final int MOST_BODY_BYTES = 1000;
+    private static final int MAX_BODY_BYTES = 1000;
 
     private final FakeClock clock = new FakeClock();
     private final ExecutorService threads = ProcessThreads.newCached("test");
-    private CallerHttp server;
+    private CallerHttpServer server;
     private int port;
 
     @BeforeEach
@@ -53,9 +53,9 @@
         LeaderLink leader = new LeaderLink(threads, (connection, call, message) -> {}, clock);
         JobGateway gateway = new JobGateway(leader, clock, new SimpleMeterRegistry());
         QueueDefinition queue = new QueueDefinition("q", "h", "/q/", "s", 0, 2, 250, 1.5, false);
-        gateway.offer(new Configuration(1, List.of(queue), List.of(), MOST_BODY_BYTES));
+        gateway.offer(new Configuration(1, List.of(queue), List.of(), MAX_BODY_BYTES));
         server =
-                new CallerHttp(
+                new CallerHttpServer(
                         new InetSocketAddress("127.0.0.1", 0),
                         threads,
                         gateway,
@@ -69,7 +69,7 @@
         threads.shutdownNow();
     }
 
-    /** Sends a request as it is and reads the first line and the header of the answer. */
+    /** Sends a raw request and reads the status line and the headers of the answer. */
     private String send(String request) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(5000);
@@ -96,28 +96,28 @@
     }
 
     @Test
-    public void aBodyThatIsAnnouncedAsTooLongIsNotWaitedFor() throws IOException {
+    public void oversizedContentLengthIsRejectedWithoutReadingTheBody() throws IOException {
         String answer = send(post(99_999_999_999L, ""));
         assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
         assertTrue(answer.toLowerCase(java.util.Locale.ROOT).contains("connection: close"), answer);
     }
 
     @Test
-    public void theLimitIsThatOfTheConfigurationInForce() throws IOException {
-        String longest = "x".repeat(MOST_BODY_BYTES);
-        assertTrue(send(post(MOST_BODY_BYTES, longest)).startsWith("HTTP/1.1 400"));
-        assertTrue(send(post(MOST_BODY_BYTES + 1, longest + "x")).startsWith("HTTP/1.1 413"));
-        assertEquals(MOST_BODY_BYTES, longest.length());
+    public void bodyLimitComesFromTheConfigurationInForce() throws IOException {
+        String longest = "x".repeat(MAX_BODY_BYTES);
+        assertTrue(send(post(MAX_BODY_BYTES, longest)).startsWith("HTTP/1.1 400"));
+        assertTrue(send(post(MAX_BODY_BYTES + 1, longest + "x")).startsWith("HTTP/1.1 413"));
+        assertEquals(MAX_BODY_BYTES, longest.length());
     }
 
     @Test
-    public void aBodyInChunksHasTheSameLimit() throws IOException {
-        String chunk = Integer.toHexString(MOST_BODY_BYTES + 1);
+    public void chunkedBodyHasTheSameLimit() throws IOException {
+        String chunk = Integer.toHexString(MAX_BODY_BYTES + 1);
         String request =
                 "POST /q/5c0e7a21d94b36f8 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + chunk
                         + "\r\n"
-                        + "x".repeat(MOST_BODY_BYTES + 1)
+                        + "x".repeat(MAX_BODY_BYTES + 1)
                         + "\r\n0\r\n\r\n";
         assertTrue(send(request).startsWith("HTTP/1.1 413"));
     }
--- a/src/test/java/org/standlink/simulation/SimulatedLink.java
+++ b/src/test/java/org/standlink/simulation/SimulatedLeaderClient.java
@@ -23,38 +23,38 @@
 import org.standlink.wire.LeaderNotice;
 import org.standlink.wire.Message;
 
-/** The leader as one agent process knows it, over channels in memory. */
-final class SimulatedLink implements LeaderClient {
+/** The leader client of one agent process, over simulated channels. */
+final class SimulatedLeaderClient implements LeaderClient {
 
-    private static final long CONNECT_MILLIS = 1000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 1000;
 
-    private final SimulationEnvironment world;
-    private final Pipe.Direction up;
-    private final Pipe.Direction down;
+    private final SimulationEnvironment environment;
+    private final OneWayChannel.NetworkPath uplink;
+    private final OneWayChannel.NetworkPath downlink;
     private final LeaderDirectory directory;
-    private final Channel.AgentSide agent;
+    private final SimulatedChannel.MessageReceiver receiver;
     private LeaderNotice leader = new LeaderNotice(Epoch.NONE, "");
-    private Channel channel;
+    private SimulatedChannel channel;
     private boolean connecting;
 
     /** Finds leaders by their addresses. */
     interface LeaderDirectory {
 
-        /** Finds the leader at an address, null if no process listens there. */
+        /** Finds the leader at an address, or returns null if no process listens there. */
         SimulatedLeader find(String address);
     }
 
-    SimulatedLink(
-            SimulationEnvironment world,
-            Pipe.Direction up,
-            Pipe.Direction down,
+    SimulatedLeaderClient(
+            SimulationEnvironment environment,
+            OneWayChannel.NetworkPath uplink,
+            OneWayChannel.NetworkPath downlink,
             LeaderDirectory directory,
-            Channel.AgentSide agent) {
-        this.world = world;
-        this.up = up;
-        this.down = down;
+            SimulatedChannel.MessageReceiver receiver) {
+        this.environment = environment;
+        this.uplink = uplink;
+        this.downlink = downlink;
         this.directory = directory;
-        this.agent = agent;
+        this.receiver = receiver;
     }
 
     @Override
@@ -79,11 +79,14 @@
         }
         connect();
         return CompletableFuture.failedFuture(
-                new StandlinkException(ErrorCode.PEER_UNREACHABLE, "simulated", "see the test"));
+                new StandlinkException(
+                        ErrorCode.PEER_UNREACHABLE,
+                        "simulated: no connection to the leader",
+                        "see the test"));
     }
 
-    /** Gets the open channel, null if there is none. */
-    Channel getChannel() {
+    /** Gets the open channel, or null if there is none. */
+    SimulatedChannel getOpenChannel() {
         return channel == null || channel.isClosed() ? null : channel;
     }
 
@@ -102,15 +105,23 @@
         }
         connecting = true;
         LeaderNotice target = leader;
-        boolean open = up.isOpen() && down.isOpen();
-        world.later(open ? world.draw(1, 4) : CONNECT_MILLIS, () -> connected(target, open));
+        boolean open = uplink.isOpen() && downlink.isOpen();
+        environment.schedule(
+                open ? environment.draw(1, 4) : CONNECT_TIMEOUT_MILLIS,
+                () -> completeConnect(target, open));
     }
 
-    private void connected(LeaderNotice target, boolean open) {
+    private void completeConnect(LeaderNotice target, boolean open) {
         connecting = false;
-        SimulatedLeader found = directory.find(target.address());
-        if (open && found != null && target.equals(leader)) {
-            channel = new Channel(world, new Pipe(world, up), new Pipe(world, down), found, agent);
+        SimulatedLeader simulatedLeader = directory.find(target.address());
+        if (open && simulatedLeader != null && target.equals(leader)) {
+            channel =
+                    new SimulatedChannel(
+                            environment,
+                            new OneWayChannel(environment, uplink),
+                            new OneWayChannel(environment, downlink),
+                            simulatedLeader,
+                            receiver);
         }
     }
 }
--- a/src/test/java/org/standlink/simulation/TestInvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/TestInvariantChecker.java
@@ -28,22 +28,22 @@
 import org.standlink.job.TaskName;
 import org.standlink.job.WorkerIncarnation;
 
-/** Tests that what breaks a rule is found, and that the rules' exceptions are heeded. */
+/** Tests that violations are found, and that what the invariants allow is not reported. */
 public class TestInvariantChecker {
 
     private static final TaskName TASK = TaskName.parse("aaaaaaaaaaaaaaaa.0.0.0");
     private static final RunId FIRST = new RunId(TASK, 1);
     private static final RunId SECOND = new RunId(TASK, 2);
 
-    private final SimulationEnvironment world = new SimulationEnvironment();
-    private final InvariantChecker referee = new InvariantChecker(world);
-    private final SimulatedWorker one = life("i-1");
-    private final SimulatedWorker two = life("i-2");
+    private final SimulationEnvironment environment = new SimulationEnvironment();
+    private final InvariantChecker checker = new InvariantChecker(environment);
+    private final SimulatedWorker firstWorker = newWorker("i-1");
+    private final SimulatedWorker secondWorker = newWorker("i-2");
 
-    private SimulatedWorker life(String id) {
+    private SimulatedWorker newWorker(String id) {
         return new SimulatedWorker(
-                world,
-                referee,
+                environment,
+                checker,
                 WorkerIncarnation.parse(id + "@1000"),
                 HallId.parse("h"),
                 new Resources(1000, 1000, 0),
@@ -51,154 +51,156 @@
     }
 
     private void assertFound(String... kinds) {
-        List<String> found = referee.finish();
-        assertEquals(kinds.length, found.size(), found::toString);
+        List<String> violations = checker.finish();
+        assertEquals(kinds.length, violations.size(), violations::toString);
         for (int i = 0; i < kinds.length; i++) {
-            assertTrue(found.get(i).contains(kinds[i]), found::toString);
+            assertTrue(violations.get(i).contains(kinds[i]), violations::toString);
         }
     }
 
     @Test
     public void twoRunsOfATaskAtOnceAreFound() {
-        referee.begun(one, FIRST, false);
-        referee.begun(two, SECOND, false);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordStart(secondWorker, SECOND, false);
         assertFound("TWICE");
     }
 
     @Test
     public void oneRunOnTwoWorkersIsFound() {
-        referee.begun(one, FIRST, false);
-        referee.begun(two, FIRST, false);
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordStart(secondWorker, FIRST, false);
         assertFound("TWICE");
     }
 
     @Test
-    public void aRunAfterOneThatDiedWithItsWorkerIsRight() {
-        referee.begun(one, FIRST, false);
-        referee.died(one, FIRST);
-        referee.begun(two, SECOND, false);
+    public void aRunAfterOneLostWithItsWorkerIsAllowed() {
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.recordLostRun(firstWorker, FIRST);
+        checker.recordStart(secondWorker, SECOND, false);
         assertFound();
     }
 
     @Test
     public void theThirdStartOfATaskAfterThreeCrashesUnderItIsFound() {
         for (int number = 1; number <= 5; number++) {
-            begunAndCrashed(number);
+            startAndCrash(number);
         }
         assertFound();
-        begunAndCrashed(6);
+        startAndCrash(6);
         assertFound("CRASHES");
     }
 
-    private void begunAndCrashed(int number) {
+    private void startAndCrash(int number) {
         RunId run = new RunId(TASK, number);
-        referee.begun(one, run, false);
-        referee.crashedUnder(TASK);
-        referee.died(one, run);
+        checker.recordStart(firstWorker, run, false);
+        checker.recordCrash(TASK);
+        checker.recordLostRun(firstWorker, run);
     }
 
     @Test
-    public void aStartInAnEvacuatedHallIsFoundAfterTheTimeToReadOfItUntilItIsTakenBack() {
-        referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), true));
-        world.playUntil(2500);
-        referee.begun(one, FIRST, false);
+    public void aStartInAnEvacuatedHallIsFoundAfterTheTimeToReadTheRequest() {
+        checker.evacuationAcknowledged(new EvacuationChange(firstWorker.getHall(), true));
+        environment.runUntil(2500);
+        checker.recordStart(firstWorker, FIRST, false);
         assertFound();
-        referee.died(one, FIRST);
-        world.playUntil(2600);
-        referee.begun(one, SECOND, true);
+        checker.recordLostRun(firstWorker, FIRST);
+        environment.runUntil(2600);
+        checker.recordStart(firstWorker, SECOND, true);
         assertFound();
-        referee.died(one, SECOND);
-        referee.begun(one, new RunId(TASK, 3), false);
+        checker.recordLostRun(firstWorker, SECOND);
+        checker.recordStart(firstWorker, new RunId(TASK, 3), false);
         assertFound("EVAC");
-        referee.died(one, new RunId(TASK, 3));
-        referee.evacuationAcknowledged(new EvacuationChange(one.getHall(), false));
-        referee.begun(one, new RunId(TASK, 4), false);
+        checker.recordLostRun(firstWorker, new RunId(TASK, 3));
+        checker.evacuationAcknowledged(new EvacuationChange(firstWorker.getHall(), false));
+        checker.recordStart(firstWorker, new RunId(TASK, 4), false);
         assertFound("EVAC");
     }
 
     @Test
-    public void aStartAfterAGoodEndThatIsRecordedLaterIsFound() {
-        endWellAndBeginAgain();
-        referee.recorded(one, 1);
+    public void aStartAfterASuccessfulEndThatIsRecordedLaterIsFound() {
+        succeedAndStartAgain();
+        checker.recordPersistedEnds(firstWorker, 1);
         assertFound("AGAIN");
     }
 
     @Test
-    public void aStartAfterAGoodEndThatIsNeverRecordedIsRight() {
-        endWellAndBeginAgain();
+    public void aStartAfterASuccessfulEndThatIsNeverRecordedIsAllowed() {
+        succeedAndStartAgain();
         assertFound();
     }
 
     @Test
-    public void aGoodEndCountsForNothingOnceTheHoldHasRunOut() {
-        endWellAndBeginAgain();
-        referee.lapsed(one);
-        referee.recorded(one, 1);
+    public void aSuccessfulEndIsIgnoredOnceTheLeaseHasExpired() {
+        succeedAndStartAgain();
+        checker.recordLapse(firstWorker);
+        checker.recordPersistedEnds(firstWorker, 1);
         assertFound();
     }
 
-    private void endWellAndBeginAgain() {
-        referee.begun(one, FIRST, false);
-        world.playUntil(100);
-        referee.over(one, FIRST, RunEndKind.DONE, 1);
-        world.playUntil(200);
-        referee.begun(two, SECOND, false);
+    private void succeedAndStartAgain() {
+        checker.recordStart(firstWorker, FIRST, false);
+        environment.runUntil(100);
+        checker.recordEnd(firstWorker, FIRST, RunEndKind.DONE, 1);
+        environment.runUntil(200);
+        checker.recordStart(secondWorker, SECOND, false);
     }
 
     @Test
-    public void aRunThatBeginsLongAfterTheCancelIsFound() {
-        referee.cancelAcknowledged(TASK.job());
-        world.playUntil(3200);
-        referee.begun(one, FIRST, false);
+    public void aRunStartedLongAfterTheCancelIsFound() {
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(3200);
+        checker.recordStart(firstWorker, FIRST, false);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aRunThatBeginsSoonAfterTheCancelIsRight() {
-        referee.cancelAcknowledged(TASK.job());
-        world.playUntil(2900);
-        referee.begun(one, FIRST, false);
-        world.playUntil(3300);
-        referee.over(one, FIRST, RunEndKind.STOPPED, 1);
-        world.playUntil(9000);
+    public void aRunStartedSoonAfterTheCancelIsAllowed() {
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(2900);
+        checker.recordStart(firstWorker, FIRST, false);
+        environment.runUntil(3300);
+        checker.recordEnd(firstWorker, FIRST, RunEndKind.STOPPED, 1);
+        environment.runUntil(9000);
         assertFound();
     }
 
     @Test
-    public void aRunAtWorkLongAfterTheCancelIsFoundOnce() {
-        referee.begun(one, FIRST, false);
-        referee.cancelAcknowledged(TASK.job());
-        world.playUntil(9000);
+    public void aRunStillRunningLongAfterTheCancelIsFoundOnce() {
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(9000);
         assertFound("UNASKED");
     }
 
     @Test
-    public void anImpairmentExcusesARunOfACancelledJobForAWhile() {
-        referee.begun(one, FIRST, false);
-        referee.cancelAcknowledged(TASK.job());
-        referee.impaired(4000);
-        world.playUntil(6900);
+    public void anImpairmentExtendsTheTimeToStopACancelledJob() {
+        checker.recordStart(firstWorker, FIRST, false);
+        checker.cancelAcknowledged(TASK.job());
+        checker.recordImpairment(4000);
+        environment.runUntil(6900);
         assertFound();
-        world.playUntil(7200);
+        environment.runUntil(7200);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aRunThatIsBegunLateCountsFromItsBeginning() {
-        referee.cancelAcknowledged(TASK.job());
-        world.playUntil(5000);
-        referee.begun(one, FIRST, true);
-        world.playUntil(7900);
+    public void aDelayedStartExtendsTheTimeToStopACancelledJob() {
+        checker.cancelAcknowledged(TASK.job());
+        environment.runUntil(5000);
+        checker.recordStart(firstWorker, FIRST, true);
+        environment.runUntil(7900);
         assertFound();
-        world.playUntil(8200);
+        environment.runUntil(8200);
         assertFound("UNASKED");
     }
 
     @Test
-    public void aWorkerOverItsRoomIsFound() {
-        referee.room(one, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
+    public void aWorkerOverItsCapacityIsFound() {
+        checker.checkCapacity(
+                firstWorker, new Resources(1000, 100, 0), new Resources(1000, 1000, 0), FIRST);
         assertFound();
-        referee.room(one, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
+        checker.checkCapacity(
+                firstWorker, new Resources(2000, 200, 0), new Resources(1000, 1000, 0), SECOND);
         assertFound("ROOM");
     }
 }
