--- a/src/main/java/org/standlink/admin/AdminApi.java
+++ b/src/main/java/org/standlink/admin/AdminApi.java
@@ -82,12 +82,12 @@
      * @param service the service
      */
     public void addTo(HttpService service) {
-        service.on("GET", "/v1/status", request -> json(status()));
-        service.on("GET", "/v1/bundle", request -> bundle());
-        service.on("GET", "/v1/services", request -> json(services()));
-        service.on("GET", "/v1/jobs", request -> json(jobs()));
-        service.on("GET", "/v1/histograms", request -> json(histograms()));
-        service.on("POST", "/v1/bundle", request -> submit(request.body()));
+        service.addHandler("GET", "/v1/status", request -> json(status()));
+        service.addHandler("GET", "/v1/bundle", request -> bundle());
+        service.addHandler("GET", "/v1/services", request -> json(services()));
+        service.addHandler("GET", "/v1/jobs", request -> json(jobs()));
+        service.addHandler("GET", "/v1/histograms", request -> json(histograms()));
+        service.addHandler("POST", "/v1/bundle", request -> submit(request.body()));
     }
 
     // -----------------------------------------------------------------------
@@ -97,8 +97,8 @@
 
     private ObjectNode status() {
         ObjectNode top = MAPPER.createObjectNode();
-        Bundle bundle = entry.getHolder().getBundle();
-        top.put("bundle", entry.getHolder().getVersion().getValue());
+        Bundle bundle = entry.getBundleHolder().getBundle();
+        top.put("bundle", entry.getBundleHolder().getVersion().getValue());
         top.put("ready", entry.isReady());
         ArrayNode cells = top.putArray("cells");
         if (bundle != null) {
@@ -109,7 +109,7 @@
 
     private JsonNode cell(CellSpecification cell) {
         CellId id = cell.id();
-        VmId leader = entry.getFollower().read(fold -> fold.getCell(id).getLeader());
+        VmId leader = entry.getFollower().read(fold -> fold.getCellState(id).getLeader());
         ObjectNode failed = MAPPER.createObjectNode();
         failed.put("cell", id.toString());
         failed.put("leader", String.valueOf(leader));
@@ -133,7 +133,7 @@
     }
 
     private HttpService.Answer bundle() {
-        String text = entry.getHolder().getSignedText();
+        String text = entry.getBundleHolder().getSignedText();
         if (text == null) {
             return HttpService.Answer.ofText(404, "no bundle is in force");
         }
@@ -143,7 +143,7 @@
 
     private ArrayNode services() {
         ArrayNode all = MAPPER.createArrayNode();
-        Bundle bundle = entry.getHolder().getBundle();
+        Bundle bundle = entry.getBundleHolder().getBundle();
         if (bundle != null) {
             bundle.services().forEach(service -> all.add(service(service)));
         }
@@ -166,7 +166,7 @@
 
     private ArrayNode jobs() {
         ArrayNode all = MAPPER.createArrayNode();
-        Bundle bundle = entry.getHolder().getBundle();
+        Bundle bundle = entry.getBundleHolder().getBundle();
         if (bundle != null) {
             bundle.jobs().forEach(job -> all.add(job(job)));
         }
--- a/src/main/java/org/standlink/admin/HealthApi.java
+++ b/src/main/java/org/standlink/admin/HealthApi.java
@@ -42,15 +42,16 @@
      */
     public static void addTo(
             HttpService service, PrometheusMeterRegistry registry, BooleanSupplier ready) {
-        service.on("GET", "/health/live", request -> HttpService.Answer.ofText(200, "live"));
-        service.on(
+        service.addHandler(
+                "GET", "/health/live", request -> HttpService.Answer.ofText(200, "live"));
+        service.addHandler(
                 "GET",
                 "/health/ready",
                 request ->
                         ready.getAsBoolean()
                                 ? HttpService.Answer.ofText(200, "ready")
                                 : HttpService.Answer.ofText(503, "not ready"));
-        service.on(
+        service.addHandler(
                 "GET",
                 "/metrics",
                 request ->
--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -31,7 +31,7 @@
 import org.standlink.port.HttpLog;
 import org.standlink.port.HttpVmList;
 import org.standlink.port.HttpWorker;
-import org.standlink.port.PlatformHttp;
+import org.standlink.port.JsonHttpClient;
 import org.standlink.port.VmListPort;
 import org.standlink.process.Guarded;
 import org.standlink.process.Polling;
@@ -116,13 +116,13 @@
         this.settings = settings;
         this.timers = new Timers(scheduler, registry, "standlink.agent.failures");
         this.registry = registry;
-        HttpClient client = PlatformHttp.newClient(executor);
-        PlatformHttp platform = new PlatformHttp(settings.platform(), client);
+        HttpClient client = JsonHttpClient.newClient(executor);
+        JsonHttpClient platform = new JsonHttpClient(settings.platform(), client);
         this.vmList = new HttpVmList(platform);
         this.supervisor =
                 new TaskSupervisor(
                         settings.vm(),
-                        new HttpWorker(new PlatformHttp(settings.worker(), client)),
+                        new HttpWorker(new JsonHttpClient(settings.worker(), client)),
                         clock);
         this.requests =
                 new RequestHandler(
@@ -151,11 +151,11 @@
                         new Hello(settings.vm(), incarnation),
                         this::handle);
         addGauges();
-        timers.every("heartbeat", settings.heartbeatMillis(), this::sendHeartbeat);
-        timers.every("tasks", TICK_INTERVAL_MILLIS, this::tickTasks);
-        timers.every("leader", TICK_INTERVAL_MILLIS, () -> leaderRole.tick(leaving));
-        timers.every("load", LOAD_INTERVAL_MILLIS, this::broadcastLoad);
-        timers.every("list", VM_LIST_INTERVAL_MILLIS, this::readVmList);
+        timers.scheduleRepeating("heartbeat", settings.heartbeatMillis(), this::sendHeartbeat);
+        timers.scheduleRepeating("tasks", TICK_INTERVAL_MILLIS, this::tickTasks);
+        timers.scheduleRepeating("leader", TICK_INTERVAL_MILLIS, () -> leaderRole.tick(leaving));
+        timers.scheduleRepeating("load", LOAD_INTERVAL_MILLIS, this::broadcastLoad);
+        timers.scheduleRepeating("list", VM_LIST_INTERVAL_MILLIS, this::readVmList);
     }
 
     // -----------------------------------------------------------------------
@@ -164,7 +164,7 @@
      *
      * @return the holder
      */
-    public BundleHolder getHolder() {
+    public BundleHolder getBundleHolder() {
         return holder;
     }
 
@@ -241,7 +241,7 @@
     }
 
     private void addGauges() {
-        WorkFailures.showIn(registry);
+        WorkFailures.registerCounter(registry);
         registry.gauge("standlink.agent.outstanding", requests, RequestHandler::getOutstanding);
         registry.gauge("standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunning);
         registry.gauge(
@@ -349,7 +349,7 @@
 
     private void answerWhenDone(
             Connection connection, long call, CompletableFuture<ForwardAnswer> outcome) {
-        Guarded.then(
+        Guarded.onCompletion(
                 "request",
                 outcome,
                 (answer, failure) -> {
@@ -363,7 +363,7 @@
 
     private void requestBundle(Connection connection) {
         if (holder.getBundle() == null) {
-            Guarded.then(
+            Guarded.onCompletion(
                     "bundle-query",
                     connection.call(new BundleQuery(holder.getVersion()), BUNDLE_TIMEOUT_MILLIS),
                     (answer, failure) -> offerBundle(answer));
--- a/src/main/java/org/standlink/agent/AgentSettings.java
+++ b/src/main/java/org/standlink/agent/AgentSettings.java
@@ -20,8 +20,8 @@
 import org.standlink.ErrorCode;
 import org.standlink.VmId;
 import org.standlink.json.Addresses;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 import org.standlink.lease.LeaseTimes;
 
 /**
@@ -63,7 +63,7 @@
      * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing all errors
      */
     public static AgentSettings read(String text) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         JsonSection root = JsonSection.parse(text, faults);
         AgentSettings settings =
                 new AgentSettings(
@@ -78,7 +78,7 @@
                         root.integer("claimAfterMillis", 4000, 100, 60_000),
                         root.integer("logRetentionMillis", 3_600_000, 1000, 604_800_000),
                         root.integer("drainMillis", 30_000, 100, 600_000));
-        root.finish();
+        root.reportUnknownKeys();
         if (settings.times().nodeMillis() <= 2 * settings.heartbeatMillis()) {
             faults.add(
                     "leases.nodeMillis",
@@ -98,7 +98,7 @@
                         section.integer(
                                 "authorityMillis", defaults.authorityMillis(), 500, 86_400_000),
                         section.integer("marginMillis", defaults.marginMillis(), 10, 600_000));
-        section.finish();
+        section.reportUnknownKeys();
         return times;
     }
 }
--- a/src/main/java/org/standlink/agent/KeyedRequests.java
+++ b/src/main/java/org/standlink/agent/KeyedRequests.java
@@ -99,7 +99,7 @@
         switch (answers.begin(key, computeFingerprint(request), clock.nowMillis())) {
             case RUN -> {
                 long windowMillis = service.keyWindowSeconds() * MILLIS_PER_SECOND;
-                Guarded.then(
+                Guarded.onCompletion(
                         "keyed-end",
                         answer,
                         (value, failure) ->
@@ -147,7 +147,8 @@
             answer.complete(
                     AnswerFactory.notRun("the first request with this key did not run", 0, 0));
         } else {
-            Guarded.then("replay", firstAnswer.get(), (value, failure) -> answer.complete(value));
+            Guarded.onCompletion(
+                    "replay", firstAnswer.get(), (value, failure) -> answer.complete(value));
         }
     }
 
--- a/src/main/java/org/standlink/agent/LeaderRole.java
+++ b/src/main/java/org/standlink/agent/LeaderRole.java
@@ -282,7 +282,7 @@
     }
 
     private void updateLeader(LeaderService leaderService) {
-        CellState state = follower.read(fold -> fold.getCell(leaderService.getCell()));
+        CellState state = follower.read(fold -> fold.getCellState(leaderService.getCell()));
         if (leaderTracker.update(state.getEpoch(), state.getLeader(), clock.nowMillis())) {
             LOGGER.log(
                     System.Logger.Level.INFO,
--- a/src/main/java/org/standlink/agent/RequestHandler.java
+++ b/src/main/java/org/standlink/agent/RequestHandler.java
@@ -128,7 +128,7 @@
         }
         CompletableFuture<ForwardAnswer> answer = new CompletableFuture<>();
         // The table records the actual outcome, also if the caller has been answered before.
-        Guarded.then(
+        Guarded.onCompletion(
                 "request-end",
                 answer,
                 (value, failure) -> requestTable.complete(request.id(), value));
@@ -292,7 +292,7 @@
             answer.complete(AnswerFactory.notRun(reason, RETRY_AFTER_MILLIS, getOutstanding()));
             return;
         }
-        Guarded.then(
+        Guarded.onCompletion(
                 "upstream-answer",
                 upstream.run(request),
                 (value, failure) -> {
@@ -348,7 +348,7 @@
                         () -> answerAtDeadline(callerAnswer),
                         request.budgetMillis() + TIMER_SLACK_MILLIS,
                         TimeUnit.MILLISECONDS);
-        Guarded.then(
+        Guarded.onCompletion(
                 "request-answer",
                 answer,
                 (value, failure) -> {
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -29,8 +29,8 @@
 import org.standlink.TaskId;
 import org.standlink.VmId;
 import org.standlink.lease.MonotonicClock;
+import org.standlink.port.AttemptStatus;
 import org.standlink.port.TaskStart;
-import org.standlink.port.TaskUsage;
 import org.standlink.port.WorkerPort;
 import org.standlink.wire.Assignment;
 import org.standlink.wire.HeartbeatAnswer;
@@ -71,10 +71,10 @@
     private final WorkerLeaseHolder workerLease;
 
     /** The attempts that the worker last listed, updated by the calls since then. */
-    private Map<TaskId, TaskUsage> usages = new HashMap<>();
+    private Map<TaskId, AttemptStatus> usages = new HashMap<>();
 
     /** The attempts that have ended, retained while their tasks are assigned. */
-    private final Map<TaskId, TaskUsage> endedUsages = new HashMap<>();
+    private final Map<TaskId, AttemptStatus> endedUsages = new HashMap<>();
 
     /** The throttle that was last sent to the worker for each task, in percent. */
     private final Map<TaskId, Integer> throttlePercents = new HashMap<>();
@@ -175,14 +175,14 @@
     }
 
     private void readWorker(NodeGrant currentGrant) {
-        Map<TaskId, TaskUsage> currentUsages = new HashMap<>();
-        for (TaskUsage usage : worker.list()) {
+        Map<TaskId, AttemptStatus> currentUsages = new HashMap<>();
+        for (AttemptStatus usage : worker.list()) {
             currentUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
         }
-        for (TaskUsage usage : usages.values()) {
+        for (AttemptStatus usage : usages.values()) {
             if (isRunning(usage) && !currentUsages.containsKey(usage.task())) {
                 // A worker that no longer lists a running attempt was restarted, which ended it.
-                endedUsages.put(usage.task(), withState(usage, TaskUsage.State.STOPPED));
+                endedUsages.put(usage.task(), withState(usage, AttemptStatus.State.STOPPED));
             }
         }
         currentUsages.values().forEach(this::recordEnd);
@@ -198,14 +198,14 @@
         usages = currentUsages;
     }
 
-    private void recordEnd(TaskUsage usage) {
+    private void recordEnd(AttemptStatus usage) {
         if (!isRunning(usage)) {
             endedUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
         }
     }
 
-    private static TaskUsage withState(TaskUsage usage, TaskUsage.State state) {
-        return new TaskUsage(
+    private static AttemptStatus withState(AttemptStatus usage, AttemptStatus.State state) {
+        return new AttemptStatus(
                 usage.task(),
                 usage.attempt(),
                 state,
@@ -214,7 +214,7 @@
                 usage.usage());
     }
 
-    private static TaskUsage selectNewer(TaskUsage first, TaskUsage second) {
+    private static AttemptStatus selectNewer(AttemptStatus first, AttemptStatus second) {
         // A running attempt takes precedence over a later one that has ended.
         if (isRunning(first) != isRunning(second)) {
             return isRunning(first) ? first : second;
@@ -229,7 +229,7 @@
                     .assignments()
                     .forEach(assignment -> assignments.put(assignment.task(), assignment));
         }
-        for (TaskUsage usage : List.copyOf(usages.values())) {
+        for (AttemptStatus usage : List.copyOf(usages.values())) {
             if (isRunning(usage)) {
                 keepOrStop(usage, assignments.get(usage.task()), capacityUsage, leaving);
             }
@@ -247,7 +247,10 @@
     }
 
     private void keepOrStop(
-            TaskUsage usage, Assignment assignment, CapacityUsage capacityUsage, boolean leaving) {
+            AttemptStatus usage,
+            Assignment assignment,
+            CapacityUsage capacityUsage,
+            boolean leaving) {
         boolean isWanted =
                 assignment != null
                         && assignment.attempt().equals(usage.attempt())
@@ -265,10 +268,10 @@
         if (!capacityUsage.isOvercommitted()) {
             return;
         }
-        List<TaskUsage> running = new ArrayList<>(usages.values());
+        List<AttemptStatus> running = new ArrayList<>(usages.values());
         running.removeIf(usage -> !isRunning(usage));
         running.sort(Comparator.comparingInt(usage -> assignments.get(usage.task()).priority()));
-        for (TaskUsage usage : running) {
+        for (AttemptStatus usage : running) {
             if (!capacityUsage.isOvercommitted()) {
                 return;
             }
@@ -279,7 +282,7 @@
 
     private void startIfCapacity(
             NodeGrant currentGrant, Assignment assignment, CapacityUsage capacityUsage) {
-        TaskUsage usage = usages.get(assignment.task());
+        AttemptStatus usage = usages.get(assignment.task());
         boolean mayStart =
                 !assignment.stop()
                         && (usage == null
@@ -307,10 +310,10 @@
             worker.start(workerLease.getToken(), start);
             usages.put(
                     assignment.task(),
-                    new TaskUsage(
+                    new AttemptStatus(
                             assignment.task(),
                             assignment.attempt(),
-                            TaskUsage.State.RUNNING,
+                            AttemptStatus.State.RUNNING,
                             assignment.checkpoint(),
                             assignment.resources(),
                             null));
@@ -322,8 +325,8 @@
         }
     }
 
-    private void stop(TaskUsage usage) {
-        TaskUsage stopped = worker.stop(workerLease.getToken(), usage.task(), usage.attempt());
+    private void stop(AttemptStatus usage) {
+        AttemptStatus stopped = worker.stop(workerLease.getToken(), usage.task(), usage.attempt());
         usages.put(usage.task(), stopped);
         recordEnd(stopped);
         throttlePercents.remove(usage.task());
@@ -342,7 +345,7 @@
     private List<TaskReport> createReports(NodeGrant currentGrant, boolean leaving) {
         Map<TaskId, TaskReport> reports = new HashMap<>();
         for (Assignment assignment : currentGrant.assignments()) {
-            TaskUsage usage = usages.get(assignment.task());
+            AttemptStatus usage = usages.get(assignment.task());
             if (usage == null || assignment.attempt().isAfter(usage.attempt())) {
                 reports.put(assignment.task(), createUnstartedReport(assignment, leaving));
             } else {
@@ -365,7 +368,7 @@
                 null);
     }
 
-    private static TaskReport createReport(TaskUsage usage) {
+    private static TaskReport createReport(AttemptStatus usage) {
         return new TaskReport(
                 usage.task(),
                 usage.attempt(),
@@ -374,8 +377,8 @@
                 usage.usage());
     }
 
-    private static boolean isRunning(TaskUsage usage) {
-        return usage.state() == TaskUsage.State.RUNNING;
+    private static boolean isRunning(AttemptStatus usage) {
+        return usage.state() == AttemptStatus.State.RUNNING;
     }
 
     private static boolean isRunning(TaskReport task) {
--- a/src/main/java/org/standlink/benchmark/BenchmarkBundles.java
+++ b/src/main/java/org/standlink/benchmark/BenchmarkBundles.java
@@ -41,7 +41,7 @@
      * @param tasks the tasks on each, and its processors
      * @return the signed text
      */
-    static String fullCell(int workers, int tasks) {
+    static String createFullCell(int workers, int tasks) {
         StringBuilder text = new StringBuilder("\"jobs\":[{\"id\":\"scan\",");
         text.append("\"mode\":\"manage\",\"team\":\"t\",\"cell\":\"one\",\"tasks\":")
                 .append(workers * tasks)
@@ -59,7 +59,7 @@
      * @param address the address of the agent
      * @return the signed text
      */
-    static String oneService(String address) {
+    static String createSingleService(String address) {
         return signed(
                 "\"services\":[{\"id\":\"s\",\"mode\":\"manage\",\"pathPrefix\":\"/\","
                         + "\"upstreams\":[\"vm-1\"],\"classes\":[{\"id\":\"push\","
@@ -80,8 +80,8 @@
     }
 
     private static String signed(String parts) {
-        KeyPair first = BundleSigner.newKeys();
-        KeyPair second = BundleSigner.newKeys();
+        KeyPair first = BundleSigner.generateKeyPair();
+        KeyPair second = BundleSigner.generateKeyPair();
         String bundle =
                 "{\"version\":1,\"base\":0,\"teams\":[{\"id\":\"t\"}],\"operators\":["
                         + operator("a", first)
--- a/src/main/java/org/standlink/benchmark/DecisionResult.java
+++ b/src/main/java/org/standlink/benchmark/DecisionResult.java
@@ -23,22 +23,22 @@
  * @param strategy the strategy
  * @param missPercent the share of measurements above the target, in percent
  * @param tailPercent the 99th percentile of latency, in percent of the target
- * @param work batch work done, in core-hours
+ * @param coreHours batch work done, in core-hours
  * @param evictions tasks stopped
- * @param violations seconds in which a worker had granted more than it has
+ * @param overCapacitySeconds seconds in which a worker had granted more than it has
  */
 public record DecisionResult(
         String strategy,
         double missPercent,
         double tailPercent,
-        double work,
+        double coreHours,
         int evictions,
-        int violations) {
+        int overCapacitySeconds) {
 
     @Override
     public String toString() {
         return String.format(
                 "%-24s misses %5.2f%%  p99 %4.0f%% of target  work %7.1f core-h  evictions %4d  over capacity %d",
-                strategy, missPercent, tailPercent, work, evictions, violations);
+                strategy, missPercent, tailPercent, coreHours, evictions, overCapacitySeconds);
     }
 }
--- a/src/main/java/org/standlink/benchmark/LeaderCost.java
+++ b/src/main/java/org/standlink/benchmark/LeaderCost.java
@@ -71,7 +71,7 @@
         MemoryLog log = new MemoryLog(() -> now[0], 1000, Long.MAX_VALUE / 4);
         log.append(
                 RecordCodec.encode(
-                        new BundleRecord("b", BenchmarkBundles.fullCell(workers, tasks))));
+                        new BundleRecord("b", BenchmarkBundles.createFullCell(workers, tasks))));
         BundleHolder holder = new BundleHolder();
         LeaderService service =
                 new LeaderService(
--- a/src/main/java/org/standlink/benchmark/Slopes.java
+++ b/src/main/java/org/standlink/benchmark/MarginalCost.java
@@ -46,9 +46,9 @@
 /**
  * Measures what one more task, worker, job or record costs in bytes, processor time and memory.
  *
- * <p>{@code Slopes} is thread-safe and immutable.
+ * <p>{@code MarginalCost} is thread-safe and immutable.
  */
-public final class Slopes {
+public final class MarginalCost {
 
     /** Rounds before measuring. */
     private static final int WARM_UP = 3000;
@@ -66,7 +66,7 @@
     private static final Resources SIZE = Resources.ofCores(2, 4000, 0);
 
     /** No instances. */
-    private Slopes() {}
+    private MarginalCost() {}
 
     /**
      * Measures everything.
@@ -173,7 +173,7 @@
         state.apply(new BundleTaskRecord("id", CELL, Epoch.of(1), 1, events));
         events = null;
         long after = usedBytes();
-        byte[] snapshot = RecordCodec.encode(state.snapshot(1, null));
+        byte[] snapshot = RecordCodec.encode(state.createSnapshot(1, null));
         lines.add(
                 String.format(
                         "task held by a leader: %d bytes of heap, %d bytes of a snapshot",
@@ -228,7 +228,7 @@
         String key =
                 java.util.Base64.getEncoder()
                         .encodeToString(
-                                org.standlink.bundle.BundleSigner.newKeys()
+                                org.standlink.bundle.BundleSigner.generateKeyPair()
                                         .getPublic()
                                         .getEncoded());
         return text.append("]}],\"teams\":[{\"id\":\"security\"}],\"operators\":[")
@@ -276,7 +276,7 @@
      * @param tasks the tasks on each
      * @return the result in one line
      */
-    public static String leader(int workers, int tasks) {
+    public static String measureLeader(int workers, int tasks) {
         return LeaderCost.measure(workers, tasks, new SimpleMeterRegistry());
     }
 }
--- a/src/main/java/org/standlink/benchmark/PathBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/PathBenchmark.java
@@ -39,7 +39,7 @@
 import org.standlink.standin.MemoryLog;
 import org.standlink.standin.MemoryVmList;
 import org.standlink.standin.RequestLoad;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 import org.standlink.standin.UpstreamServer;
 
 /**
@@ -75,7 +75,9 @@
         MemoryLog log = new MemoryLog(clock, 100, 3_600_000);
         MemoryVmList vms = new MemoryVmList(clock, 0);
         HttpService platform =
-                keep(StandInHttp.servePlatform(new InetSocketAddress(HOST, 0), executor, log, vms));
+                keep(
+                        StandInHttpServices.servePlatform(
+                                new InetSocketAddress(HOST, 0), executor, log, vms));
         UpstreamServer upstream =
                 keep(new UpstreamServer(new InetSocketAddress(HOST, 0), executor, 1));
         String platformUrl = url(platform.getPort());
@@ -87,7 +89,7 @@
                                 executor,
                                 ProcessThreads.newScheduled("agent", 5),
                                 registry));
-        String bundle = BenchmarkBundles.oneService(HOST + ":" + agent.getPort());
+        String bundle = BenchmarkBundles.createSingleService(HOST + ":" + agent.getPort());
         log.append(RecordCodec.encode(new BundleRecord("b", bundle)));
         EntryProcess entry =
                 keep(
@@ -121,9 +123,9 @@
                 String.format(
                         "ratio p50 %.2f, p99 %.2f; added %d us at p50, %d us at p99",
                         (double) path.medianMicros() / direct.medianMicros(),
-                        (double) path.tailMicros() / direct.tailMicros(),
+                        (double) path.p99Micros() / direct.p99Micros(),
                         path.medianMicros() - direct.medianMicros(),
-                        path.tailMicros() - direct.tailMicros()),
+                        path.p99Micros() - direct.p99Micros()),
                 String.format(
                         "entry and agent together: %.0f us of processor a request, %.0f requests/s per core",
                         added, 1_000_000 / added));
@@ -141,7 +143,7 @@
 
     private static void awaitOpen(EntryProcess entry) throws InterruptedException {
         VmId vm = VmId.parse("vm-1");
-        while (entry.getHolder().getBundle() == null
+        while (entry.getBundleHolder().getBundle() == null
                 || !entry.getDirectory().getState(vm).equals("open")) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
--- a/src/main/java/org/standlink/bundle/Bundle.java
+++ b/src/main/java/org/standlink/bundle/Bundle.java
@@ -138,7 +138,7 @@
      */
     public long getDistanceMicros(HallId from, HallId to) {
         return hallDistances.stream()
-                .filter(distance -> distance.joins(from, to))
+                .filter(distance -> distance.isBetween(from, to))
                 .mapToLong(HallDistance::micros)
                 .findFirst()
                 .orElse(0);
--- a/src/main/java/org/standlink/bundle/BundleChecker.java
+++ b/src/main/java/org/standlink/bundle/BundleChecker.java
@@ -26,7 +26,7 @@
 import org.standlink.ServiceId;
 import org.standlink.TeamId;
 import org.standlink.VmId;
-import org.standlink.json.Faults;
+import org.standlink.json.ValidationErrors;
 
 /**
  * Checks what the parts of a bundle say about each other.
@@ -36,7 +36,7 @@
 final class BundleChecker {
 
     /** The most workers of one cell, which bounds what its leader carries. */
-    static final int MOST_WORKERS_IN_CELL = 32;
+    static final int MAX_WORKERS_PER_CELL = 32;
 
     /** The fewest operators: one writes, another signs off. */
     private static final int FEWEST_OPERATORS = 2;
@@ -48,7 +48,7 @@
     private final Bundle bundle;
 
     /** Where faults go. */
-    private final Faults faults;
+    private final ValidationErrors faults;
 
     /**
      * Constructor.
@@ -56,7 +56,7 @@
      * @param bundle the bundle
      * @param faults where faults go
      */
-    private BundleChecker(Bundle bundle, Faults faults) {
+    private BundleChecker(Bundle bundle, ValidationErrors faults) {
         this.bundle = bundle;
         this.faults = faults;
     }
@@ -67,7 +67,7 @@
      * @param bundle the bundle
      * @param faults where faults go
      */
-    static void check(Bundle bundle, Faults faults) {
+    static void check(Bundle bundle, ValidationErrors faults) {
         BundleChecker checker = new BundleChecker(bundle, faults);
         checker.checkVersion();
         checker.checkUnique();
@@ -190,11 +190,11 @@
         for (int i = 0; i < bundle.cells().size(); i++) {
             CellSpecification cell = bundle.cells().get(i);
             String path = "cells[" + i + "].workers";
-            if (cell.workers().isEmpty() || cell.workers().size() > MOST_WORKERS_IN_CELL) {
+            if (cell.workers().isEmpty() || cell.workers().size() > MAX_WORKERS_PER_CELL) {
                 faults.add(
                         path,
                         cell.workers().size() + " workers",
-                        "use 1 to " + MOST_WORKERS_IN_CELL);
+                        "use 1 to " + MAX_WORKERS_PER_CELL);
             }
             for (WorkerSpecification worker : cell.workers()) {
                 checkWorker(path, worker);
--- a/src/main/java/org/standlink/bundle/BundleReader.java
+++ b/src/main/java/org/standlink/bundle/BundleReader.java
@@ -29,8 +29,8 @@
 import org.standlink.ServiceId;
 import org.standlink.TeamId;
 import org.standlink.VmId;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 
 /**
  * Reads a bundle from its JSON text and checks every key.
@@ -62,9 +62,9 @@
      * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every fault
      */
     public static Bundle read(String text) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         Bundle bundle = read(text, faults);
-        if (faults.getFound().isEmpty()) {
+        if (faults.getErrors().isEmpty()) {
             BundleChecker.check(bundle, faults);
         }
         faults.throwIfAny(ErrorCode.INVALID_BUNDLE, "the bundle");
@@ -72,7 +72,7 @@
     }
 
     // -----------------------------------------------------------------------
-    private static Bundle read(String text, Faults faults) {
+    private static Bundle read(String text, ValidationErrors faults) {
         JsonSection top = JsonSection.parse(text, faults);
         Bundle bundle =
                 new Bundle(
@@ -86,7 +86,7 @@
                         all(top, "operators", BundleReader::operator),
                         weights(top.section("weights")),
                         all(top, "hallDistances", BundleReader::distance));
-        top.finish();
+        top.reportUnknownKeys();
         return bundle;
     }
 
@@ -98,14 +98,14 @@
     private static <T> T one(
             JsonSection section, java.util.function.Function<JsonSection, T> reader) {
         T value = reader.apply(section);
-        section.finish();
+        section.reportUnknownKeys();
         return value;
     }
 
     private static ServiceSpecification service(JsonSection from) {
         return new ServiceSpecification(
                 from.requiredValue("id", ServiceId::parse),
-                from.choice("mode", Mode.class, Mode.OBSERVE),
+                from.enumValue("mode", Mode.class, Mode.OBSERVE),
                 from.requiredText("pathPrefix"),
                 from.values("upstreams", VmId::parse),
                 (int) from.integer("slots", 8, 1, 10_000),
@@ -131,14 +131,14 @@
         JobId id = from.requiredValue("id", JobId::parse);
         return new JobSpecification(
                 id,
-                from.choice("mode", Mode.class, Mode.OBSERVE),
+                from.enumValue("mode", Mode.class, Mode.OBSERVE),
                 from.requiredValue("team", TeamId::parse),
                 from.requiredValue("cell", CellId::parse),
                 from.text("batchClass", DEFAULT_CLASS),
                 (int) from.requiredInteger("tasks", 1, MOST_TASKS),
                 one(from.section("resources"), BundleReader::resources),
                 from.integer("runSeconds", 60, 1, HIGH),
-                from.choice("urgency", Urgency.class, Urgency.ORDINARY),
+                from.enumValue("urgency", Urgency.class, Urgency.ORDINARY),
                 (int) from.integer("priority", 0, 0, HIGHEST_PRIORITY),
                 from.flag("checkpointable", false),
                 (int) from.integer("finishByHour", -1, 0, 23));
@@ -191,7 +191,7 @@
                         from.decimal("latency", 1, 0, 100),
                         from.decimal("throughput", 1, 0, 100),
                         from.decimal("eviction", 1, 0, 100));
-        from.finish();
+        from.reportUnknownKeys();
         return weights;
     }
 
--- a/src/main/java/org/standlink/bundle/BundleSigner.java
+++ b/src/main/java/org/standlink/bundle/BundleSigner.java
@@ -48,7 +48,7 @@
      *
      * @return the keys
      */
-    public static KeyPair newKeys() {
+    public static KeyPair generateKeyPair() {
         try {
             return KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
         } catch (GeneralSecurityException missing) {
--- a/src/main/java/org/standlink/bundle/HallDistance.java
+++ b/src/main/java/org/standlink/bundle/HallDistance.java
@@ -35,7 +35,7 @@
      * @param second a hall
      * @return true if it is
      */
-    public boolean joins(HallId first, HallId second) {
+    public boolean isBetween(HallId first, HallId second) {
         return from.equals(first) && to.equals(second) || from.equals(second) && to.equals(first);
     }
 }
--- a/src/main/java/org/standlink/bundle/SignedBundle.java
+++ b/src/main/java/org/standlink/bundle/SignedBundle.java
@@ -19,8 +19,8 @@
 import java.util.List;
 import org.standlink.ErrorCode;
 import org.standlink.OperatorId;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 
 /**
  * A bundle's text with its author and the sign-offs.
@@ -49,7 +49,7 @@
      * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every fault
      */
     public static SignedBundle read(String text) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         JsonSection top = JsonSection.parse(text, faults);
         String bundle = top.requiredText("bundle");
         OperatorId author = top.requiredValue("author", OperatorId::parse);
@@ -57,9 +57,9 @@
         for (JsonSection section : top.sections("signatures")) {
             OperatorId operator = section.requiredValue("operator", OperatorId::parse);
             signatures.add(new Signature(operator, section.requiredText("value")));
-            section.finish();
+            section.reportUnknownKeys();
         }
-        top.finish();
+        top.reportUnknownKeys();
         faults.throwIfAny(ErrorCode.INVALID_BUNDLE, "the signed bundle");
         return new SignedBundle(bundle, author, List.copyOf(signatures));
     }
--- a/src/main/java/org/standlink/cell/CommitQueue.java
+++ b/src/main/java/org/standlink/cell/CommitQueue.java
@@ -27,11 +27,11 @@
 import org.standlink.process.EventLog;
 import org.standlink.process.Guarded;
 import org.standlink.process.WorkFailures;
+import org.standlink.store.AppendCondition;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.KeyedStore;
 import org.standlink.store.ReadResult;
 import org.standlink.store.Topic;
-import org.standlink.store.Writer;
 
 /**
  * Persists the changes of a leader in the store, in order and one append at a time, and runs the
@@ -236,9 +236,11 @@
         append.callStarted();
         ClockReading sent = authority.now();
         lastCallMillis = sent.monotonicMillis();
-        Guarded.thenIn(
+        Guarded.onCompletionInLoop(
                 store.append(
-                        Topic.CELL, append.getRecords(), new Writer(epoch, sequence, topicEnd)),
+                        Topic.CELL,
+                        append.getRecords(),
+                        new AppendCondition(epoch, sequence, topicEnd)),
                 loop,
                 (newEnd, failure) -> closeOnFailure(() -> handleAnswer(append, sent, failure)));
         scheduleRetry(
@@ -292,7 +294,7 @@
     private void readBack(PendingAppend append, ClockReading since) {
         if (!append.isReadingBack()) {
             append.setReadingBack(true);
-            Guarded.thenIn(
+            Guarded.onCompletionInLoop(
                     store.read(Topic.CELL, topicEnd, 0),
                     loop,
                     (read, failure) ->
@@ -309,7 +311,7 @@
         StoreFailureClassifier.rethrowDefect(failure);
         if (StoreFailureClassifier.codeOf(failure) == ErrorCode.LOG_GAP) {
             // Its outcome can no longer be read; the next leader reads the state again.
-            handleFenced(WorkFailures.causeOf(failure));
+            handleFenced(WorkFailures.unwrap(failure));
         } else if (read == null || read.records().isEmpty()) {
             schedule(() -> retryReadBack(append, since), RETRY_PAUSE_MILLIS);
         } else if (append.matches(read.records())) {
@@ -368,7 +370,7 @@
 
     private void handleFailure(PendingAppend append, Throwable failure) {
         StoreFailureClassifier.rethrowDefect(failure);
-        Throwable cause = WorkFailures.causeOf(failure);
+        Throwable cause = WorkFailures.unwrap(failure);
         ErrorCode code = StoreFailureClassifier.codeOf(failure);
         boolean superseded =
                 code == ErrorCode.EPOCH_FENCED
--- a/src/main/java/org/standlink/cell/InterferencePersistence.java
+++ b/src/main/java/org/standlink/cell/InterferencePersistence.java
@@ -21,7 +21,7 @@
 import org.standlink.policy.InterferenceTable;
 import org.standlink.process.EventLog;
 import org.standlink.store.KeyedRecord;
-import org.standlink.store.Packing;
+import org.standlink.store.MessagePackCodec;
 
 /**
  * Persists the interference estimates, so that a new leader need not disturb serving runs to learn
@@ -74,7 +74,9 @@
     void restore(List<KeyedRecord> records) {
         for (KeyedRecord record : records) {
             if (record.key().equals(KEY) && record.value().length > 0) {
-                recorded = Packing.unpack(record.value(), InterferenceRecord.class).estimates();
+                recorded =
+                        MessagePackCodec.decode(record.value(), InterferenceRecord.class)
+                                .estimates();
                 table.putAll(recorded);
                 LOG.info("estimates-read").with("pairs", recorded.size()).write();
             }
@@ -97,7 +99,8 @@
             return List.of();
         }
         recorded = current;
-        return List.of(new KeyedRecord(KEY, Packing.pack(new InterferenceRecord(current))));
+        return List.of(
+                new KeyedRecord(KEY, MessagePackCodec.encode(new InterferenceRecord(current))));
     }
 
     @Override
--- a/src/main/java/org/standlink/cell/JobCellLeader.java
+++ b/src/main/java/org/standlink/cell/JobCellLeader.java
@@ -220,7 +220,7 @@
             return;
         }
         if (failure != null) {
-            Throwable cause = WorkFailures.causeOf(failure);
+            Throwable cause = WorkFailures.unwrap(failure);
             if (cause instanceof StandlinkException exception
                     && exception.getCode() == ErrorCode.EPOCH_FENCED) {
                 depose();
@@ -231,7 +231,7 @@
             return;
         }
         long now = clock.nowMillis();
-        commits.setTopicEnd(state.next());
+        commits.setTopicEnd(state.nextOffset());
         jobs.restore(state.records());
         workers.restore(state.records(), now + times.waitAfterFenceMillis());
         interferencePersistence.restore(state.records());
@@ -251,7 +251,7 @@
         LOG.info("leading")
                 .with("epoch", epoch)
                 .with("jobs", jobs.getJobs().size())
-                .with("end", state.next())
+                .with("end", state.nextOffset())
                 .write();
         tickTimer = loop.scheduleRepeating(TICK_MILLIS, this::tick);
     }
--- a/src/main/java/org/standlink/cell/JobRegistry.java
+++ b/src/main/java/org/standlink/cell/JobRegistry.java
@@ -26,7 +26,7 @@
 import org.standlink.job.JobDefinition;
 import org.standlink.job.TaskName;
 import org.standlink.store.KeyedRecord;
-import org.standlink.store.Packing;
+import org.standlink.store.MessagePackCodec;
 
 /**
  * All jobs of a cell, and which of them have changed since they were last persisted.
@@ -104,7 +104,7 @@
         if (record.value().length == 0) {
             found.remove(id);
         } else {
-            found.put(id, Packing.unpack(record.value(), type));
+            found.put(id, MessagePackCodec.decode(record.value(), type));
         }
     }
 
@@ -231,7 +231,7 @@
     public List<KeyedRecord> takeChanges() {
         List<KeyedRecord> records = new ArrayList<>();
         for (JobId id : added) {
-            byte[] value = Packing.pack(jobs.get(id).getDefinition());
+            byte[] value = MessagePackCodec.encode(jobs.get(id).getDefinition());
             records.add(new KeyedRecord(DEFINITION_KEY + id, value));
         }
         for (JobId id : changed) {
@@ -241,10 +241,12 @@
             if (job.isFinalAndReleased()) {
                 FinishedJobRecord finishedRecord =
                         FinishedJobRecord.of(job.getDefinition().queue(), record);
-                records.add(new KeyedRecord(FINISHED_KEY + id, Packing.pack(finishedRecord)));
+                records.add(
+                        new KeyedRecord(
+                                FINISHED_KEY + id, MessagePackCodec.encode(finishedRecord)));
                 removeTaskRecords(id, records);
             } else {
-                records.add(new KeyedRecord(STATE_KEY + id, Packing.pack(record)));
+                records.add(new KeyedRecord(STATE_KEY + id, MessagePackCodec.encode(record)));
             }
         }
         for (JobId id : removed) {
--- a/src/main/java/org/standlink/cell/LeaderLoop.java
+++ b/src/main/java/org/standlink/cell/LeaderLoop.java
@@ -78,7 +78,7 @@
      * @return the handle to cancel it
      */
     ScheduledFuture<?> scheduleRepeating(long pauseMillis, Runnable work) {
-        return Guarded.repeat(NAME, loop, pauseMillis, () -> run(work));
+        return Guarded.scheduleRepeating(NAME, loop, pauseMillis, () -> run(work));
     }
 
     /**
@@ -89,7 +89,7 @@
      * @param <T> the type of the value
      */
     <T> void onCompletion(CompletableFuture<T> future, BiConsumer<? super T, Throwable> action) {
-        Guarded.thenIn(future, this, action);
+        Guarded.onCompletionInLoop(future, this, action);
     }
 
     // -----------------------------------------------------------------------
@@ -98,7 +98,7 @@
             work.run();
         } catch (Throwable thrown) {
             Guarded.work("leader-end", failureHandler).run();
-            WorkFailures.note(NAME, thrown);
+            WorkFailures.record(NAME, thrown);
         }
     }
 }
--- a/src/main/java/org/standlink/cell/LeadershipManager.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -207,7 +207,7 @@
         }
         stopLeader();
         LOG.info("resigning-after-failure").with("epoch", epoch).write();
-        Guarded.thenOn(
+        Guarded.onCompletionAsync(
                 "resigning-after-failure",
                 appendResignation(epoch),
                 loop,
--- a/src/main/java/org/standlink/cell/StoreFailureClassifier.java
+++ b/src/main/java/org/standlink/cell/StoreFailureClassifier.java
@@ -35,7 +35,7 @@
      * @return the code, null if the failure has none
      */
     static ErrorCode codeOf(Throwable failure) {
-        return WorkFailures.causeOf(failure) instanceof StandlinkException known
+        return WorkFailures.unwrap(failure) instanceof StandlinkException known
                 ? known.getCode()
                 : null;
     }
@@ -47,7 +47,7 @@
      * @param failure the failure of a call, null if the call succeeded
      */
     static void rethrowDefect(Throwable failure) {
-        Throwable cause = WorkFailures.causeOf(failure);
+        Throwable cause = WorkFailures.unwrap(failure);
         if (cause instanceof Error error) {
             throw error;
         }
--- a/src/main/java/org/standlink/command/AbstractServerCommand.java
+++ b/src/main/java/org/standlink/command/AbstractServerCommand.java
@@ -30,11 +30,11 @@
 
     /** The form of log lines. */
     @Option(name = "--log", usage = "form of log lines: TEXT or JSON")
-    private LogSetup.Form form = LogSetup.Form.TEXT;
+    private LogSetup.Format form = LogSetup.Format.TEXT;
 
     /** Stops in order. */
     @FunctionalInterface
-    interface Stop {
+    interface ShutdownAction {
 
         /**
          * Stops.
@@ -60,16 +60,16 @@
      * @return the exit code
      * @throws InterruptedException if the thread is interrupted
      */
-    protected final int serveUntilStopped(Stop stop) throws InterruptedException {
+    protected final int serveUntilStopped(ShutdownAction stop) throws InterruptedException {
         CountDownLatch never = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> runQuietly(stop), "stop"));
         ProcessEnd.install(LONGEST_STOP_MILLIS);
-        ProgramClasses.keepOpen();
+        ProgramClasses.keepJarOpen();
         never.await();
         return 0;
     }
 
-    private static void runQuietly(Stop stop) {
+    private static void runQuietly(ShutdownAction stop) {
         try {
             stop.run();
         } catch (Exception | Error failure) {
--- a/src/main/java/org/standlink/command/BenchCommand.java
+++ b/src/main/java/org/standlink/command/BenchCommand.java
@@ -20,11 +20,11 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 import org.standlink.benchmark.DecisionBenchmark;
+import org.standlink.benchmark.MarginalCost;
 import org.standlink.benchmark.PathBenchmark;
 import org.standlink.benchmark.PlacementCost;
 import org.standlink.benchmark.RoutingBenchmark;
 import org.standlink.benchmark.Scenario;
-import org.standlink.benchmark.Slopes;
 import org.standlink.benchmark.Strategy;
 import org.standlink.policy.OutlierDetector;
 import org.standlink.policy.RoundRobinRouting;
@@ -94,8 +94,8 @@
     }
 
     private static void slopes() {
-        Slopes.measure().forEach(System.out::println);
-        System.out.println(Slopes.leader(11, 24));
-        System.out.println(Slopes.leader(32, 24));
+        MarginalCost.measure().forEach(System.out::println);
+        System.out.println(MarginalCost.measureLeader(11, 24));
+        System.out.println(MarginalCost.measureLeader(32, 24));
     }
 }
--- a/src/main/java/org/standlink/command/BundlePublishCommand.java
+++ b/src/main/java/org/standlink/command/BundlePublishCommand.java
@@ -34,7 +34,7 @@
 
     @Override
     public int run() {
-        BundlePublisher publisher = new BundlePublisher(PlatformAccess.log(platform));
+        BundlePublisher publisher = new BundlePublisher(PlatformAccess.openLog(platform));
         BundleVersion version = publisher.publish(TextFiles.read(file));
         System.out.println("bundle " + version + " is accepted");
         return 0;
--- a/src/main/java/org/standlink/command/BundleStatusCommand.java
+++ b/src/main/java/org/standlink/command/BundleStatusCommand.java
@@ -35,7 +35,7 @@
 
     @Override
     public int run() {
-        LogFollower follower = new LogFollower(PlatformAccess.log(platform), this::tell);
+        LogFollower follower = new LogFollower(PlatformAccess.openLog(platform), this::tell);
         follower.poll();
         boolean known = follower.read(fold -> fold.isBundleKnown());
         if (!known) {
--- a/src/main/java/org/standlink/command/KeysCommand.java
+++ b/src/main/java/org/standlink/command/KeysCommand.java
@@ -36,7 +36,7 @@
     @Override
     public int run() {
         OperatorId id = OperatorId.parse(operator);
-        KeyPair keys = BundleSigner.newKeys();
+        KeyPair keys = BundleSigner.generateKeyPair();
         Base64.Encoder base64 = Base64.getEncoder();
         String publicKey = base64.encodeToString(keys.getPublic().getEncoded());
         String privateKey = base64.encodeToString(keys.getPrivate().getEncoded());
--- a/src/main/java/org/standlink/command/LogSetup.java
+++ b/src/main/java/org/standlink/command/LogSetup.java
@@ -37,7 +37,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** The forms of a line. */
-    enum Form {
+    enum Format {
         /** Time, level and message. */
         TEXT,
         /** One JSON object. */
@@ -53,13 +53,13 @@
      * @param form the form of a line
      * @param process names the process
      */
-    static void apply(Form form, String process) {
+    static void apply(Format form, String process) {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
             root.removeHandler(handler);
         }
         ConsoleHandler handler = new ConsoleHandler();
-        handler.setFormatter(form == Form.JSON ? new JsonLine(process) : new TextLine(process));
+        handler.setFormatter(form == Format.JSON ? new JsonLine(process) : new TextLine(process));
         root.addHandler(handler);
     }
 
--- a/src/main/java/org/standlink/command/Main.java
+++ b/src/main/java/org/standlink/command/Main.java
@@ -161,8 +161,8 @@
         all.put(
                 "stand-in upstream",
                 new Entry("run a stand-in of an upstream", StandInUpstreamCommand::new));
-        all.put("stand-in load", new Entry("send and check requests", LoadCommand::new));
-        all.put("stand-in ports", new Entry("print free ports", PortsCommand::new));
+        all.put("stand-in load", new Entry("send and check requests", StandInLoadCommand::new));
+        all.put("stand-in ports", new Entry("print free ports", StandInPortsCommand::new));
         all.put("bench", new Entry("repeat a measurement of the docs", BenchCommand::new));
         return all;
     }
--- a/src/main/java/org/standlink/command/OperatorTopic.java
+++ b/src/main/java/org/standlink/command/OperatorTopicReceiver.java
@@ -33,12 +33,12 @@
 /**
  * What the operator has asked for: configurations, and halls to be evacuated.
  *
- * <p>{@code OperatorTopic} is thread-safe.
+ * <p>{@code OperatorTopicReceiver} is thread-safe.
  */
-final class OperatorTopic implements TopicReceiver {
+final class OperatorTopicReceiver implements TopicReceiver {
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(OperatorTopic.class);
+    private static final EventLog LOG = EventLog.of(OperatorTopicReceiver.class);
 
     /** Receives each configuration. */
     private final Consumer<Configuration> configurations;
@@ -52,7 +52,7 @@
      *
      * @param configurations receives each configuration
      */
-    OperatorTopic(Consumer<Configuration> configurations) {
+    OperatorTopicReceiver(Consumer<Configuration> configurations) {
         this.configurations = configurations;
     }
 
@@ -61,7 +61,7 @@
      *
      * @return the halls
      */
-    EvacuatedHalls getEvacuated() {
+    EvacuatedHalls getEvacuatedHalls() {
         return evacuated.get();
     }
 
--- a/src/main/java/org/standlink/command/PlatformAccess.java
+++ b/src/main/java/org/standlink/command/PlatformAccess.java
@@ -17,8 +17,8 @@
 
 import org.standlink.json.Addresses;
 import org.standlink.port.HttpLog;
+import org.standlink.port.JsonHttpClient;
 import org.standlink.port.LogPort;
-import org.standlink.port.PlatformHttp;
 import org.standlink.process.ProcessThreads;
 
 /**
@@ -37,10 +37,10 @@
      * @param platform the platform's address
      * @return the log
      */
-    static LogPort log(String platform) {
+    static LogPort openLog(String platform) {
         return new HttpLog(
-                new PlatformHttp(
+                new JsonHttpClient(
                         Addresses.parseHttp(platform),
-                        PlatformHttp.newClient(ProcessThreads.newCached("platform"))));
+                        JsonHttpClient.newClient(ProcessThreads.newCached("platform"))));
     }
 }
--- a/src/main/java/org/standlink/command/PlatformAgentCommand.java
+++ b/src/main/java/org/standlink/command/PlatformAgentCommand.java
@@ -69,7 +69,7 @@
     private AgentNode agent;
 
     /** What the operator has asked for. */
-    private OperatorTopic operator;
+    private OperatorTopicReceiver operator;
 
     /** Follows claims. */
     private TopicFollower claims;
@@ -82,7 +82,7 @@
         PlatformSettings settings = PlatformSettings.readAgent(TextFiles.read(settingsFile));
         SettingsReload.install(settingsFile, settings, PlatformSettings::readAgent);
         LOG.info("starting").with("node", settings.node()).with("incarnation", self).write();
-        PlatformBase base = new PlatformBase(settings.store());
+        PlatformContext base = new PlatformContext(settings.store());
         String address =
                 settings.listen().getAddress().getHostAddress() + ":" + settings.listen().getPort();
         LeaderLink leader = new LeaderLink(base.getExecutor(), this::fromLeader, base.getClock());
@@ -115,9 +115,9 @@
                         self,
                         leader,
                         this::getEvacuated);
-        operator = new OperatorTopic(seat::offerConfiguration);
+        operator = new OperatorTopicReceiver(seat::offerConfiguration);
         // Reading begins before the servers are made, which takes about half of a start.
-        base.followOperator(operator);
+        base.followOperatorTopic(operator);
         claims = base.followClaims(claim -> claimed(claim, candidate, seat, base));
         new WireServer(
                 settings.listen(),
@@ -128,18 +128,18 @@
                 settings.heartbeats(), ProcessThreads.newBounded("heartbeat", SIDE_THREADS), agent);
         listening = true;
         agent.start();
-        Guarded.repeat("candidate", base.getLoop(), LOOK_MILLIS, candidate::tick);
+        Guarded.scheduleRepeating("candidate", base.getLoop(), LOOK_MILLIS, candidate::tick);
         serveMetrics(settings, base);
         return serveUntilStopped(() -> stop(seat));
     }
 
     // -----------------------------------------------------------------------
     private EvacuatedHalls getEvacuated() {
-        return operator.getEvacuated();
+        return operator.getEvacuatedHalls();
     }
 
     private void claimed(
-            Claim claim, Candidate candidate, LeadershipManager seat, PlatformBase base) {
+            Claim claim, Candidate candidate, LeadershipManager seat, PlatformContext base) {
         candidate.observeClaim(claim);
         seat.applyClaim(claim);
         if (listening) {
@@ -148,7 +148,7 @@
         }
     }
 
-    private static void serveMetrics(PlatformSettings settings, PlatformBase base) {
+    private static void serveMetrics(PlatformSettings settings, PlatformContext base) {
         HttpService metrics =
                 new HttpService(
                         settings.metrics(), ProcessThreads.newBounded("metrics", SIDE_THREADS));
--- a/src/main/java/org/standlink/command/PlatformBase.java
+++ b/src/main/java/org/standlink/command/PlatformContext.java
@@ -36,12 +36,12 @@
 /**
  * What every process on the users' platform has: threads, the client, the store and counters.
  *
- * <p>{@code PlatformBase} is thread-safe.
+ * <p>{@code PlatformContext} is thread-safe.
  */
-final class PlatformBase implements AutoCloseable {
+final class PlatformContext implements AutoCloseable {
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(PlatformBase.class);
+    private static final EventLog LOG = EventLog.of(PlatformContext.class);
 
     /** Counters. */
     private final PrometheusMeterRegistry registry =
@@ -67,9 +67,9 @@
      *
      * @param storeAddress the store, host and port
      */
-    PlatformBase(String storeAddress) {
+    PlatformContext(String storeAddress) {
         store = new HttpStore(storeCaller, storeAddress);
-        WorkFailures.showIn(registry);
+        WorkFailures.registerCounter(registry);
     }
 
     /**
@@ -77,7 +77,7 @@
      *
      * @param operator what receives it
      */
-    void followOperator(OperatorTopic operator) {
+    void followOperatorTopic(OperatorTopicReceiver operator) {
         follow(Topic.OPERATOR, operator);
     }
 
--- a/src/main/java/org/standlink/command/PlatformEntryCommand.java
+++ b/src/main/java/org/standlink/command/PlatformEntryCommand.java
@@ -56,13 +56,13 @@
         PlatformSettings settings = PlatformSettings.readEntry(TextFiles.read(settingsFile));
         SettingsReload.install(settingsFile, settings, PlatformSettings::readEntry);
         LOG.info("starting").with("node", settings.node()).with("hall", settings.hall()).write();
-        PlatformBase base = new PlatformBase(settings.store());
+        PlatformContext base = new PlatformContext(settings.store());
         LeaderLink leader =
                 new LeaderLink(
                         base.getExecutor(), (connection, call, message) -> {}, base.getClock());
         JobGateway gateway = new JobGateway(leader, base.getClock(), base.getRegistry());
         // Reading begins before the servers are made, which takes about half of a start.
-        base.followOperator(new OperatorTopic(gateway::offer));
+        base.followOperatorTopic(new OperatorTopicReceiver(gateway::offer));
         base.followClaims(claim -> noteClaim(leader, claim));
         ConnectionDrain drain = new ConnectionDrain(base.getClock());
         CallerHttpServer callers =
@@ -96,7 +96,7 @@
         LOG.info("stopping").with("in-progress", drain.getInProgress()).write();
         leaving = true;
         drain.leave();
-        drain.awaitEnd(
+        drain.awaitDrained(
                 settings.graceMillis(),
                 TimeUnit.MILLISECONDS::sleep,
                 arrivals,
--- a/src/main/java/org/standlink/command/PlatformSettings.java
+++ b/src/main/java/org/standlink/command/PlatformSettings.java
@@ -18,8 +18,8 @@
 import java.net.InetSocketAddress;
 import org.standlink.ErrorCode;
 import org.standlink.json.Addresses;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 
 /**
  * The settings of a process on the users' platform, as the templates under {@code deploy/} lay
@@ -60,7 +60,7 @@
      * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
      */
     static PlatformSettings readEntry(String text) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         JsonSection top = JsonSection.parse(text, faults);
         PlatformSettings settings =
                 new PlatformSettings(
@@ -75,7 +75,7 @@
                         0,
                         0,
                         top.requiredInteger("graceMillis", 100, 600_000));
-        top.finish();
+        top.reportUnknownKeys();
         faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
         return settings;
     }
@@ -88,7 +88,7 @@
      * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
      */
     static PlatformSettings readAgent(String text) {
-        Faults faults = new Faults();
+        ValidationErrors faults = new ValidationErrors();
         JsonSection top = JsonSection.parse(text, faults);
         PlatformSettings settings =
                 new PlatformSettings(
@@ -103,7 +103,7 @@
                         top.requiredInteger("leaseMillis", 1000, 600_000),
                         1000 * top.requiredInteger("statusSeconds", 1, 86_400),
                         top.requiredInteger("graceMillis", 100, 600_000));
-        top.finish();
+        top.reportUnknownKeys();
         faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the agent's settings");
         return settings;
     }
--- a/src/main/java/org/standlink/command/ProgramClasses.java
+++ b/src/main/java/org/standlink/command/ProgramClasses.java
@@ -52,7 +52,7 @@
     private ProgramClasses() {}
 
     /** Has the class loader open the jar, which it keeps open as long as the process lives. */
-    static void keepOpen() {
+    static void keepJarOpen() {
         if (ProgramClasses.class.getClassLoader().getResource(ANY_ENTRY) == null) {
             // Only the archive is left, which the rehearsal fills with all classes.
             LOG.warning("program-file-not-open").write();
--- a/src/main/java/org/standlink/command/LoadCommand.java
+++ b/src/main/java/org/standlink/command/StandInLoadCommand.java
@@ -26,7 +26,7 @@
 import org.standlink.standin.RequestLoad;
 
 /** {@code standlink stand-in load}: sends numbered requests and checks each answer. */
-final class LoadCommand implements Command {
+final class StandInLoadCommand implements Command {
 
     /** The exit code if an answer was wrong or missing. */
     private static final int WRONG = 4;
@@ -89,6 +89,6 @@
                         retries);
         LoadReport report = load.run(requests, concurrency);
         System.out.println(report);
-        return report.isEveryAnswerRight() ? 0 : WRONG;
+        return report.isEveryAnswerCorrect() ? 0 : WRONG;
     }
 }
--- a/src/main/java/org/standlink/command/StandInPlatformCommand.java
+++ b/src/main/java/org/standlink/command/StandInPlatformCommand.java
@@ -22,7 +22,7 @@
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryLog;
 import org.standlink.standin.MemoryVmList;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /** {@code standlink stand-in platform}: runs a stand-in of the platform's log and VM list. */
 final class StandInPlatformCommand extends AbstractServerCommand {
@@ -51,7 +51,7 @@
         setUpLog("platform");
         MonotonicClock clock = MonotonicClock.ofSystem();
         HttpService service =
-                StandInHttp.servePlatform(
+                StandInHttpServices.servePlatform(
                         Addresses.parse(listen),
                         ProcessThreads.newBounded("platform", THREADS),
                         new MemoryLog(clock, appends, retentionSeconds * 1000),
--- a/src/main/java/org/standlink/command/PortsCommand.java
+++ b/src/main/java/org/standlink/command/StandInPortsCommand.java
@@ -22,7 +22,7 @@
 import org.kohsuke.args4j.Option;
 
 /** {@code standlink stand-in ports}: prints ports that are free now. */
-final class PortsCommand implements Command {
+final class StandInPortsCommand implements Command {
 
     /** How many. */
     @Option(name = "--count", metaVar = "N", usage = "how many (default: 1)")
--- a/src/main/java/org/standlink/command/StandInWorkerCommand.java
+++ b/src/main/java/org/standlink/command/StandInWorkerCommand.java
@@ -22,7 +22,7 @@
 import org.standlink.process.HttpService;
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryWorker;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /** {@code standlink stand-in worker}: runs a stand-in of a worker. */
 final class StandInWorkerCommand extends AbstractServerCommand {
@@ -67,7 +67,7 @@
         HttpService service =
                 new HttpService(
                         Addresses.parse(listen), ProcessThreads.newBounded("worker", THREADS));
-        StandInHttp.serveWorker(
+        StandInHttpServices.serveWorker(
                 service,
                 new MemoryWorker(
                         MonotonicClock.ofSystem(),
--- a/src/main/java/org/standlink/command/StatusCommand.java
+++ b/src/main/java/org/standlink/command/StatusCommand.java
@@ -82,7 +82,7 @@
     }
 
     private boolean isReached(StatusView view) {
-        return (waitBundle == 0 || view.isBundleEverywhere(waitBundle))
+        return (waitBundle == 0 || view.isBundleInForceOnAllVms(waitBundle))
                 && (!waitTasks || view.isEveryTaskFinished());
     }
 
--- a/src/main/java/org/standlink/command/StatusView.java
+++ b/src/main/java/org/standlink/command/StatusView.java
@@ -64,7 +64,7 @@
      * @param wanted the version
      * @return true if every worker has told of it
      */
-    boolean isBundleEverywhere(long wanted) {
+    boolean isBundleInForceOnAllVms(long wanted) {
         return !workers.isEmpty()
                 && version >= wanted
                 && workers.stream().allMatch(worker -> worker.path("bundle").asLong() >= wanted);
--- a/src/main/java/org/standlink/election/Candidate.java
+++ b/src/main/java/org/standlink/election/Candidate.java
@@ -247,7 +247,7 @@
             BiConsumer<Long, Throwable> callback) {
         boolean sent = false;
         try {
-            Guarded.then("candidate", call.apply(topic), callback);
+            Guarded.onCompletion("candidate", call.apply(topic), callback);
             sent = true;
         } finally {
             if (!sent) {
--- a/src/main/java/org/standlink/election/Claim.java
+++ b/src/main/java/org/standlink/election/Claim.java
@@ -19,7 +19,7 @@
 import org.standlink.Epoch;
 import org.standlink.Incarnation;
 import org.standlink.store.KeyedRecord;
-import org.standlink.store.Packing;
+import org.standlink.store.MessagePackCodec;
 
 /**
  * A claim of the leadership of a cell; the newest one in the store is in force.
@@ -48,7 +48,7 @@
      * @return the claim
      */
     public static Claim of(KeyedRecord record) {
-        return Packing.unpack(record.value(), Claim.class);
+        return MessagePackCodec.decode(record.value(), Claim.class);
     }
 
     /**
@@ -57,7 +57,7 @@
      * @return the record
      */
     public KeyedRecord toRecord() {
-        return new KeyedRecord(KEY, Packing.pack(this));
+        return new KeyedRecord(KEY, MessagePackCodec.encode(this));
     }
 
     /**
--- a/src/main/java/org/standlink/election/LeaderLink.java
+++ b/src/main/java/org/standlink/election/LeaderLink.java
@@ -133,7 +133,7 @@
                             ErrorCode.PEER_UNREACHABLE, "no leader is known", "try again later"));
         }
         callStarted();
-        return Guarded.then(
+        return Guarded.onCompletion(
                 "leader-call",
                 current.callIfConnected(message, timeoutMillis),
                 (answer, failure) -> {
--- a/src/main/java/org/standlink/entry/CallerServer.java
+++ b/src/main/java/org/standlink/entry/CallerServer.java
@@ -38,7 +38,7 @@
 import org.standlink.lease.MonotonicClock;
 import org.standlink.policy.ConcurrencyLimiter;
 import org.standlink.process.ConnectionDrain;
-import org.standlink.process.HttpArrivals;
+import org.standlink.process.HttpPendingArrivals;
 import org.standlink.process.HttpService;
 import org.standlink.process.RequestBody;
 
@@ -102,7 +102,7 @@
     private final ConnectionDrain drain;
 
     /** The requests that have reached the server. */
-    private final HttpArrivals arrivals;
+    private final HttpPendingArrivals arrivals;
 
     /**
      * Creates a server and starts to accept requests.
@@ -127,7 +127,7 @@
         this.registry = registry;
         this.drain = new ConnectionDrain(clock);
         server = HttpService.newServer(address, executor);
-        arrivals = HttpArrivals.watch(server, executor);
+        arrivals = HttpPendingArrivals.monitor(server, executor);
         // If handling a request fails, whether it ran is unknown, so the status is 504.
         HttpService.serve(server, "/", 504, drain, arrivals, this::handle);
         server.start();
@@ -164,7 +164,7 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void awaitEnd(long graceMillis) throws InterruptedException {
-        drain.awaitEnd(graceMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
+        drain.awaitDrained(graceMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
     }
 
     @Override
@@ -323,7 +323,7 @@
             long seconds = (answer.retryAfterMillis() + 999) / 1000;
             headers.set("Retry-After", Long.toString(seconds));
         }
-        if (drain.tell(exchange.getRemoteAddress())) {
+        if (drain.closeIfLeaving(exchange.getRemoteAddress())) {
             headers.set("Connection", "close");
         }
         byte[] body = answer.body();
--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -32,8 +32,8 @@
 import org.standlink.policy.TwoChoicesRouting;
 import org.standlink.port.HttpLog;
 import org.standlink.port.HttpVmList;
+import org.standlink.port.JsonHttpClient;
 import org.standlink.port.LogPort;
-import org.standlink.port.PlatformHttp;
 import org.standlink.port.VmListPort;
 import org.standlink.process.Guarded;
 import org.standlink.process.Timers;
@@ -109,8 +109,8 @@
         this.settings = settings;
         this.executor = executor;
         this.timers = new Timers(scheduler, registry, "standlink.entry.failures");
-        HttpClient client = PlatformHttp.newClient(executor);
-        PlatformHttp platform = new PlatformHttp(settings.platform(), client);
+        HttpClient client = JsonHttpClient.newClient(executor);
+        JsonHttpClient platform = new JsonHttpClient(settings.platform(), client);
         this.log = new HttpLog(platform);
         this.vmList = new HttpVmList(platform);
         this.follower = new LogFollower(log, (record, refusal) -> {});
@@ -125,15 +125,16 @@
                         clock,
                         registry);
         this.server = new CallerServer(settings.listen(), callers, router, holder, clock, registry);
-        WorkFailures.showIn(registry);
+        WorkFailures.registerCounter(registry);
         registry.gauge("standlink.entry.in.progress", server, CallerServer::getInProgress);
         registry.gauge(
                 "standlink.entry.bundle.version",
                 holder,
                 current -> current.getVersion().getValue());
-        timers.every("log", LOG_INTERVAL_MILLIS, this::readLog);
-        timers.every("connect", CONNECT_INTERVAL_MILLIS, directory::connectAll);
-        timers.every("list", LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
+        timers.scheduleRepeating("log", LOG_INTERVAL_MILLIS, this::readLog);
+        timers.scheduleRepeating("connect", CONNECT_INTERVAL_MILLIS, directory::connectAll);
+        timers.scheduleRepeating(
+                "list", LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
     }
 
     // -----------------------------------------------------------------------
@@ -142,7 +143,7 @@
      *
      * @return the holder
      */
-    public BundleHolder getHolder() {
+    public BundleHolder getBundleHolder() {
         return holder;
     }
 
@@ -257,7 +258,7 @@
     }
 
     private void query(PeerConnection peer, Runnable completion) {
-        Guarded.then(
+        Guarded.onCompletion(
                 "bundle-query",
                 peer.call(new BundleQuery(holder.getVersion()), BUNDLE_TIMEOUT_MILLIS),
                 (answer, failure) -> {
--- a/src/main/java/org/standlink/entry/EntrySettings.java
+++ b/src/main/java/org/standlink/entry/EntrySettings.java
@@ -21,8 +21,8 @@
 import org.standlink.ErrorCode;
 import org.standlink.HallId;
 import org.standlink.json.Addresses;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 
 /**
  * The settings of an entry.
@@ -58,7 +58,7 @@
      * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing all errors
      */
     public static EntrySettings read(String text) {
-        Faults errors = new Faults();
+        ValidationErrors errors = new ValidationErrors();
         JsonSection top = JsonSection.parse(text, errors);
         EntrySettings settings =
                 new EntrySettings(
@@ -71,7 +71,7 @@
                         (int) top.integer("retryShare", 20, 0, 100),
                         (int) top.integer("mostThreads", 256, 4, 10_000),
                         top.integer("drainMillis", 30_000, 100, 600_000));
-        top.finish();
+        top.reportUnknownKeys();
         errors.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
         return settings;
     }
--- a/src/main/java/org/standlink/json/JsonSection.java
+++ b/src/main/java/org/standlink/json/JsonSection.java
@@ -34,7 +34,7 @@
  *
  * <p>Each getter notes the key as known and adds a fault when the value is missing, of the wrong
  * type or out of range; it then returns a harmless stand-in so that reading goes on. After the last
- * getter, {@link #finish()} reports the keys that nobody asked for.
+ * getter, {@link #reportUnknownKeys()} reports the keys that nobody asked for.
  *
  * <p>{@code JsonSection} is mutable and not thread-safe.
  */
@@ -53,7 +53,7 @@
     private final String path;
 
     /** Where faults go. */
-    private final Faults faults;
+    private final ValidationErrors faults;
 
     /** The keys that were asked for. */
     private final Set<String> known = new HashSet<>();
@@ -65,7 +65,7 @@
      * @param path where the object is
      * @param faults where faults go
      */
-    private JsonSection(JsonNode node, String path, Faults faults) {
+    private JsonSection(JsonNode node, String path, ValidationErrors faults) {
         this.node = node;
         this.path = path;
         this.faults = faults;
@@ -78,7 +78,7 @@
      * @param faults where faults go
      * @return the section, empty if the text is not a JSON object
      */
-    public static JsonSection parse(String text, Faults faults) {
+    public static JsonSection parse(String text, ValidationErrors faults) {
         try {
             return of(MAPPER.readTree(text), "", faults);
         } catch (JsonProcessingException malformed) {
@@ -95,7 +95,7 @@
      * @param faults where faults go
      * @return the section, empty if the node is not an object
      */
-    private static JsonSection of(JsonNode node, String path, Faults faults) {
+    private static JsonSection of(JsonNode node, String path, ValidationErrors faults) {
         if (node.isObject()) {
             return new JsonSection(node, path, faults);
         }
@@ -183,7 +183,7 @@
      * @param otherwise the constant if left out
      * @return the constant
      */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
+    public <E extends Enum<E>> E enumValue(String key, Class<E> type, E otherwise) {
         String text = text(key, otherwise.name().toLowerCase(Locale.ROOT));
         List<String> allowed = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
@@ -315,7 +315,7 @@
     }
 
     /** Reports the keys that nobody asked for. */
-    public void finish() {
+    public void reportUnknownKeys() {
         for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
             if (!known.contains(key)) {
--- a/src/main/java/org/standlink/json/Fault.java
+++ b/src/main/java/org/standlink/json/ValidationError.java
@@ -18,13 +18,13 @@
 /**
  * One thing that is wrong in a file.
  *
- * <p>{@code Fault} is thread-safe and immutable.
+ * <p>{@code ValidationError} is thread-safe and immutable.
  *
  * @param path where it is, such as {@code services[0].slots}
  * @param problem what is wrong, with the bad value
  * @param remedy what to do about it
  */
-public record Fault(String path, String problem, String remedy) {
+public record ValidationError(String path, String problem, String remedy) {
 
     @Override
     public String toString() {
--- a/src/main/java/org/standlink/json/Faults.java
+++ b/src/main/java/org/standlink/json/ValidationErrors.java
@@ -23,12 +23,12 @@
 /**
  * Collects what is wrong in a file, so that all of it is told at once.
  *
- * <p>{@code Faults} is mutable and not thread-safe.
+ * <p>{@code ValidationErrors} is mutable and not thread-safe.
  */
-public final class Faults {
+public final class ValidationErrors {
 
     /** What was found. */
-    private final List<Fault> found = new ArrayList<>();
+    private final List<ValidationError> found = new ArrayList<>();
 
     /**
      * Adds a fault.
@@ -38,7 +38,7 @@
      * @param remedy what to do about it
      */
     public void add(String path, String problem, String remedy) {
-        found.add(new Fault(path, problem, remedy));
+        found.add(new ValidationError(path, problem, remedy));
     }
 
     /**
@@ -46,7 +46,7 @@
      *
      * @return the faults in the order found
      */
-    public List<Fault> getFound() {
+    public List<ValidationError> getErrors() {
         return List.copyOf(found);
     }
 
@@ -62,7 +62,7 @@
             return;
         }
         StringBuilder lines = new StringBuilder(source + " has " + found.size() + " fault(s):");
-        for (Fault fault : found) {
+        for (ValidationError fault : found) {
             lines.append("\n  ").append(fault);
         }
         throw new StandlinkException(code, lines.toString(), "mend each of them and try again");
--- a/src/main/java/org/standlink/leader/BundleCellLeader.java
+++ b/src/main/java/org/standlink/leader/BundleCellLeader.java
@@ -243,7 +243,7 @@
     }
 
     private static boolean isPending(TaskEvent event, CellState state) {
-        TaskState task = state.get(event.task());
+        TaskState task = state.getTask(event.task());
         return task.isAssigned() && task.attempt().equals(event.attempt());
     }
 
--- a/src/main/java/org/standlink/leader/CellPlanner.java
+++ b/src/main/java/org/standlink/leader/CellPlanner.java
@@ -231,7 +231,7 @@
         PlanningResult plan =
                 createTaskPlanner(bundle)
                         .plan(demands, workers, running, views.computeQuotaUsage(running));
-        plan.evictions().forEach(task -> orders.orderStop(task, state.get(task).attempt()));
+        plan.evictions().forEach(task -> orders.orderStop(task, state.getTask(task).attempt()));
         reasons.putAll(plan.waiting());
         waitingReasons = reasons;
         return createEvents(plan, state);
@@ -255,7 +255,7 @@
         List<TaskEvent> events = new ArrayList<>();
         for (Map.Entry<TaskId, PlacementDecision> placement : plan.placements().entrySet()) {
             PlacementDecision decision = placement.getValue();
-            Attempt attempt = state.get(placement.getKey()).attempt().next();
+            Attempt attempt = state.getTask(placement.getKey()).attempt().next();
             health.recordAssignment(decision.worker());
             events.add(
                     TaskEvent.ofAssign(
@@ -272,7 +272,7 @@
             Map<TaskId, String> reasons) {
         for (int index = 0; index < job.tasks(); index++) {
             TaskId task = TaskId.of(job.id(), index);
-            if (state.get(task).phase() != TaskState.Phase.WAITING) {
+            if (state.getTask(task).phase() != TaskState.Phase.WAITING) {
                 continue;
             }
             if (job.mode() == Mode.OBSERVE) {
@@ -327,7 +327,7 @@
 
     private void orderRelief(ReliefAction action, CellState state) {
         if (action.throttlePercent() == 0) {
-            orders.orderStop(action.task(), state.get(action.task()).attempt());
+            orders.orderStop(action.task(), state.getTask(action.task()).attempt());
         } else {
             orders.orderThrottle(action.task(), action.throttlePercent());
         }
--- a/src/main/java/org/standlink/leader/CellStatus.java
+++ b/src/main/java/org/standlink/leader/CellStatus.java
@@ -112,7 +112,7 @@
             ArrayNode tasks, JobSpecification job, BundleCellLeader leader, CellState state) {
         Map<TaskId, String> waiting = leader.getPlanner().getWaitingReasons();
         for (int index = 0; index < job.tasks(); index++) {
-            TaskState task = state.get(TaskId.of(job.id(), index));
+            TaskState task = state.getTask(TaskId.of(job.id(), index));
             ObjectNode node = tasks.addObject();
             node.put("task", task.task().toString());
             node.put("attempt", task.attempt().getValue());
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -197,7 +197,7 @@
                 fold ->
                         leader.handleHeartbeat(
                                 heartbeat,
-                                fold.getCell(cell),
+                                fold.getCellState(cell),
                                 holder.getBundle(),
                                 holder.getSignedText(),
                                 now));
@@ -210,7 +210,8 @@
      */
     public synchronized boolean isLeading() {
         long now = clock.nowMillis();
-        return leader != null && follower.read(fold -> leader.isLeading(fold.getCell(cell), now));
+        return leader != null
+                && follower.read(fold -> leader.isLeading(fold.getCellState(cell), now));
     }
 
     /**
@@ -253,22 +254,24 @@
         }
         long now = clock.nowMillis();
         return follower.read(
-                fold -> CellStatus.describe(leader, fold.getCell(cell), holder.getBundle(), now));
+                fold ->
+                        CellStatus.describe(
+                                leader, fold.getCellState(cell), holder.getBundle(), now));
     }
 
     // -----------------------------------------------------------------------
     private Epoch nextEpoch(LogFold fold) {
-        if (!fold.isKnown(cell)) {
+        if (!fold.isCellKnown(cell)) {
             throw new StandlinkException(
                     ErrorCode.LOG_GAP,
                     "the log has dropped records of cell '" + cell + "'",
                     "wait for a snapshot, or see 'The log has dropped records' in OPERATIONS.md");
         }
-        return fold.getCell(cell).getEpoch().next();
+        return fold.getCellState(cell).getEpoch().next();
     }
 
     private synchronized void updateRole(long readStart) {
-        CellState state = follower.read(fold -> fold.getCell(cell));
+        CellState state = follower.read(fold -> fold.getCellState(cell));
         boolean claimedHere = incarnation.equals(state.getIncarnation());
         if (!claimedHere || leader != null && !leader.getEpoch().equals(state.getEpoch())) {
             relinquishLeadership();
@@ -318,7 +321,7 @@
             return null;
         }
         List<TaskEvent> events =
-                follower.read(fold -> leader.decide(fold.getCell(cell), bundle, now));
+                follower.read(fold -> leader.decide(fold.getCellState(cell), bundle, now));
         if (events.isEmpty()) {
             return null;
         }
@@ -348,7 +351,7 @@
                         && !bundle.cells().isEmpty()
                         && bundle.cells().get(0).id().equals(cell);
         String text = withBundle ? fold.getBundles().getSignedText() : null;
-        return fold.getCell(cell).snapshot(fold.getNext() - 1, text);
+        return fold.getCellState(cell).createSnapshot(fold.getNextOffset() - 1, text);
     }
 
     private void append(LogRecord record) {
--- a/src/main/java/org/standlink/log/CellState.java
+++ b/src/main/java/org/standlink/log/CellState.java
@@ -104,7 +104,7 @@
         }
         sequence = record.sequence();
         for (TaskEvent event : record.events()) {
-            tasks.put(event.task(), get(event.task()).apply(event));
+            tasks.put(event.task(), getTask(event.task()).apply(event));
         }
         return true;
     }
@@ -146,7 +146,7 @@
      * @param signedBundle the signed bundle in force, null to leave it out
      * @return the snapshot
      */
-    public SnapshotRecord snapshot(long asOf, String signedBundle) {
+    public SnapshotRecord createSnapshot(long asOf, String signedBundle) {
         return new SnapshotRecord(
                 RecordCodec.newId(),
                 asOf,
@@ -167,7 +167,7 @@
      * @param task the task
      * @return its state, new if the log never named it
      */
-    public TaskState get(TaskId task) {
+    public TaskState getTask(TaskId task) {
         TaskState state = tasks.get(task);
         return state == null ? TaskState.ofNew(task, floor) : state;
     }
--- a/src/main/java/org/standlink/log/LogFold.java
+++ b/src/main/java/org/standlink/log/LogFold.java
@@ -40,7 +40,7 @@
 
     /** Told what became of each published bundle. */
     @FunctionalInterface
-    public interface PublishListener {
+    public interface PublicationListener {
 
         /**
          * Says what became of a bundle.
@@ -48,7 +48,7 @@
          * @param recordId the id of the record
          * @param refusal why it was refused, null if accepted
          */
-        void decided(String recordId, StandlinkException refusal);
+        void publicationDecided(String recordId, StandlinkException refusal);
     }
 
     /** The bundles. */
@@ -64,7 +64,7 @@
     private final Set<CellId> knownCells = new HashSet<>();
 
     /** Told what became of each published bundle. */
-    private final PublishListener listener;
+    private final PublicationListener listener;
 
     /** Whether the fold began at offset 0, so that what it has not seen does not exist. */
     private final boolean complete;
@@ -84,7 +84,7 @@
      * @param first the offset of the first record that will be folded
      * @param listener told what became of each published bundle
      */
-    public LogFold(long first, PublishListener listener) {
+    public LogFold(long first, PublicationListener listener) {
         this.next = first;
         this.complete = first == 0;
         this.bundleKnown = complete;
@@ -136,7 +136,8 @@
                 claim(claim);
             }
         } else if (record instanceof BundleTaskRecord tasks) {
-            if (offset > coveredCells.getOrDefault(tasks.cell(), -1L) && isKnown(tasks.cell())) {
+            if (offset > coveredCells.getOrDefault(tasks.cell(), -1L)
+                    && isCellKnown(tasks.cell())) {
                 stateOf(tasks.cell()).apply(tasks);
                 prune(stateOf(tasks.cell()));
             }
@@ -147,18 +148,18 @@
         try {
             bundles.apply(published.signedBundle());
             cells.values().forEach(this::prune);
-            listener.decided(published.id(), null);
+            listener.publicationDecided(published.id(), null);
         } catch (StandlinkException refused) {
-            listener.decided(published.id(), refused);
+            listener.publicationDecided(published.id(), refused);
         }
     }
 
     private void claim(ClaimRecord claim) {
         boolean first = claim.epoch().equals(Epoch.NONE.next());
-        if (first && !isKnown(claim.cell())) {
+        if (first && !isCellKnown(claim.cell())) {
             knownCells.add(claim.cell());
         }
-        if (isKnown(claim.cell())) {
+        if (isCellKnown(claim.cell())) {
             stateOf(claim.cell()).apply(claim);
         }
     }
@@ -184,7 +185,7 @@
      * @param cell the cell
      * @return false if records that count may have been dropped before they were read
      */
-    public boolean isKnown(CellId cell) {
+    public boolean isCellKnown(CellId cell) {
         return complete || knownCells.contains(cell);
     }
 
@@ -203,7 +204,7 @@
      * @param cell the cell
      * @return the state, that of a new cell if the log never named it
      */
-    public CellState getCell(CellId cell) {
+    public CellState getCellState(CellId cell) {
         return stateOf(cell);
     }
 
@@ -221,7 +222,7 @@
      *
      * @return the offset
      */
-    public long getNext() {
+    public long getNextOffset() {
         return next;
     }
 }
--- a/src/main/java/org/standlink/log/LogFollower.java
+++ b/src/main/java/org/standlink/log/LogFollower.java
@@ -39,7 +39,7 @@
     private final LogPort log;
 
     /** Told what became of each published bundle. */
-    private final LogFold.PublishListener listener;
+    private final LogFold.PublicationListener listener;
 
     /** Held while the log is read; the fold itself is guarded by this object. */
     private final ReentrantLock polling = new ReentrantLock();
@@ -56,7 +56,7 @@
      * @param log the log
      * @param listener told what became of each published bundle
      */
-    public LogFollower(LogPort log, LogFold.PublishListener listener) {
+    public LogFollower(LogPort log, LogFold.PublicationListener listener) {
         this.log = log;
         this.listener = listener;
         this.fold = new LogFold(0, listener);
@@ -106,7 +106,7 @@
     }
 
     private synchronized long getNext() {
-        return fold.getNext();
+        return fold.getNextOffset();
     }
 
     private void startAnew(long firstRetained) {
@@ -135,9 +135,9 @@
             from += batch.entries().size();
             end = batch.end();
         }
-        while (fresh.getNext() < end) {
-            LogBatch batch = log.read(fresh.getNext(), BATCH);
-            if (batch.firstRetained() > fresh.getNext()) {
+        while (fresh.getNextOffset() < end) {
+            LogBatch batch = log.read(fresh.getNextOffset(), BATCH);
+            if (batch.firstRetained() > fresh.getNextOffset()) {
                 return foldAnew(batch.firstRetained());
             }
             // What came since is folded later, as it may be a snapshot that fills a gap.
@@ -180,7 +180,7 @@
 
     private boolean isNews(SnapshotRecord snapshot) {
         boolean bundle = snapshot.signedBundle() != null && !fold.isBundleKnown();
-        return bundle || !fold.isKnown(snapshot.cell());
+        return bundle || !fold.isCellKnown(snapshot.cell());
     }
 
     private static Optional<SnapshotRecord> snapshotOf(LogEntry entry) {
--- a/src/main/java/org/standlink/platform/CallerHttpServer.java
+++ b/src/main/java/org/standlink/platform/CallerHttpServer.java
@@ -29,7 +29,7 @@
 import org.standlink.gateway.JobGateway;
 import org.standlink.gateway.JobReply;
 import org.standlink.process.ConnectionDrain;
-import org.standlink.process.HttpArrivals;
+import org.standlink.process.HttpPendingArrivals;
 import org.standlink.process.HttpService;
 import org.standlink.process.PendingArrivals;
 import org.standlink.process.RequestBody;
@@ -61,7 +61,7 @@
     private final ConnectionDrain drain;
 
     /** Tracks the requests that have reached the server. */
-    private final HttpArrivals arrivals;
+    private final HttpPendingArrivals arrivals;
 
     /**
      * Creates a server and starts to listen.
@@ -79,7 +79,7 @@
         this.gateway = gateway;
         this.drain = drain;
         server = HttpService.newServer(address, executor);
-        arrivals = HttpArrivals.watch(server, executor);
+        arrivals = HttpPendingArrivals.monitor(server, executor);
         // The status is 504 if a handler fails, as the job may have been accepted nevertheless.
         HttpService.serve(server, "/", 504, drain, arrivals, this::handle);
         server.start();
@@ -175,7 +175,7 @@
     }
 
     private void write(HttpExchange exchange, JobReply reply) throws IOException {
-        if (drain.tell(exchange.getRemoteAddress())) {
+        if (drain.closeIfLeaving(exchange.getRemoteAddress())) {
             exchange.getResponseHeaders().set("Connection", "close");
         }
         if (reply.retryAfterSeconds() > 0) {
--- a/src/main/java/org/standlink/platform/HttpStore.java
+++ b/src/main/java/org/standlink/platform/HttpStore.java
@@ -28,11 +28,11 @@
 import org.standlink.Epoch;
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
+import org.standlink.store.AppendCondition;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.KeyedStore;
 import org.standlink.store.ReadResult;
 import org.standlink.store.Topic;
-import org.standlink.store.Writer;
 
 /**
  * Client of the platform's store over HTTP.
@@ -88,10 +88,15 @@
     }
 
     @Override
-    public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, Writer writer) {
-        long end = writer.expectedEnd();
-        String condition = end == Writer.ANYWHERE ? "" : "&at=" + end;
-        String query = producerParameters(writer.epoch()) + "&seq=" + writer.sequence() + condition;
+    public CompletableFuture<Long> append(
+            Topic topic, List<KeyedRecord> records, AppendCondition appendCondition) {
+        long end = appendCondition.expectedEnd();
+        String condition = end == AppendCondition.ANY_END ? "" : "&at=" + end;
+        String query =
+                producerParameters(appendCondition.epoch())
+                        + "&seq="
+                        + appendCondition.sequence()
+                        + condition;
         return append(topic, query, records);
     }
 
--- a/src/main/java/org/standlink/platform/HttpWorkerClient.java
+++ b/src/main/java/org/standlink/platform/HttpWorkerClient.java
@@ -143,9 +143,9 @@
     }
 
     private static CallResult unknownOutcome(Throwable failure) {
-        if (WorkFailures.causeOf(failure) instanceof Error error) {
+        if (WorkFailures.unwrap(failure) instanceof Error error) {
             // The worker may have received the call; the failure of this process is logged.
-            WorkFailures.note("worker-call", error);
+            WorkFailures.record("worker-call", error);
         }
         return new CallResult(
                 CallResult.Kind.UNKNOWN, CallResult.NO_CLOCK, String.valueOf(failure.getMessage()));
--- a/src/main/java/org/standlink/platform/PlatformHttpClient.java
+++ b/src/main/java/org/standlink/platform/PlatformHttpClient.java
@@ -112,7 +112,7 @@
                 .sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray())
                 .exceptionally(
                         failure -> {
-                            Throwable cause = WorkFailures.causeOf(failure);
+                            Throwable cause = WorkFailures.unwrap(failure);
                             if (isAnswerTimeout(cause)) {
                                 replaceClient(usedClient);
                             }
--- a/src/main/java/org/standlink/platform/StandInStore.java
+++ b/src/main/java/org/standlink/platform/StandInStore.java
@@ -75,9 +75,9 @@
     public StandInStore(InetSocketAddress address, ExecutorService threads) {
         server =
                 new HttpService(address, threads)
-                        .on("POST", "/v1/log-append", this::append)
-                        .on("GET", "/v1/log-read", this::read)
-                        .on("GET", "/v1/log-newest", this::readNewest);
+                        .addHandler("POST", "/v1/log-append", this::append)
+                        .addHandler("GET", "/v1/log-read", this::read)
+                        .addHandler("GET", "/v1/log-newest", this::readNewest);
     }
 
     /**
--- a/src/main/java/org/standlink/platform/StandInWorker.java
+++ b/src/main/java/org/standlink/platform/StandInWorker.java
@@ -78,10 +78,10 @@
         this.startMillis = System.currentTimeMillis();
         server =
                 new HttpService(address, threads)
-                        .on("POST", "/v1/run-start", this::start)
-                        .on("POST", "/v1/run-stop", this::stop)
-                        .on("POST", "/v1/pace", request -> okAnswer())
-                        .on("POST", "/v1/hold", this::renew);
+                        .addHandler("POST", "/v1/run-start", this::start)
+                        .addHandler("POST", "/v1/run-stop", this::stop)
+                        .addHandler("POST", "/v1/pace", request -> okAnswer())
+                        .addHandler("POST", "/v1/hold", this::renew);
     }
 
     /**
--- a/src/main/java/org/standlink/port/TaskUsage.java
+++ b/src/main/java/org/standlink/port/AttemptStatus.java
@@ -22,7 +22,7 @@
 /**
  * What a worker says about an attempt.
  *
- * <p>{@code TaskUsage} is thread-safe and immutable.
+ * <p>{@code AttemptStatus} is thread-safe and immutable.
  *
  * @param task the task
  * @param attempt the attempt
@@ -31,7 +31,7 @@
  * @param reserved what it was started with
  * @param usage the measured usage, which lags; null if none yet
  */
-public record TaskUsage(
+public record AttemptStatus(
         TaskId task,
         Attempt attempt,
         State state,
--- a/src/main/java/org/standlink/port/HttpLog.java
+++ b/src/main/java/org/standlink/port/HttpLog.java
@@ -25,14 +25,14 @@
 public final class HttpLog implements LogPort {
 
     /** The calls. */
-    private final PlatformHttp http;
+    private final JsonHttpClient http;
 
     /**
      * Constructor.
      *
      * @param http the calls
      */
-    public HttpLog(PlatformHttp http) {
+    public HttpLog(JsonHttpClient http) {
         this.http = http;
     }
 
--- a/src/main/java/org/standlink/port/HttpVmList.java
+++ b/src/main/java/org/standlink/port/HttpVmList.java
@@ -26,14 +26,14 @@
 public final class HttpVmList implements VmListPort {
 
     /** The calls. */
-    private final PlatformHttp http;
+    private final JsonHttpClient http;
 
     /**
      * Constructor.
      *
      * @param http the calls
      */
-    public HttpVmList(PlatformHttp http) {
+    public HttpVmList(JsonHttpClient http) {
         this.http = http;
     }
 
--- a/src/main/java/org/standlink/port/HttpWorker.java
+++ b/src/main/java/org/standlink/port/HttpWorker.java
@@ -28,14 +28,14 @@
 public final class HttpWorker implements WorkerPort {
 
     /** The calls. */
-    private final PlatformHttp http;
+    private final JsonHttpClient http;
 
     /**
      * Constructor.
      *
      * @param http the calls
      */
-    public HttpWorker(PlatformHttp http) {
+    public HttpWorker(JsonHttpClient http) {
         this.http = http;
     }
 
@@ -51,24 +51,24 @@
 
     @Override
     public void start(WorkerLease lease, TaskStart start) {
-        WorkerCall call = new WorkerCall(lease, start, null, null, 0);
+        WorkerRequest call = new WorkerRequest(lease, start, null, null, 0);
         http.post("/tasks/start", call, new TypeReference<Boolean>() {});
     }
 
     @Override
-    public TaskUsage stop(WorkerLease lease, TaskId task, Attempt attempt) {
-        WorkerCall call = new WorkerCall(lease, null, task, attempt, 0);
-        return http.post("/tasks/stop", call, new TypeReference<TaskUsage>() {});
+    public AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt) {
+        WorkerRequest call = new WorkerRequest(lease, null, task, attempt, 0);
+        return http.post("/tasks/stop", call, new TypeReference<AttemptStatus>() {});
     }
 
     @Override
     public void throttle(WorkerLease lease, TaskId task, int percent) {
-        WorkerCall call = new WorkerCall(lease, null, task, null, percent);
+        WorkerRequest call = new WorkerRequest(lease, null, task, null, percent);
         http.post("/tasks/throttle", call, new TypeReference<Boolean>() {});
     }
 
     @Override
-    public List<TaskUsage> list() {
-        return http.get("/tasks", new TypeReference<List<TaskUsage>>() {});
+    public List<AttemptStatus> list() {
+        return http.get("/tasks", new TypeReference<List<AttemptStatus>>() {});
     }
 }
--- a/src/main/java/org/standlink/port/PlatformHttp.java
+++ b/src/main/java/org/standlink/port/JsonHttpClient.java
@@ -36,9 +36,9 @@
  * <p>A call that was surely not taken fails with PLATFORM_UNAVAILABLE. One that may have been taken
  * fails with PLATFORM_OUTCOME_UNKNOWN. A refusal names its own code in the answer.
  *
- * <p>{@code PlatformHttp} is thread-safe and immutable.
+ * <p>{@code JsonHttpClient} is thread-safe and immutable.
  */
-public final class PlatformHttp {
+public final class JsonHttpClient {
 
     /** How long a call may take if nothing else is said. */
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
@@ -71,7 +71,7 @@
      * @param base the start of every address, such as {@code http://10.0.0.1:7000}
      * @param client the client, shared by all adapters of a process
      */
-    public PlatformHttp(URI base, HttpClient client) {
+    public JsonHttpClient(URI base, HttpClient client) {
         this(base, client, TIMEOUT);
     }
 
@@ -82,7 +82,7 @@
      * @param client the client, shared by all adapters of a process
      * @param timeout how long a call may take
      */
-    public PlatformHttp(URI base, HttpClient client, Duration timeout) {
+    public JsonHttpClient(URI base, HttpClient client, Duration timeout) {
         this.base = base;
         this.client = client;
         this.timeout = timeout;
--- a/src/main/java/org/standlink/port/WorkerPort.java
+++ b/src/main/java/org/standlink/port/WorkerPort.java
@@ -64,7 +64,7 @@
      * @return where it stands now that it has stopped
      * @throws org.standlink.StandlinkException with code LEASE_LAPSED
      */
-    TaskUsage stop(WorkerLease lease, TaskId task, Attempt attempt);
+    AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt);
 
     /**
      * Limits the processors of an attempt.
@@ -81,5 +81,5 @@
      *
      * @return the attempts known to the worker
      */
-    List<TaskUsage> list();
+    List<AttemptStatus> list();
 }
--- a/src/main/java/org/standlink/port/WorkerCall.java
+++ b/src/main/java/org/standlink/port/WorkerRequest.java
@@ -21,7 +21,7 @@
 /**
  * The body of a call to a worker about a task.
  *
- * <p>{@code WorkerCall} is thread-safe and immutable.
+ * <p>{@code WorkerRequest} is thread-safe and immutable.
  *
  * @param lease the lease to act under
  * @param start what to start, null for other calls
@@ -29,5 +29,5 @@
  * @param attempt the attempt, null if it does not matter
  * @param percent the throttle, in percent
  */
-public record WorkerCall(
+public record WorkerRequest(
         WorkerLease lease, TaskStart start, TaskId task, Attempt attempt, int percent) {}
--- a/src/main/java/org/standlink/process/ConnectionDrain.java
+++ b/src/main/java/org/standlink/process/ConnectionDrain.java
@@ -37,35 +37,35 @@
      * How long new connections may still come, in milliseconds: the platform's balancer asks once a
      * second and acts on the second miss, which takes a little time itself.
      */
-    static final long NOTICE_MILLIS = 2500;
+    static final long BALANCER_DELAY_MILLIS = 2500;
 
     /** How long nothing must have come, in milliseconds; longer than a request's way here. */
-    static final long QUIET_MILLIS = 500;
+    static final long IDLE_MILLIS = 500;
 
     /**
      * How long an unused connection counts as open, in milliseconds: callers that pause longer open
      * another one.
      */
-    static final long OPEN_MILLIS = 5000;
+    static final long CONNECTION_IDLE_MILLIS = 5000;
 
     /**
      * What is left of the grace for what is in progress, in milliseconds: the longest answer that
      * is waited for, with some to spare.
      */
-    static final long LAST_ANSWERS_MILLIS = 1500;
+    static final long ANSWER_RESERVE_MILLIS = 1500;
 
     /** What is left of the grace for the process to end, in milliseconds. */
-    static final long END_MILLIS = 200;
+    static final long EXIT_RESERVE_MILLIS = 200;
 
     /** How long requests that have arrived may take to be read, in milliseconds. */
-    static final long ARRIVAL_MILLIS = 1000;
+    static final long ARRIVAL_TIMEOUT_MILLIS = 1000;
 
     /** The time between two looks at whether callers are quiet, in milliseconds. */
     private static final long LOOK_MILLIS = 50;
 
     /** Lets time pass. */
     @FunctionalInterface
-    public interface Pause {
+    public interface Sleeper {
 
         /**
          * Lets time pass.
@@ -73,7 +73,7 @@
          * @param millis how long, in milliseconds
          * @throws InterruptedException if the thread is interrupted
          */
-        void pause(long millis) throws InterruptedException;
+        void sleep(long millis) throws InterruptedException;
     }
 
     /** The most connections remembered; the descriptors of the largest machine. */
@@ -115,7 +115,7 @@
      *
      * @param connection identifies the connection, such as the caller's address
      */
-    public synchronized void begin(Object connection) {
+    public synchronized void requestReceived(Object connection) {
         busy.add(connection);
         lastUse = clock.nowMillis();
     }
@@ -126,7 +126,7 @@
      * @param connection identifies the connection
      * @return true if the server is leaving
      */
-    public synchronized boolean tell(Object connection) {
+    public synchronized boolean closeIfLeaving(Object connection) {
         boolean leaving = leftAt >= 0;
         if (leaving) {
             untold.remove(connection);
@@ -141,7 +141,7 @@
      *
      * @param connection identifies the connection
      */
-    public synchronized void end(Object connection) {
+    public synchronized void requestAnswered(Object connection) {
         busy.remove(connection);
         lastUse = clock.nowMillis();
     }
@@ -160,13 +160,13 @@
      *
      * @return true if no caller can be cut
      */
-    public synchronized boolean isQuiet() {
+    public synchronized boolean isDrained() {
         long now = clock.nowMillis();
         return leftAt >= 0
-                && now - leftAt >= NOTICE_MILLIS
-                && now - lastUse >= QUIET_MILLIS
+                && now - leftAt >= BALANCER_DELAY_MILLIS
+                && now - lastUse >= IDLE_MILLIS
                 && busy.isEmpty()
-                && untold.values().stream().allMatch(used -> now - used >= OPEN_MILLIS);
+                && untold.values().stream().allMatch(used -> now - used >= CONNECTION_IDLE_MILLIS);
     }
 
     /**
@@ -179,30 +179,30 @@
      * @param whenQuiet is told before the last look; what it starts may go on during a short pause
      * @throws InterruptedException if the thread is interrupted
      */
-    public void awaitEnd(
-            long graceMillis, Pause pause, PendingArrivals arrivals, Runnable whenQuiet)
+    public void awaitDrained(
+            long graceMillis, Sleeper pause, PendingArrivals arrivals, Runnable whenQuiet)
             throws InterruptedException {
         long start = clock.nowMillis();
-        long quietUntil = start + graceMillis - LAST_ANSWERS_MILLIS;
+        long quietUntil = start + graceMillis - ANSWER_RESERVE_MILLIS;
         boolean allRead = false;
-        while (clock.nowMillis() < quietUntil && !(allRead && isQuiet())) {
-            pause.pause(LOOK_MILLIS);
-            if (isQuiet()) {
-                arrivals.await(ARRIVAL_MILLIS);
+        while (clock.nowMillis() < quietUntil && !(allRead && isDrained())) {
+            pause.sleep(LOOK_MILLIS);
+            if (isDrained()) {
+                arrivals.await(ARRIVAL_TIMEOUT_MILLIS);
                 allRead = arrivals.getPending() == 0;
             }
         }
         whenQuiet.run();
         do {
-            pause.pause(LOOK_MILLIS);
+            pause.sleep(LOOK_MILLIS);
         } while (getInProgress() + arrivals.getPending() > 0
-                && clock.nowMillis() - start < graceMillis - END_MILLIS);
+                && clock.nowMillis() - start < graceMillis - EXIT_RESERVE_MILLIS);
     }
 
     private void remember(Object connection) {
         long now = clock.nowMillis();
         if (untold.size() >= MOST_CONNECTIONS) {
-            untold.values().removeIf(used -> now - used >= OPEN_MILLIS);
+            untold.values().removeIf(used -> now - used >= CONNECTION_IDLE_MILLIS);
         }
         untold.put(connection, now);
     }
--- a/src/main/java/org/standlink/process/Guarded.java
+++ b/src/main/java/org/standlink/process/Guarded.java
@@ -61,7 +61,7 @@
             try {
                 work.run();
             } catch (Throwable thrown) {
-                WorkFailures.note(name, thrown);
+                WorkFailures.record(name, thrown);
                 whenFailed.run();
             }
         };
@@ -76,7 +76,7 @@
      * @param work the work
      * @return the series, which can be cancelled
      */
-    public static ScheduledFuture<?> repeat(
+    public static ScheduledFuture<?> scheduleRepeating(
             String name, ScheduledExecutorService timers, long pauseMillis, Runnable work) {
         return timers.scheduleWithFixedDelay(
                 work(name, work), 0, pauseMillis, TimeUnit.MILLISECONDS);
@@ -91,7 +91,7 @@
      * @param <T> the type of the value
      * @return the same result, once that is done
      */
-    public static <T> CompletableFuture<T> then(
+    public static <T> CompletableFuture<T> onCompletion(
             String name, CompletableFuture<T> future, BiConsumer<? super T, Throwable> then) {
         return future.whenComplete(
                 (value, failure) -> work(name, () -> then.accept(value, failure)).run());
@@ -106,7 +106,7 @@
      * @param then takes the value or the failure
      * @param <T> the type of the value
      */
-    public static <T> void thenOn(
+    public static <T> void onCompletionAsync(
             String name,
             CompletableFuture<T> future,
             Executor executor,
@@ -125,7 +125,7 @@
      * @param then takes the value or the failure
      * @param <T> the type of the value
      */
-    public static <T> void thenIn(
+    public static <T> void onCompletionInLoop(
             CompletableFuture<T> future, Executor executor, BiConsumer<? super T, Throwable> then) {
         future.whenComplete(
                 (value, failure) -> handOver(executor, () -> then.accept(value, failure)));
@@ -137,7 +137,7 @@
      * @param millis after how long, in milliseconds
      * @param work the work, which throws nothing
      */
-    public static void later(long millis, Runnable work) {
+    public static void schedule(long millis, Runnable work) {
         CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS).execute(work);
     }
 
@@ -148,7 +148,7 @@
             // The process ends and its executors are closed; nothing is left to tell.
             return;
         } catch (Throwable thrown) {
-            WorkFailures.note("hand-over", thrown);
+            WorkFailures.record("hand-over", thrown);
         }
     }
 }
--- a/src/main/java/org/standlink/process/HttpArrivals.java
+++ b/src/main/java/org/standlink/process/HttpPendingArrivals.java
@@ -35,9 +35,9 @@
  * before that thread has accepted them, and resets them when the server closes. A request of this
  * process to itself is read after all that arrived before it.
  *
- * <p>{@code HttpArrivals} is thread-safe.
+ * <p>{@code HttpPendingArrivals} is thread-safe.
  */
-public final class HttpArrivals implements PendingArrivals {
+public final class HttpPendingArrivals implements PendingArrivals {
 
     /** The request of this process to itself. */
     private static final byte[] OWN_REQUEST =
@@ -53,7 +53,7 @@
     private static final int NO_CONTENT = 204;
 
     /** The log. */
-    private static final EventLog LOG = EventLog.of(HttpArrivals.class);
+    private static final EventLog LOG = EventLog.of(HttpPendingArrivals.class);
 
     /** The server. */
     private final HttpServer server;
@@ -64,7 +64,7 @@
     /** The local ports of connections of this process to itself. */
     private final Set<Integer> ownPorts = ConcurrentHashMap.newKeySet();
 
-    private HttpArrivals(HttpServer server) {
+    private HttpPendingArrivals(HttpServer server) {
         this.server = server;
     }
 
@@ -75,8 +75,8 @@
      * @param executor where its threads come from
      * @return what tells of its requests
      */
-    public static HttpArrivals watch(HttpServer server, Executor executor) {
-        HttpArrivals made = new HttpArrivals(server);
+    public static HttpPendingArrivals monitor(HttpServer server, Executor executor) {
+        HttpPendingArrivals made = new HttpPendingArrivals(server);
         server.setExecutor(task -> made.handOver(task, executor));
         return made;
     }
@@ -89,7 +89,7 @@
      * @return false if it is another one
      * @throws IOException if the answer cannot be sent
      */
-    boolean answerOwn(HttpExchange exchange) throws IOException {
+    boolean answerProbe(HttpExchange exchange) throws IOException {
         InetSocketAddress from = exchange.getRemoteAddress();
         boolean own =
                 ownPorts.contains(from.getPort())
@@ -119,7 +119,7 @@
             ownPorts.remove(own.getLocalPort());
         } catch (IOException unanswered) {
             // The request may still be read, so its port stays known.
-            LOG.info("arrivals-unknown").with("cause", unanswered).write();
+            LOG.info("pending-arrivals-unknown").with("cause", unanswered).write();
         }
     }
 
--- a/src/main/java/org/standlink/process/HttpService.java
+++ b/src/main/java/org/standlink/process/HttpService.java
@@ -187,20 +187,20 @@
             String path,
             int failedStatus,
             ConnectionDrain drain,
-            HttpArrivals arrivals,
+            HttpPendingArrivals arrivals,
             HttpHandler handler) {
         server.createContext(
                 path,
                 exchange -> {
-                    if (arrivals.answerOwn(exchange)) {
+                    if (arrivals.answerProbe(exchange)) {
                         return;
                     }
                     Object connection = exchange.getRemoteAddress();
-                    drain.begin(connection);
+                    drain.requestReceived(connection);
                     try {
                         handle(exchange, failedStatus, handler);
                     } finally {
-                        drain.end(connection);
+                        drain.requestAnswered(connection);
                     }
                 });
     }
@@ -210,7 +210,7 @@
         try {
             handler.handle(exchange);
         } catch (RuntimeException | Error thrown) {
-            WorkFailures.note("request", thrown);
+            WorkFailures.record("request", thrown);
             if (exchange.getResponseCode() < 0) {
                 exchange.sendResponseHeaders(failedStatus, -1);
             }
@@ -227,7 +227,7 @@
      * @param handler the handler
      * @return this service
      */
-    public HttpService on(String method, String path, Handler handler) {
+    public HttpService addHandler(String method, String path, Handler handler) {
         handlers.put(method + " " + path, handler);
         return this;
     }
--- a/src/main/java/org/standlink/process/LogWriter.java
+++ b/src/main/java/org/standlink/process/LogWriter.java
@@ -23,15 +23,15 @@
 /**
  * Writes log lines on a thread of its own, so that a blocked standard output holds up nobody.
  *
- * <p>At most {@value #MOST_LINES} lines wait; what comes beyond is dropped and counted, and the
- * count is written when there is room again.
+ * <p>At most {@value #MAX_QUEUED_LINES} lines wait; what comes beyond is dropped and counted, and
+ * the count is written when there is room again.
  *
  * <p>{@code LogWriter} is thread-safe.
  */
 public final class LogWriter {
 
     /** The most lines that wait; about 1 MB, some seconds of the busiest process. */
-    static final int MOST_LINES = 4096;
+    static final int MAX_QUEUED_LINES = 4096;
 
     /**
      * The most lines written at once: without a limit, a thread that is handed lines as fast as it
@@ -43,7 +43,7 @@
     private static final LogWriter INSTANCE = new LogWriter(System.out);
 
     /** The lines that wait. */
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
     /** How many lines were dropped since the last count was written. */
     private final AtomicLong dropped = new AtomicLong();
@@ -94,7 +94,7 @@
                 writeAll();
             } catch (RuntimeException | Error thrown) {
                 dropped.incrementAndGet();
-                WorkFailures.note("log-writer", thrown);
+                WorkFailures.record("log-writer", thrown);
             }
         }
     }
--- a/src/main/java/org/standlink/process/ProcessEnd.java
+++ b/src/main/java/org/standlink/process/ProcessEnd.java
@@ -53,8 +53,8 @@
         start("end", ProcessEnd::end);
         start("cut-off", () -> cutOff(mostMillis));
         Thread.setDefaultUncaughtExceptionHandler(
-                (thread, thrown) -> WorkFailures.note(thread.getName(), thrown));
-        WorkFailures.endBy(thrown -> BEGUN.countDown());
+                (thread, thrown) -> WorkFailures.record(thread.getName(), thrown));
+        WorkFailures.setTerminationHandler(thrown -> BEGUN.countDown());
     }
 
     /**
--- a/src/main/java/org/standlink/process/ProcessThreads.java
+++ b/src/main/java/org/standlink/process/ProcessThreads.java
@@ -88,7 +88,7 @@
         return work -> {
             Thread thread = new Thread(work, name + "-" + number.incrementAndGet());
             thread.setDaemon(true);
-            thread.setUncaughtExceptionHandler((at, thrown) -> WorkFailures.note(name, thrown));
+            thread.setUncaughtExceptionHandler((at, thrown) -> WorkFailures.record(name, thrown));
             return thread;
         };
     }
@@ -111,7 +111,7 @@
                 try {
                     ended.get();
                 } catch (ExecutionException failed) {
-                    WorkFailures.note(name, failed.getCause());
+                    WorkFailures.record(name, failed.getCause());
                 } catch (InterruptedException stopped) {
                     Thread.currentThread().interrupt();
                 }
--- a/src/main/java/org/standlink/process/Timers.java
+++ b/src/main/java/org/standlink/process/Timers.java
@@ -70,8 +70,8 @@
      * @param pauseMillis the pause between two runs, in milliseconds
      * @param work the work
      */
-    public void every(String name, long pauseMillis, Runnable work) {
-        Guarded.repeat(name, scheduler, pauseMillis, () -> run(name, work));
+    public void scheduleRepeating(String name, long pauseMillis, Runnable work) {
+        Guarded.scheduleRepeating(name, scheduler, pauseMillis, () -> run(name, work));
     }
 
     @Override
--- a/src/main/java/org/standlink/process/WorkFailures.java
+++ b/src/main/java/org/standlink/process/WorkFailures.java
@@ -62,13 +62,13 @@
      * @param work what failed, in words joined by hyphens
      * @param thrown what was thrown
      */
-    public static void note(String work, Throwable thrown) {
-        Throwable cause = causeOf(thrown);
+    public static void record(String work, Throwable thrown) {
+        Throwable cause = unwrap(thrown);
         COUNT.incrementAndGet();
         try {
             LOG.error("work-failed").with("work", work).with("cause", describe(cause)).write();
         } finally {
-            if (endsProcess(cause)) {
+            if (isFatal(cause)) {
                 ENDING.get().accept(cause);
             }
         }
@@ -88,7 +88,7 @@
      *
      * @param registry the counters
      */
-    public static void showIn(MeterRegistry registry) {
+    public static void registerCounter(MeterRegistry registry) {
         FunctionCounter.builder("standlink.work.failures", COUNT, AtomicLong::get)
                 .description("work that threw though nothing expected it")
                 .register(registry);
@@ -99,7 +99,7 @@
      *
      * @param ending is told the error; must return at once
      */
-    public static void endBy(Consumer<Throwable> ending) {
+    public static void setTerminationHandler(Consumer<Throwable> ending) {
         ENDING.set(ending);
     }
 
@@ -111,7 +111,7 @@
      * @param thrown what was thrown
      * @return true for errors but those
      */
-    static boolean endsProcess(Throwable thrown) {
+    static boolean isFatal(Throwable thrown) {
         return thrown instanceof Error && !(thrown instanceof StackOverflowError);
     }
 
@@ -121,7 +121,7 @@
      * @param failure the failure
      * @return what was thrown
      */
-    public static Throwable causeOf(Throwable failure) {
+    public static Throwable unwrap(Throwable failure) {
         boolean wrapped = failure instanceof CompletionException && failure.getCause() != null;
         return wrapped ? failure.getCause() : failure;
     }
--- a/src/main/java/org/standlink/runner/AgentNode.java
+++ b/src/main/java/org/standlink/runner/AgentNode.java
@@ -139,7 +139,7 @@
 
     /** Starts reporting. */
     public void start() {
-        Guarded.repeat("report", loop, REPORT_CHECK_INTERVAL_MILLIS, this::reportIfDue);
+        Guarded.scheduleRepeating("report", loop, REPORT_CHECK_INTERVAL_MILLIS, this::reportIfDue);
     }
 
     // -----------------------------------------------------------------------
@@ -259,7 +259,7 @@
                                 .anyMatch(WorkerSupervisor::isFenceRefused),
                         List.copyOf(sent.values()),
                         workers.listEnded());
-        Guarded.thenOn(
+        Guarded.onCompletionAsync(
                 "report-answer",
                 leader.call(report, ANSWER_TIMEOUT_MILLIS),
                 loop,
--- a/src/main/java/org/standlink/runner/LeaseRenewalLoop.java
+++ b/src/main/java/org/standlink/runner/LeaseRenewalLoop.java
@@ -63,7 +63,7 @@
      * @param handler handles the answer and has to schedule the next renewal
      */
     void whenAnswered(CompletableFuture<RenewalResult> answer, Consumer<RenewalResult> handler) {
-        Guarded.thenIn(
+        Guarded.onCompletionInLoop(
                 answer,
                 loop,
                 (result, failure) -> guarded(() -> accept(result, failure, handler)).run());
--- a/src/main/java/org/standlink/runner/WorkerContext.java
+++ b/src/main/java/org/standlink/runner/WorkerContext.java
@@ -57,7 +57,7 @@
      */
     void whenAnswered(
             String call, CompletableFuture<CallResult> answer, Consumer<CallResult> handler) {
-        Guarded.thenOn(
+        Guarded.onCompletionAsync(
                 "worker-" + call,
                 answer,
                 loop,
--- a/src/main/java/org/standlink/runner/WorkerSupervisor.java
+++ b/src/main/java/org/standlink/runner/WorkerSupervisor.java
@@ -314,7 +314,7 @@
     private void requestListsNow() {
         Fence currentFence = fence.get();
         long sentAt = clock.nowMillis();
-        Guarded.thenOn(
+        Guarded.onCompletionAsync(
                 "worker-list",
                 renewer.requestLists(currentFence, reachable),
                 loop,
--- a/src/main/java/org/standlink/standin/Balancer.java
+++ b/src/main/java/org/standlink/standin/LoadBalancer.java
@@ -31,9 +31,9 @@
  * Chooses entries for new connections as the platform's balancer does: it asks each entry once a
  * second whether it is ready, and passes it over after the second miss until it is ready again.
  *
- * <p>{@code Balancer} is thread-safe.
+ * <p>{@code LoadBalancer} is thread-safe.
  */
-final class Balancer implements AutoCloseable {
+final class LoadBalancer implements AutoCloseable {
 
     /** The time between two questions, in milliseconds. */
     private static final long PROBE_MILLIS = 1000;
@@ -59,7 +59,7 @@
      *
      * @param ready where each entry tells whether it is ready; empty to use all entries always
      */
-    Balancer(List<URI> ready) {
+    LoadBalancer(List<URI> ready) {
         this.ready = List.copyOf(ready);
         this.misses = new AtomicIntegerArray(ready.size());
         if (!ready.isEmpty()) {
@@ -73,7 +73,7 @@
      * @param entry the number of the entry
      * @return true if so
      */
-    boolean isIn(int entry) {
+    boolean isInRotation(int entry) {
         return ready.isEmpty() || misses.get(entry) < MOST_MISSES;
     }
 
--- a/src/main/java/org/standlink/standin/LoadReport.java
+++ b/src/main/java/org/standlink/standin/LoadReport.java
@@ -23,24 +23,24 @@
  * <p>{@code LoadReport} is thread-safe and immutable.
  *
  * @param sent requests sent
- * @param right requests with the whole answer to themselves
+ * @param correct requests with the whole answer to themselves
  * @param notRun requests told as not run
  * @param unknown requests told as unknown
- * @param wrong requests with another answer, or none
- * @param seen what the caller saw of the first wrong ones
+ * @param incorrect requests with another answer, or none
+ * @param failureDetails what the caller saw of the first wrong ones
  * @param medianMicros the median latency of the right ones, in microseconds
- * @param tailMicros the 99th percentile of the latency of the right ones, in microseconds
+ * @param p99Micros the 99th percentile of the latency of the right ones, in microseconds
  * @param perSecond right answers a second
  */
 public record LoadReport(
         int sent,
-        int right,
+        int correct,
         int notRun,
         int unknown,
-        int wrong,
-        List<String> seen,
+        int incorrect,
+        List<String> failureDetails,
         long medianMicros,
-        long tailMicros,
+        long p99Micros,
         double perSecond) {
 
     /**
@@ -48,8 +48,8 @@
      *
      * @return true if so
      */
-    public boolean isEveryAnswerRight() {
-        return right == sent;
+    public boolean isEveryAnswerCorrect() {
+        return correct == sent;
     }
 
     @Override
@@ -57,7 +57,16 @@
         String line =
                 String.format(
                         "requests %d of %d (not run %d, unknown %d, wrong %d), p50 %d us, p99 %d us, %.0f/s",
-                        right, sent, notRun, unknown, wrong, medianMicros, tailMicros, perSecond);
-        return seen.isEmpty() ? line : line + "\n  " + String.join("\n  ", seen);
+                        correct,
+                        sent,
+                        notRun,
+                        unknown,
+                        incorrect,
+                        medianMicros,
+                        p99Micros,
+                        perSecond);
+        return failureDetails.isEmpty()
+                ? line
+                : line + "\n  " + String.join("\n  ", failureDetails);
     }
 }
--- a/src/main/java/org/standlink/standin/MemoryLog.java
+++ b/src/main/java/org/standlink/standin/MemoryLog.java
@@ -141,7 +141,7 @@
     }
 
     /**
-     * Lets the next appends lose their answers and land only at {@link #landLate}.
+     * Lets the next appends lose their answers and land only at {@link #executeDelayedAppends}.
      *
      * @param count how many
      */
@@ -150,7 +150,7 @@
     }
 
     /** Lands the delayed appends, in order. */
-    public synchronized void landLate() {
+    public synchronized void executeDelayedAppends() {
         late.forEach(this::land);
         late.clear();
     }
--- a/src/main/java/org/standlink/standin/MemoryWorker.java
+++ b/src/main/java/org/standlink/standin/MemoryWorker.java
@@ -25,8 +25,8 @@
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
 import org.standlink.lease.MonotonicClock;
+import org.standlink.port.AttemptStatus;
 import org.standlink.port.TaskStart;
-import org.standlink.port.TaskUsage;
 import org.standlink.port.WorkerLease;
 import org.standlink.port.WorkerPort;
 
@@ -65,7 +65,7 @@
         private final TaskStart start;
 
         /** Where it stands. */
-        private TaskUsage.State state = TaskUsage.State.RUNNING;
+        private AttemptStatus.State state = AttemptStatus.State.RUNNING;
 
         /** Progress, in milliseconds. */
         private double progress;
@@ -163,13 +163,13 @@
         }
         Entry entry = new Entry(start, clock.nowMillis());
         if (failing) {
-            entry.state = TaskUsage.State.FAILED;
+            entry.state = AttemptStatus.State.FAILED;
         }
         attempts.put(key, entry);
     }
 
     @Override
-    public synchronized TaskUsage stop(WorkerLease lease, TaskId task, Attempt attempt) {
+    public synchronized AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt) {
         check(lease);
         Entry entry = attempts.get(new Key(task, attempt));
         if (entry == null) {
@@ -177,8 +177,8 @@
             entry = new Entry(never, clock.nowMillis());
             attempts.put(new Key(task, attempt), entry);
         }
-        if (entry.state == TaskUsage.State.RUNNING) {
-            entry.state = TaskUsage.State.STOPPED;
+        if (entry.state == AttemptStatus.State.RUNNING) {
+            entry.state = AttemptStatus.State.STOPPED;
         }
         return usage(entry);
     }
@@ -194,9 +194,9 @@
     }
 
     @Override
-    public synchronized List<TaskUsage> list() {
+    public synchronized List<AttemptStatus> list() {
         advance();
-        List<TaskUsage> result = new ArrayList<>();
+        List<AttemptStatus> result = new ArrayList<>();
         attempts.values().forEach(entry -> result.add(usage(entry)));
         return result;
     }
@@ -232,10 +232,10 @@
      *
      * @return the starts of the running attempts
      */
-    public synchronized List<TaskStart> getRunning() {
+    public synchronized List<TaskStart> getRunningAttempts() {
         advance();
         return attempts.values().stream()
-                .filter(entry -> entry.state == TaskUsage.State.RUNNING)
+                .filter(entry -> entry.state == AttemptStatus.State.RUNNING)
                 .map(entry -> entry.start)
                 .toList();
     }
@@ -260,41 +260,41 @@
         if (lapses) {
             token = null;
             attempts.values().stream()
-                    .filter(entry -> entry.state == TaskUsage.State.RUNNING)
-                    .forEach(entry -> entry.state = TaskUsage.State.STOPPED);
+                    .filter(entry -> entry.state == AttemptStatus.State.RUNNING)
+                    .forEach(entry -> entry.state = AttemptStatus.State.STOPPED);
         }
     }
 
     private void advance(Entry entry, long end) {
-        if (entry.state != TaskUsage.State.RUNNING || end <= entry.countedMillis) {
+        if (entry.state != AttemptStatus.State.RUNNING || end <= entry.countedMillis) {
             return;
         }
         entry.progress += (end - entry.countedMillis) * entry.throttle / (double) FULL;
         entry.countedMillis = end;
         if (entry.progress >= entry.start.runSeconds() * runFactor * SECOND_MILLIS) {
-            entry.state = TaskUsage.State.FINISHED;
+            entry.state = AttemptStatus.State.FINISHED;
         }
     }
 
     private Resources granted() {
         Resources sum = Resources.NONE;
         for (Entry entry : attempts.values()) {
-            if (entry.state == TaskUsage.State.RUNNING) {
+            if (entry.state == AttemptStatus.State.RUNNING) {
                 sum = sum.plus(entry.start.resources());
             }
         }
         return sum;
     }
 
-    private TaskUsage usage(Entry entry) {
+    private AttemptStatus usage(Entry entry) {
         Resources reserved = entry.start.resources();
         Resources used =
                 new Resources(
                         Math.round(reserved.milliCores() * usageFactor),
                         Math.round(reserved.memoryMegabytes() * usageFactor),
                         reserved.accelerators());
-        boolean running = entry.state == TaskUsage.State.RUNNING;
-        return new TaskUsage(
+        boolean running = entry.state == AttemptStatus.State.RUNNING;
+        return new AttemptStatus(
                 entry.start.task(),
                 entry.start.attempt(),
                 entry.state,
--- a/src/main/java/org/standlink/standin/RequestLoad.java
+++ b/src/main/java/org/standlink/standin/RequestLoad.java
@@ -66,7 +66,7 @@
     private final AtomicIntegerArray open;
 
     /** Chooses entries for new connections. */
-    private volatile Balancer balancer;
+    private volatile LoadBalancer balancer;
 
     /** The HTTP method. */
     private final String method;
@@ -153,7 +153,7 @@
         Arrays.fill(latencies, -1);
         CountDownLatch done = new CountDownLatch(concurrency);
         ExecutorService threads = ProcessThreads.newCached("load");
-        balancer = new Balancer(ready);
+        balancer = new LoadBalancer(ready);
         long start = System.nanoTime();
         for (int i = 0; i < concurrency; i++) {
             threads.execute(() -> sendAll(requests, done));
@@ -199,7 +199,7 @@
         String body = "body of " + name;
         for (int i = 0; i < entries.size(); i++) {
             int entry = (number + i) % entries.size();
-            boolean used = takeOpen(entry) || balancer.isIn(entry);
+            boolean used = takeOpen(entry) || balancer.isInRotation(entry);
             if (used && sendTo(entry, number, name, body)) {
                 return;
             }
@@ -231,7 +231,7 @@
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(uri)
                         .timeout(TIMEOUT)
-                        .header(UpstreamServer.NUMBER_HEADER, name)
+                        .header(UpstreamServer.REQUEST_NUMBER_HEADER, name)
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
         if (keys) {
             request.header("Idempotency-Key", name);
--- a/src/main/java/org/standlink/standin/StandInHttp.java
+++ b/src/main/java/org/standlink/standin/StandInHttpServices.java
@@ -24,17 +24,17 @@
 import org.standlink.port.LogPort;
 import org.standlink.port.PlatformRefusal;
 import org.standlink.port.VmEntry;
-import org.standlink.port.WorkerCall;
 import org.standlink.port.WorkerLease;
 import org.standlink.port.WorkerPort;
+import org.standlink.port.WorkerRequest;
 import org.standlink.process.HttpService;
 
 /**
  * Serves the in-memory stand-ins over the protocol of the HTTP adapters.
  *
- * <p>{@code StandInHttp} is thread-safe and immutable.
+ * <p>{@code StandInHttpServices} is thread-safe and immutable.
  */
-public final class StandInHttp {
+public final class StandInHttpServices {
 
     /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -43,7 +43,7 @@
     private static final String MOST_RECORDS = "500";
 
     /** No instances. */
-    private StandInHttp() {}
+    private StandInHttpServices() {}
 
     /** Does what a call asks for. */
     @FunctionalInterface
@@ -71,8 +71,8 @@
             InetSocketAddress address, Executor executor, MemoryLog log, MemoryVmList vms) {
         HttpService service = new HttpService(address, executor);
         serveLog(service, log);
-        service.on("GET", "/vms", request -> answer(vms::list));
-        service.on(
+        service.addHandler("GET", "/vms", request -> answer(vms::list));
+        service.addHandler(
                 "POST",
                 "/control/vms",
                 request ->
@@ -81,7 +81,7 @@
                                     vms.put(MAPPER.readValue(request.body(), VmEntry.class));
                                     return true;
                                 }));
-        service.on(
+        service.addHandler(
                 "POST",
                 "/control/log",
                 request ->
@@ -100,8 +100,8 @@
      * @param log the log
      */
     public static void serveLog(HttpService service, LogPort log) {
-        service.on("POST", "/log", request -> answer(() -> log.append(request.body())));
-        service.on(
+        service.addHandler("POST", "/log", request -> answer(() -> log.append(request.body())));
+        service.addHandler(
                 "GET",
                 "/log",
                 request ->
@@ -119,7 +119,7 @@
      * @param worker the worker
      */
     public static void serveWorker(HttpService service, WorkerPort worker) {
-        service.on(
+        service.addHandler(
                 "POST",
                 "/lease/acquire",
                 request ->
@@ -127,7 +127,7 @@
                                 () ->
                                         worker.acquire(
                                                 MAPPER.readValue(request.body(), String.class))));
-        service.on(
+        service.addHandler(
                 "POST",
                 "/lease/renew",
                 request ->
@@ -136,28 +136,29 @@
                                         worker.renew(
                                                 MAPPER.readValue(
                                                         request.body(), WorkerLease.class))));
-        service.on("POST", "/tasks/start", request -> answer(() -> start(worker, request)));
-        service.on("POST", "/tasks/stop", request -> answer(() -> stop(worker, request)));
-        service.on("POST", "/tasks/throttle", request -> answer(() -> throttle(worker, request)));
-        service.on("GET", "/tasks", request -> answer(worker::list));
+        service.addHandler("POST", "/tasks/start", request -> answer(() -> start(worker, request)));
+        service.addHandler("POST", "/tasks/stop", request -> answer(() -> stop(worker, request)));
+        service.addHandler(
+                "POST", "/tasks/throttle", request -> answer(() -> throttle(worker, request)));
+        service.addHandler("GET", "/tasks", request -> answer(worker::list));
     }
 
     // -----------------------------------------------------------------------
     private static boolean start(WorkerPort worker, HttpService.Request request)
             throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         worker.start(call.lease(), call.start());
         return true;
     }
 
     private static Object stop(WorkerPort worker, HttpService.Request request) throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         return worker.stop(call.lease(), call.task(), call.attempt());
     }
 
     private static boolean throttle(WorkerPort worker, HttpService.Request request)
             throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         worker.throttle(call.lease(), call.task(), call.percent());
         return true;
     }
--- a/src/main/java/org/standlink/standin/UpstreamServer.java
+++ b/src/main/java/org/standlink/standin/UpstreamServer.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.standlink.lease.MonotonicClock;
 import org.standlink.process.ConnectionDrain;
-import org.standlink.process.HttpArrivals;
+import org.standlink.process.HttpPendingArrivals;
 import org.standlink.process.HttpService;
 
 /**
@@ -40,10 +40,10 @@
 public final class UpstreamServer implements AutoCloseable {
 
     /** The header by which requests are numbered. */
-    public static final String NUMBER_HEADER = "Request-Number";
+    public static final String REQUEST_NUMBER_HEADER = "Request-Number";
 
     /** The header that asks for another service time, in milliseconds. */
-    public static final String TIME_HEADER = "Service-Millis";
+    public static final String SERVICE_TIME_HEADER = "Service-Millis";
 
     /** The path of the counts. */
     public static final String COUNTS_PATH = "/stand-in/counts";
@@ -67,7 +67,7 @@
     private final ConnectionDrain drain = new ConnectionDrain(MonotonicClock.ofSystem());
 
     /** Tells which requests have reached the server. */
-    private final HttpArrivals arrivals;
+    private final HttpPendingArrivals arrivals;
 
     /**
      * Constructor, which starts to listen.
@@ -79,7 +79,7 @@
     public UpstreamServer(InetSocketAddress address, Executor executor, long serviceMillis) {
         this.serviceMillis = serviceMillis;
         server = HttpService.newServer(address, executor);
-        arrivals = HttpArrivals.watch(server, executor);
+        arrivals = HttpPendingArrivals.monitor(server, executor);
         HttpService.serve(server, "/", 500, drain, arrivals, this::run);
         server.createContext(COUNTS_PATH, this::count);
         server.start();
@@ -99,7 +99,7 @@
      *
      * @return the number
      */
-    public int getMostRunning() {
+    public int getMaxRunning() {
         return mostRunning.get();
     }
 
@@ -109,7 +109,7 @@
      * @param number the number
      * @return how often
      */
-    public int getRuns(String number) {
+    public int getRunCount(String number) {
         AtomicInteger count = runs.get(number);
         return count == null ? 0 : count.get();
     }
@@ -124,7 +124,7 @@
      */
     public void drain(long mostMillis) throws InterruptedException {
         drain.leave();
-        drain.awaitEnd(mostMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
+        drain.awaitDrained(mostMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
         close();
     }
 
@@ -139,14 +139,14 @@
         mostRunning.accumulateAndGet(now, Math::max);
         try {
             byte[] body = exchange.getRequestBody().readAllBytes();
-            String number = exchange.getRequestHeaders().getFirst(NUMBER_HEADER);
+            String number = exchange.getRequestHeaders().getFirst(REQUEST_NUMBER_HEADER);
             if (number != null) {
                 runs.computeIfAbsent(number, key -> new AtomicInteger()).incrementAndGet();
             }
-            String time = exchange.getRequestHeaders().getFirst(TIME_HEADER);
+            String time = exchange.getRequestHeaders().getFirst(SERVICE_TIME_HEADER);
             TimeUnit.MILLISECONDS.sleep(time == null ? serviceMillis : Long.parseLong(time));
             String start = exchange.getRequestMethod() + " " + exchange.getRequestURI() + "\n";
-            if (drain.tell(exchange.getRemoteAddress())) {
+            if (drain.closeIfLeaving(exchange.getRemoteAddress())) {
                 exchange.getResponseHeaders().set("Connection", "close");
             }
             write(exchange, start, body);
--- a/src/main/java/org/standlink/store/Writer.java
+++ b/src/main/java/org/standlink/store/AppendCondition.java
@@ -21,14 +21,14 @@
  * Numbers the appends of one writer, so that a repeated one counts once and one of an older epoch
  * is refused.
  *
- * <p>{@code Writer} is thread-safe and immutable.
+ * <p>{@code AppendCondition} is thread-safe and immutable.
  *
  * @param epoch the epoch of the writer
  * @param sequence the number of the append in the epoch, from 0
- * @param expectedEnd where the topic must end for the append to be done, or {@link #ANYWHERE}
+ * @param expectedEnd where the topic must end for the append to be done, or {@link #ANY_END}
  */
-public record Writer(Epoch epoch, long sequence, long expectedEnd) {
+public record AppendCondition(Epoch epoch, long sequence, long expectedEnd) {
 
     /** Stands for an append that is done wherever the topic ends. */
-    public static final long ANYWHERE = -1;
+    public static final long ANY_END = -1;
 }
--- a/src/main/java/org/standlink/store/KeyedStore.java
+++ b/src/main/java/org/standlink/store/KeyedStore.java
@@ -47,7 +47,7 @@
      * @param writer numbers the append
      * @return the new end; fails with EPOCH_FENCED if a newer epoch has written
      */
-    CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, Writer writer);
+    CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, AppendCondition writer);
 
     /**
      * Raises the epoch of a topic's writer, so that appends of older epochs are refused.
--- a/src/main/java/org/standlink/store/Packing.java
+++ b/src/main/java/org/standlink/store/MessagePackCodec.java
@@ -23,7 +23,7 @@
 import org.standlink.StandlinkException;
 
 /** Writes and reads the values of records as MessagePack. */
-public final class Packing {
+public final class MessagePackCodec {
 
     /** The serializer; parts that a newer version added are passed over. */
     private static final ObjectMapper MAPPER =
@@ -31,7 +31,7 @@
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     /** No instances. */
-    private Packing() {}
+    private MessagePackCodec() {}
 
     /**
      * Writes a value.
@@ -39,7 +39,7 @@
      * @param value the value
      * @return the bytes
      */
-    public static byte[] pack(Object value) {
+    public static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (IOException impossible) {
@@ -57,7 +57,7 @@
      * @return the value
      * @throws StandlinkException with code INVALID_MESSAGE if the bytes are not such a value
      */
-    public static <T> T unpack(byte[] bytes, Class<T> type) {
+    public static <T> T decode(byte[] bytes, Class<T> type) {
         try {
             return MAPPER.readValue(bytes, type);
         } catch (IOException malformed) {
--- a/src/main/java/org/standlink/store/ReadResult.java
+++ b/src/main/java/org/standlink/store/ReadResult.java
@@ -22,7 +22,7 @@
  *
  * <p>{@code ReadResult} is thread-safe and immutable.
  *
- * @param next the offset to read on from
+ * @param nextOffset the offset to read on from
  * @param records the records, oldest first
  */
-public record ReadResult(long next, List<KeyedRecord> records) {}
+public record ReadResult(long nextOffset, List<KeyedRecord> records) {}
--- a/src/main/java/org/standlink/store/TopicFollower.java
+++ b/src/main/java/org/standlink/store/TopicFollower.java
@@ -128,7 +128,7 @@
                 position == NOTHING_READ
                         ? store.readNewest(topic)
                         : store.read(topic, position, WAIT_MILLIS);
-        Guarded.thenIn(
+        Guarded.onCompletionInLoop(
                 result,
                 executor,
                 (read, failure) ->
@@ -157,12 +157,12 @@
         } else {
             result.records().forEach(receiver::receive);
         }
-        position = result.next();
+        position = result.nextOffset();
         readOn();
     }
 
     private void handleFailure(Throwable failure) {
-        Throwable cause = WorkFailures.causeOf(failure);
+        Throwable cause = WorkFailures.unwrap(failure);
         if (cause instanceof Error error) {
             throw error;
         }
--- a/src/main/java/org/standlink/wire/Connection.java
+++ b/src/main/java/org/standlink/wire/Connection.java
@@ -132,7 +132,7 @@
         long number = lastCallNumber.incrementAndGet();
         CompletableFuture<Message> answer = new CompletableFuture<>();
         pendingCalls.put(number, answer);
-        Guarded.then("call", answer, (value, failure) -> pendingCalls.remove(number));
+        Guarded.onCompletion("call", answer, (value, failure) -> pendingCalls.remove(number));
         try {
             write(new Frame(number, false, message));
         } catch (StandlinkException failure) {
@@ -167,7 +167,7 @@
      *     repeated, in milliseconds
      */
     void announceLeaving(long timeoutMillis) {
-        Guarded.then(
+        Guarded.onCompletion(
                 "leave",
                 call(new Leaving(), timeoutMillis),
                 (answer, failure) -> {
--- a/src/main/java/org/standlink/wire/ConnectionMonitor.java
+++ b/src/main/java/org/standlink/wire/ConnectionMonitor.java
@@ -65,7 +65,7 @@
 
     // -----------------------------------------------------------------------
     private void scheduleCheck() {
-        Guarded.later(IDLE_MILLIS, Guarded.work(WORK_NAME, this::check, this::stopAndClose));
+        Guarded.schedule(IDLE_MILLIS, Guarded.work(WORK_NAME, this::check, this::stopAndClose));
     }
 
     /**
@@ -90,7 +90,7 @@
             scheduleCheck();
             return;
         }
-        Guarded.then(
+        Guarded.onCompletion(
                 WORK_NAME,
                 connection.call(new KeepAlive(), KEEP_ALIVE_TIMEOUT_MILLIS),
                 (answer, failure) ->
--- a/src/main/java/org/standlink/wire/WireServer.java
+++ b/src/main/java/org/standlink/wire/WireServer.java
@@ -203,7 +203,7 @@
                 continue;
             } catch (RuntimeException | Error thrown) {
                 // Later connections must still be accepted.
-                WorkFailures.note("accept", thrown);
+                WorkFailures.record("accept", thrown);
             }
         }
     }
--- a/src/test/java/org/standlink/Fixtures.java
+++ b/src/test/java/org/standlink/BundleFixtures.java
@@ -22,18 +22,18 @@
 import org.standlink.bundle.SignedBundle;
 
 /** Bundles for tests. */
-public final class Fixtures {
+public final class BundleFixtures {
 
-    private static final KeyPair ANA = BundleSigner.newKeys();
+    private static final KeyPair ANA = BundleSigner.generateKeyPair();
 
-    private static final KeyPair IVO = BundleSigner.newKeys();
+    private static final KeyPair IVO = BundleSigner.generateKeyPair();
 
     /** A job of two-core tasks. */
-    public static final String SCAN =
+    public static final String SCAN_JOB =
             "{'id':'scan','mode':'manage','team':'security','cell':'one','batchClass':'scan','tasks':4,"
                     + "'resources':{'cores':2,'memoryMegabytes':1000},'runSeconds':60,'checkpointable':true}";
 
-    private Fixtures() {}
+    private BundleFixtures() {}
 
     /** Makes a bundle of 3 workers of 8 cores with one service that reserves 2 cores on each. */
     public static String bundle(long version, String jobs) {
@@ -93,7 +93,7 @@
     }
 
     /** Signs a bundle by its author alone. */
-    public static String signedOnce(String bundle) {
+    public static String signedByAuthor(String bundle) {
         return text(
                 new SignedBundle(bundle, OperatorId.parse("ana"), List.of())
                         .withSignature(
--- a/src/test/java/org/standlink/FakeLoop.java
+++ b/src/test/java/org/standlink/FakeEventLoop.java
@@ -26,13 +26,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** Timers and a thread that go only when a test lets time pass, in the order of their times. */
-public final class FakeLoop extends AbstractExecutorService implements ScheduledExecutorService {
+public final class FakeEventLoop extends AbstractExecutorService
+        implements ScheduledExecutorService {
 
     private final FakeClock clock;
     private final List<Work> waiting = new ArrayList<>();
     private long number;
 
-    public FakeLoop(FakeClock clock) {
+    public FakeEventLoop(FakeClock clock) {
         this.clock = clock;
     }
 
@@ -69,7 +70,7 @@
     }
 
     /** Tells when the next work is due, on the clock; the largest number if none waits. */
-    public long nextDue() {
+    public long getNextDueMillis() {
         return waiting.stream().mapToLong(work -> work.due).min().orElse(Long.MAX_VALUE);
     }
 
--- a/src/test/java/org/standlink/TestFence.java
+++ b/src/test/java/org/standlink/TestFence.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void theEpochCountsBeforeTheGeneration() {
+    public void comparesTheEpochFirst() {
         assertTrue(fence(2, 0).isAfter(fence(1, 9)));
         assertTrue(fence(2, 2).isAfter(fence(2, 1)));
         assertTrue(!fence(2, 1).isAfter(fence(2, 1)));
@@ -38,14 +38,14 @@
     }
 
     @Test
-    public void tokensRiseWithTheFence() {
+    public void tokensIncreaseWithTheFence() {
         assertEquals(0, Fence.NONE.toToken());
         assertTrue(fence(2, 0).toToken() > fence(1, (1 << 26) - 1).toToken());
         assertTrue(fence(2, 2).toToken() > fence(2, 1).toToken());
     }
 
     @Test
-    public void equalPartsMakeEqualFences() {
+    public void fencesWithEqualComponentsAreEqual() {
         assertEquals(fence(2, 1), fence(2, 1));
         assertEquals(fence(2, 1).hashCode(), fence(2, 1).hashCode());
         assertNotEquals(fence(2, 1), fence(2, 2));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void partsAreNeeded() {
+    public void rejectsNullComponents() {
         assertThrows(NullPointerException.class, () -> Fence.of(null, LeaseGeneration.NONE));
         assertThrows(NullPointerException.class, () -> Fence.of(Epoch.NONE, null));
     }
--- a/src/test/java/org/standlink/agent/TestRequestHandler.java
+++ b/src/test/java/org/standlink/agent/TestRequestHandler.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.FakeClock;
-import org.standlink.Fixtures;
 import org.standlink.Incarnation;
 import org.standlink.Outcome;
 import org.standlink.RequestClassId;
@@ -101,7 +101,7 @@
 
     private void offerBundle(long version, String upstreams) {
         holder.offer(
-                Fixtures.signed(Fixtures.bundle(version, "", upstreams, "")),
+                BundleFixtures.signed(BundleFixtures.bundle(version, "", upstreams, "")),
                 BundleVersion.of(version));
     }
 
--- a/src/test/java/org/standlink/bundle/TestBundleFold.java
+++ b/src/test/java/org/standlink/bundle/TestBundleFold.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.ErrorCode;
-import org.standlink.Fixtures;
 import org.standlink.StandlinkException;
 
 /** Tests which bundles are accepted. */
@@ -34,50 +34,57 @@
     @Test
     void acceptsInOrder() {
         BundleFold fold = new BundleFold();
-        fold.apply(Fixtures.signed(Fixtures.bundle(1, "")));
-        fold.apply(Fixtures.signed(Fixtures.bundle(2, Fixtures.SCAN)));
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(1, "")));
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(2, BundleFixtures.SCAN_JOB)));
         assertEquals(BundleVersion.of(2), fold.getVersion());
     }
 
     @Test
-    void refusesTheLoserOfARaceAndNamesTheWinner() {
+    void rejectsAStaleBaseAndNamesTheVersionInForce() {
         BundleFold fold = new BundleFold();
-        fold.apply(Fixtures.signed(Fixtures.bundle(1, "")));
-        String winner = Fixtures.signed(Fixtures.bundle(2, ""));
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(1, "")));
+        String winner = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
         fold.apply(winner);
         StandlinkException lost =
                 assertThrows(
                         StandlinkException.class,
-                        () -> fold.apply(Fixtures.signed(Fixtures.bundle(2, Fixtures.SCAN))));
+                        () ->
+                                fold.apply(
+                                        BundleFixtures.signed(
+                                                BundleFixtures.bundle(
+                                                        2, BundleFixtures.SCAN_JOB))));
         assertEquals(ErrorCode.STALE_BASE, lost.getCode());
         assertTrue(lost.getMessage().contains("version 2 won"), lost.getMessage());
         assertEquals(winner, fold.getSignedText());
     }
 
     @Test
-    void countsTheSameBundleOnce() {
+    void acceptsABundleOnlyOnce() {
         BundleFold fold = new BundleFold();
-        String first = Fixtures.signed(Fixtures.bundle(1, ""));
+        String first = BundleFixtures.signed(BundleFixtures.bundle(1, ""));
         fold.apply(first);
         assertThrows(StandlinkException.class, () -> fold.apply(first));
         assertEquals(BundleVersion.of(1), fold.getVersion());
     }
 
     @Test
-    void needsASecondOperator() {
+    void requiresASecondSignature() {
         BundleFold fold = new BundleFold();
         StandlinkException refused =
                 assertThrows(
                         StandlinkException.class,
-                        () -> fold.apply(Fixtures.signedOnce(Fixtures.bundle(1, ""))));
+                        () ->
+                                fold.apply(
+                                        BundleFixtures.signedByAuthor(
+                                                BundleFixtures.bundle(1, ""))));
         assertEquals(ErrorCode.INVALID_SIGNATURE, refused.getCode());
     }
 
     @Test
-    void refusesAChangedText() {
+    void rejectsAModifiedBundle() {
         BundleFold fold = new BundleFold();
         String changed =
-                Fixtures.signed(Fixtures.bundle(1, ""))
+                BundleFixtures.signed(BundleFixtures.bundle(1, ""))
                         .replace("\\\"queue\\\":2", "\\\"queue\\\":3");
         StandlinkException refused =
                 assertThrows(StandlinkException.class, () -> fold.apply(changed));
@@ -85,10 +92,14 @@
     }
 
     @Test
-    void neverGoesBack() {
+    void holderNeverRevertsToAnEarlierVersion() {
         BundleHolder holder = new BundleHolder();
-        assertTrue(holder.offer(Fixtures.signed(Fixtures.bundle(2, "")), BundleVersion.of(2)));
-        assertFalse(holder.offer(Fixtures.signed(Fixtures.bundle(1, "")), BundleVersion.of(1)));
+        assertTrue(
+                holder.offer(
+                        BundleFixtures.signed(BundleFixtures.bundle(2, "")), BundleVersion.of(2)));
+        assertFalse(
+                holder.offer(
+                        BundleFixtures.signed(BundleFixtures.bundle(1, "")), BundleVersion.of(1)));
         assertEquals(BundleVersion.of(2), holder.getVersion());
     }
 
@@ -107,8 +118,8 @@
                 "\"id\":\"one\" | \"id\":\"One\" | cells[0].id",
                 "\"id\":\"ivo\" | \"id\":\"ana\" | operators: 'ana' stands twice",
             })
-    void namesPathAndRemedyOfEachFault(String good, String bad, String expected) {
-        String text = Fixtures.bundle(1, "");
+    void reportsPathAndProblemOfEachError(String good, String bad, String expected) {
+        String text = BundleFixtures.bundle(1, "");
         assertTrue(text.contains(good), good);
         StandlinkException faults =
                 assertThrows(
@@ -118,9 +129,9 @@
     }
 
     @Test
-    void tellsAllFaultsAtOnce() {
+    void reportsAllErrorsAtOnce() {
         String text =
-                Fixtures.bundle(1, "")
+                BundleFixtures.bundle(1, "")
                         .replace("\"slots\":2", "\"slots\":0")
                         .replace("\"queue\":2", "\"queue\":-1");
         StandlinkException faults =
--- a/src/test/java/org/standlink/cell/CellFixtures.java
+++ b/src/test/java/org/standlink/cell/CellFixtures.java
@@ -19,7 +19,7 @@
 import java.util.function.Supplier;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.HallId;
 import org.standlink.JobId;
 import org.standlink.Resources;
@@ -112,7 +112,8 @@
     }
 
     /** Starts a leader and lets it load its state. */
-    static JobCellLeader startLeader(long epoch, KeyedStore store, FakeClock clock, FakeLoop loop) {
+    static JobCellLeader startLeader(
+            long epoch, KeyedStore store, FakeClock clock, FakeEventLoop loop) {
         return startLeader(epoch, store, clock, loop, () -> CONFIGURATION);
     }
 
@@ -121,7 +122,7 @@
             long epoch,
             KeyedStore store,
             FakeClock clock,
-            FakeLoop loop,
+            FakeEventLoop loop,
             Supplier<Configuration> configuration) {
         JobCellLeader leader =
                 new JobCellLeader(
--- a/src/test/java/org/standlink/cell/TestAgentReportHandler.java
+++ b/src/test/java/org/standlink/cell/TestAgentReportHandler.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.HallId;
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
@@ -51,7 +51,7 @@
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final JobRegistry jobs = new JobRegistry();
     private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
@@ -219,7 +219,7 @@
         commits.startAppend();
         loop.advance(0);
         WorkerRegistry restored = new WorkerRegistry(() -> EvacuatedHalls.NONE);
-        restored.restore(store.records(Topic.CELL), clock.nowMillis() + 9000);
+        restored.restore(store.getRecords(Topic.CELL), clock.nowMillis() + 9000);
         tasks.forEach(task -> restored.addTask(task, 0));
         AgentRegistry nextAgents = new AgentRegistry(Epoch.of(1), restored);
         AgentReportHandler nextHandler =
--- a/src/test/java/org/standlink/cell/TestCommitQueue.java
+++ b/src/test/java/org/standlink/cell/TestCommitQueue.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.job.JobState;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.Topic;
@@ -33,7 +33,7 @@
 public class TestCommitQueue {
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final JobRegistry jobs = new JobRegistry();
     private final List<String> events = new ArrayList<>();
@@ -64,7 +64,7 @@
 
     @Test
     public void anAppendWithoutAnswerCountsOnce() {
-        store.setMode(FakeKeyedStore.Mode.LOST);
+        store.setMode(FakeKeyedStore.Mode.ANSWERS_LOST);
         jobs.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> events.add("effect"));
         queue.startAppend();
@@ -73,12 +73,12 @@
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(200);
         assertEquals(List.of("effect"), events);
-        assertEquals(2, store.records(Topic.CELL).size());
+        assertEquals(2, store.getRecords(Topic.CELL).size());
     }
 
     @Test
     public void unansweredAppendIsSentAgain() {
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> events.add("effect"));
         queue.startAppend();
@@ -87,10 +87,10 @@
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(100);
         assertEquals(List.of("effect"), events);
-        assertEquals(2, store.records(Topic.CELL).size());
+        assertEquals(2, store.getRecords(Topic.CELL).size());
         loop.advance(1000);
         assertEquals(List.of("effect"), events);
-        assertEquals(2, store.records(Topic.CELL).size());
+        assertEquals(2, store.getRecords(Topic.CELL).size());
     }
 
     /**
@@ -99,7 +99,7 @@
      */
     @Test
     public void anAppendWhoseHistoryIsDroppedEndsTheLeader() {
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> events.add("effect"));
         queue.startAppend();
@@ -112,11 +112,11 @@
 
     @Test
     public void callsInFlightAreBoundedWhileTheStoreDoesNotAnswer() {
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.startAppend();
         loop.advance(5000);
-        assertEquals(CommitQueue.MAX_CONCURRENT_CALLS, store.getAppends());
+        assertEquals(CommitQueue.MAX_CONCURRENT_CALLS, store.getAppendCount());
     }
 
     /**
@@ -125,8 +125,8 @@
      */
     @Test
     public void nextCallReachesAStoreThatRecoversFromALongOutage() {
-        store.failSilentCallsAfter(1000, loop);
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.failUnansweredCallsAfter(1000, loop);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> events.add("effect"));
         queue.startAppend();
@@ -138,13 +138,13 @@
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(CommitQueue.RETRY_INTERVAL_MILLIS + 1);
         assertEquals(List.of("effect"), events);
-        assertEquals(2, store.records(Topic.CELL).size());
+        assertEquals(2, store.getRecords(Topic.CELL).size());
     }
 
     @Test
     public void nextCallReachesAStoreThatRecoversWhileAllCallsAreInFlight() {
-        store.failSilentCallsAfter(1000, loop);
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.failUnansweredCallsAfter(1000, loop);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.afterCommit(() -> events.add("effect"));
         queue.startAppend();
@@ -160,7 +160,8 @@
         jobs.add(CellFixtures.job("a", 1));
         queue.startAppend();
         loop.advance(1000);
-        assertTrue(store.getAppends() <= 11, () -> store.getAppends() + " calls in a second");
+        assertTrue(
+                store.getAppendCount() <= 11, () -> store.getAppendCount() + " calls in a second");
     }
 
     /**
@@ -171,16 +172,16 @@
      */
     @Test
     public void callsToAStoreThatRefusesAfterAnOutageAreLimitedInRate() {
-        store.failSilentCallsAfter(1000, loop);
-        store.setMode(FakeKeyedStore.Mode.SILENT);
+        store.failUnansweredCallsAfter(1000, loop);
+        store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
         jobs.add(CellFixtures.job("a", 1));
         queue.startAppend();
         loop.advance(950);
         store.setMode(FakeKeyedStore.Mode.DOWN);
-        store.refuseAfter(1, loop);
-        int callsBefore = store.getAppends();
+        store.setRefusalDelay(1, loop);
+        int callsBefore = store.getAppendCount();
         loop.advance(1000);
-        int calls = store.getAppends() - callsBefore;
+        int calls = store.getAppendCount() - callsBefore;
         assertTrue(calls <= 22, () -> calls + " calls in a second");
     }
 
@@ -209,7 +210,7 @@
         queue.startAppend();
         loop.advance(1000);
         assertEquals(List.of("fenced"), events);
-        assertTrue(store.records(Topic.CELL).isEmpty());
+        assertTrue(store.getRecords(Topic.CELL).isEmpty());
     }
 
     @Test
@@ -217,11 +218,11 @@
         clock.advance(CommitQueue.HEARTBEAT_MILLIS - 1);
         queue.startAppend();
         loop.advance(0);
-        assertEquals(0, store.records(Topic.CELL).size());
+        assertEquals(0, store.getRecords(Topic.CELL).size());
         clock.advance(1);
         queue.startAppend();
         loop.advance(0);
-        assertEquals(1, store.records(Topic.CELL).size());
+        assertEquals(1, store.getRecords(Topic.CELL).size());
     }
 
     @Test
@@ -235,6 +236,6 @@
         assertTrue(events.isEmpty());
         loop.advance(0);
         assertEquals(List.of("a", "b"), events);
-        assertEquals(4, store.records(Topic.CELL).size());
+        assertEquals(4, store.getRecords(Topic.CELL).size());
     }
 }
--- a/src/test/java/org/standlink/cell/TestJobCellLeader.java
+++ b/src/test/java/org/standlink/cell/TestJobCellLeader.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.Incarnation;
 import org.standlink.JobId;
@@ -64,7 +64,7 @@
     private static final long HEARTBEAT_MILLIS = 500;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
--- a/src/test/java/org/standlink/cell/TestLateAppends.java
+++ b/src/test/java/org/standlink/cell/TestLateAppends.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.job.WorkerIncarnation;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.Topic;
@@ -48,7 +48,7 @@
     private static final WorkerIncarnation WORKER = WorkerIncarnation.parse("i-1@1000");
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final JobRegistry jobs = new JobRegistry();
     private final List<String> events = new ArrayList<>();
@@ -78,7 +78,7 @@
     @Test
     public void delayedCopyOfAnAppendRestoresNoOlderState() {
         TaskEntry task = addTask();
-        store.setMode(FakeKeyedStore.Mode.LATE);
+        store.setMode(FakeKeyedStore.Mode.DELAYED);
         queue.startAppend();
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(200);
@@ -88,7 +88,7 @@
         queue.startAppend();
         loop.advance(200);
         assertEquals(List.of("committed"), events);
-        store.doLateAppends();
+        store.executeDelayedAppends();
         assertEquals(WORKER, restoreTask(task).getWorker());
     }
 
@@ -96,17 +96,17 @@
     public void appendAnsweredBeforeItIsExecutedTakesEffectOnceItIs() {
         addTask();
         queue.afterCommit(() -> events.add("committed"));
-        store.setMode(FakeKeyedStore.Mode.LATE);
+        store.setMode(FakeKeyedStore.Mode.DELAYED);
         queue.startAppend();
-        store.setMode(FakeKeyedStore.Mode.ANSWERED_BEFORE);
+        store.setMode(FakeKeyedStore.Mode.ANSWERED_EARLY);
         loop.advance(1000);
         assertEquals(List.of(), events);
         store.setMode(FakeKeyedStore.Mode.UP);
-        store.doLateAppends();
+        store.executeDelayedAppends();
         loop.advance(1000);
         assertEquals(List.of("committed"), events);
         long jobRecords =
-                store.records(Topic.CELL).stream()
+                store.getRecords(Topic.CELL).stream()
                         .filter(record -> record.key().endsWith("/a"))
                         .count();
         assertEquals(2, jobRecords);
@@ -115,13 +115,13 @@
     @Test
     public void delayedAppendOfAnEarlierLeaderEndsTheNextLeader() {
         addTask();
-        store.setMode(FakeKeyedStore.Mode.LATE);
+        store.setMode(FakeKeyedStore.Mode.DELAYED);
         queue.startAppend();
         store.setMode(FakeKeyedStore.Mode.UP);
         store.fence(Topic.CELL, Epoch.of(3)).join();
         JobRegistry nextJobs = new JobRegistry();
         CommitQueue next = queue(3, nextJobs);
-        store.doLateAppends();
+        store.executeDelayedAppends();
         nextJobs.add(CellFixtures.job("b", 1));
         next.afterCommit(() -> events.add("committed"));
         next.startAppend();
@@ -132,10 +132,10 @@
 
     @Test
     public void appendShownInPartByAReadHasBeenExecuted() {
-        store.setMostRead(1);
+        store.setMaxRecordsPerRead(1);
         addTask();
         queue.afterCommit(() -> events.add("committed"));
-        store.setMode(FakeKeyedStore.Mode.LOST);
+        store.setMode(FakeKeyedStore.Mode.ANSWERS_LOST);
         queue.startAppend();
         loop.advance(50);
         store.setMode(FakeKeyedStore.Mode.UP);
--- a/src/test/java/org/standlink/cell/TestLeadershipManager.java
+++ b/src/test/java/org/standlink/cell/TestLeadershipManager.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Incarnation;
 import org.standlink.election.Claim;
 import org.standlink.election.LeaderLink;
@@ -40,7 +40,7 @@
     private static final Claim CLAIM = new Claim(Epoch.of(1), "10.0.0.1:1", Incarnation.of(1));
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final LeaderLink link = new LeaderLink(loop, (from, call, message) -> {}, clock);
@@ -63,7 +63,7 @@
     }
 
     private void becomeLeader() {
-        store.records(Topic.CLAIMS).add(CLAIM.toRecord());
+        store.getRecords(Topic.CLAIMS).add(CLAIM.toRecord());
         manager.applyClaim(CLAIM);
         loop.advance(50);
         manager.handle(entry, 1, new SubmitJob(CellFixtures.job("a", 1)));
@@ -72,7 +72,7 @@
     }
 
     private Claim newestClaim() {
-        List<KeyedRecord> claims = store.records(Topic.CLAIMS);
+        List<KeyedRecord> claims = store.getRecords(Topic.CLAIMS);
         return Claim.of(claims.get(claims.size() - 1));
     }
 
@@ -114,7 +114,7 @@
         failClockFor(500);
         store.setMode(FakeKeyedStore.Mode.UP);
         Claim next = new Claim(Epoch.of(2), "10.0.0.2:1", Incarnation.of(2));
-        store.records(Topic.CLAIMS).add(next.toRecord());
+        store.getRecords(Topic.CLAIMS).add(next.toRecord());
         manager.applyClaim(next);
         loop.advance(3000);
         assertEquals(next, newestClaim());
--- a/src/test/java/org/standlink/cell/TestMovePlanner.java
+++ b/src/test/java/org/standlink/cell/TestMovePlanner.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.job.RunEnd;
@@ -37,7 +37,7 @@
 public class TestMovePlanner {
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final JobRegistry jobs = new JobRegistry();
     private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final InterferenceTable interference = new InterferenceTable();
--- a/src/test/java/org/standlink/cell/TestOrderDispatcher.java
+++ b/src/test/java/org/standlink/cell/TestOrderDispatcher.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.job.WorkerDescription;
 import org.standlink.store.FakeKeyedStore;
@@ -32,7 +32,7 @@
     private static final WorkerDescription WORKER = CellFixtures.worker("i-1", 8);
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel agent = new FakeChannel();
     private final JobRegistry jobs = new JobRegistry();
--- a/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
+++ b/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.Incarnation;
 import org.standlink.JobId;
@@ -115,7 +115,7 @@
     private static final class Scenario {
 
         private final FakeClock clock = new FakeClock();
-        private final FakeLoop loop = new FakeLoop(clock);
+        private final FakeEventLoop loop = new FakeEventLoop(clock);
         private final FakeKeyedStore store = new FakeKeyedStore();
         private final FakeChannel entry = new FakeChannel();
         private final FakeChannel agent = new FakeChannel();
@@ -216,7 +216,7 @@
                 endAllRuns();
             }
             report(List.of());
-            store.setMode(FakeKeyedStore.Mode.SILENT);
+            store.setMode(FakeKeyedStore.Mode.UNRESPONSIVE);
             submit("b0", 2);
             report(List.of());
             ask(JobId.parse("a5"), new CancelJob(JobId.parse("a5"), "q"));
--- a/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
+++ b/src/test/java/org/standlink/cell/TestRequestsDuringStoreOutage.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Incarnation;
 import org.standlink.JobId;
 import org.standlink.LeaseGeneration;
@@ -61,7 +61,7 @@
     private static final RunId RUN_NOT_IN_APPEND = new RunId(TaskName.parse("b.0.0.0"), 1);
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
@@ -126,7 +126,7 @@
     }
 
     private boolean isPersisted(String job) {
-        return store.records(Topic.CELL).stream()
+        return store.getRecords(Topic.CELL).stream()
                 .anyMatch(record -> record.key().endsWith("/" + job));
     }
 
@@ -140,7 +140,7 @@
     // -----------------------------------------------------------------------
     @Test
     public void changeInNoAppendIsRefusedOnceTheStoreIsUnresponsive() {
-        failStoreBetweenTwoSubmissions(FakeKeyedStore.Mode.LOST);
+        failStoreBetweenTwoSubmissions(FakeKeyedStore.Mode.ANSWERS_LOST);
         loop.advance(OUTAGE_MILLIS);
         assertEquals(JobAnswer.Result.NOT_DONE, result(2));
         assertNull(entry.findAnswer(1), "it may have been stored");
--- a/src/test/java/org/standlink/cell/TestSubmittedTaskRecord.java
+++ b/src/test/java/org/standlink/cell/TestSubmittedTaskRecord.java
@@ -19,7 +19,7 @@
 
 import com.fasterxml.jackson.annotation.JsonFormat;
 import org.junit.jupiter.api.Test;
-import org.standlink.store.Packing;
+import org.standlink.store.MessagePackCodec;
 
 /** Tests that records of other versions can be read: components may only be added at the end. */
 public class TestSubmittedTaskRecord {
@@ -36,17 +36,19 @@
 
     @Test
     public void recordOfAnEarlierVersionCountsNoCrash() {
-        byte[] bytes = Packing.pack(new EarlierRecord(3, 1, 2, false, "i-1", "c"));
+        byte[] bytes = MessagePackCodec.encode(new EarlierRecord(3, 1, 2, false, "i-1", "c"));
         assertEquals(
                 new SubmittedTaskRecord(3, 1, 2, false, "i-1", "c", 0, 0, 0),
-                Packing.unpack(bytes, SubmittedTaskRecord.class));
+                MessagePackCodec.decode(bytes, SubmittedTaskRecord.class));
     }
 
     @Test
     public void earlierVersionIgnoresAddedParts() {
-        byte[] bytes = Packing.pack(new SubmittedTaskRecord(3, 1, 2, false, "i-1", "c", 2, 1, 500));
+        byte[] bytes =
+                MessagePackCodec.encode(
+                        new SubmittedTaskRecord(3, 1, 2, false, "i-1", "c", 2, 1, 500));
         assertEquals(
                 new EarlierRecord(3, 1, 2, false, "i-1", "c"),
-                Packing.unpack(bytes, EarlierRecord.class));
+                MessagePackCodec.decode(bytes, EarlierRecord.class));
     }
 }
--- a/src/test/java/org/standlink/cell/TestSupersededDecisions.java
+++ b/src/test/java/org/standlink/cell/TestSupersededDecisions.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.Incarnation;
 import org.standlink.job.RunId;
@@ -56,7 +56,7 @@
     private static final RunId NEXT = new RunId(TaskName.parse("a.0.0.0"), 2);
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final FakeChannel entry = new FakeChannel();
     private final FakeChannel agent = new FakeChannel();
--- a/src/test/java/org/standlink/cell/TestThrowingChangeSources.java
+++ b/src/test/java/org/standlink/cell/TestThrowingChangeSources.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.Topic;
@@ -43,7 +43,7 @@
     private static final int MAX_CALLS = 20;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final List<String> effects = new ArrayList<>();
     private int callsUntilThrow;
@@ -115,7 +115,7 @@
                         loop,
                         loop,
                         () -> effects.add("ended"));
-        queue.setTopicEnd(store.records(Topic.CELL).size());
+        queue.setTopicEnd(store.getRecords(Topic.CELL).size());
         for (int i = 1; i <= 4; i++) {
             String change = call + "." + i;
             first.changes.add(change);
@@ -143,7 +143,8 @@
         for (int call = 1; call <= MAX_CALLS; call++) {
             runWithThrowAt(call);
         }
-        List<String> persisted = store.records(Topic.CELL).stream().map(KeyedRecord::key).toList();
+        List<String> persisted =
+                store.getRecords(Topic.CELL).stream().map(KeyedRecord::key).toList();
         List<String> missing = new ArrayList<>(effects);
         missing.removeAll(persisted);
         assertEquals(List.of(), missing, "effects without stored changes");
--- a/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
+++ b/src/test/java/org/standlink/cell/TestWorkerRestartHandler.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.EvacuatedHalls;
@@ -57,7 +57,7 @@
     private static final long LEASE_MILLIS = 6000;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final JobRegistry jobs = new JobRegistry();
     private final WorkerRegistry workers = new WorkerRegistry(() -> EvacuatedHalls.NONE);
     private final CommitQueue commits =
--- a/src/test/java/org/standlink/command/TestMain.java
+++ b/src/test/java/org/standlink/command/TestMain.java
@@ -58,19 +58,19 @@
         "bundle status --platform nonsense, 3",
         "status --entry http://127.0.0.1:1, 5",
     })
-    void endsWithTheDocumentedCode(String line, int code) {
+    void exitsWithTheDocumentedCode(String line, int code) {
         assertEquals(code, run(line.split(" ")), errors::toString);
     }
 
     @Test
-    void namesTheCodeAndTheRemedy() {
+    void reportsTheErrorCodeAndTheRemedy() {
         run("agent", "--settings", "/nowhere/agent.json");
         assertTrue(errors.toString().contains("FILE"), errors.toString());
         assertTrue(errors.toString().contains("check that the file is there"), errors.toString());
     }
 
     @Test
-    void takesTheExamples() throws IOException {
+    void acceptsTheExamples() throws IOException {
         AgentSettings.read(Files.readString(Path.of("examples", "agent.json")));
         EntrySettings.read(Files.readString(Path.of("examples", "entry.json")));
         BundleReader.read(Files.readString(Path.of("examples", "bundle.json")));
@@ -87,7 +87,7 @@
                 "http://10.0.1.11:8080 | nonsense | upstream: 'nonsense' is wrong; use http://host:port",
                 "\"nodeMillis\": 10000 | \"nodeMillis\": 2000 | leases.nodeMillis: 2000 is not above two heartbeats",
             })
-    void namesEachFaultOfSettings(String good, String bad, String expected) throws IOException {
+    void reportsEachSettingsError(String good, String bad, String expected) throws IOException {
         String text = Files.readString(Path.of("examples", "agent.json"));
         assertTrue(text.contains(good), good);
         StandlinkException faults =
--- a/src/test/java/org/standlink/command/TestOperatorTopic.java
+++ b/src/test/java/org/standlink/command/TestOperatorTopicReceiver.java
@@ -29,13 +29,13 @@
 import org.standlink.store.KeyedRecord;
 
 /** Tests what becomes of the operator's records. */
-public class TestOperatorTopic {
+public class TestOperatorTopicReceiver {
 
     private static final HallId NORTH = HallId.parse("north");
     private static final HallId SOUTH = HallId.parse("south");
 
     private final List<Configuration> configurations = new ArrayList<>();
-    private final OperatorTopic topic = new OperatorTopic(configurations::add);
+    private final OperatorTopicReceiver topic = new OperatorTopicReceiver(configurations::add);
 
     private static KeyedRecord record(String key, String value) {
         return new KeyedRecord(key, value.getBytes(StandardCharsets.UTF_8));
@@ -45,31 +45,31 @@
     public void aHallIsEvacuatedUntilItsKeyIsRemoved() {
         topic.receive(record("evacuate/north", "{}"));
         topic.receive(record("evacuate/south", "{}"));
-        assertEquals(EvacuatedHalls.of(List.of(NORTH, SOUTH)), topic.getEvacuated());
+        assertEquals(EvacuatedHalls.of(List.of(NORTH, SOUTH)), topic.getEvacuatedHalls());
         topic.receive(record("evacuate/north", ""));
-        assertFalse(topic.getEvacuated().contains(NORTH));
-        assertTrue(topic.getEvacuated().contains(SOUTH));
+        assertFalse(topic.getEvacuatedHalls().contains(NORTH));
+        assertTrue(topic.getEvacuatedHalls().contains(SOUTH));
     }
 
     @Test
-    public void aHallThatIsTakenBackTwiceOrWasNeverEvacuatedIsInUse() {
+    public void aHallRemovedTwiceOrNeverEvacuatedIsInUse() {
         topic.receive(record("evacuate/north", ""));
         topic.receive(record("evacuate/north", "{}"));
         topic.receive(record("evacuate/north", ""));
         topic.receive(record("evacuate/north", ""));
-        assertEquals(EvacuatedHalls.NONE, topic.getEvacuated());
+        assertEquals(EvacuatedHalls.NONE, topic.getEvacuatedHalls());
     }
 
     /** The record of the removal was dropped with the history, so nothing else tells of it. */
     @Test
-    public void whatIsMissingAmongTheNewestIsInUse() {
+    public void aHallMissingFromTheNewestRecordsIsInUse() {
         topic.receive(record("evacuate/north", "{}"));
         topic.receiveNewest(List.of(record("evacuate/south", "{}")));
-        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuated());
+        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuatedHalls());
     }
 
     @Test
-    public void aRecordThatCannotBeReadHidesNoOther() {
+    public void malformedRecordsAreSkipped() {
         topic.receiveNewest(
                 List.of(
                         record("evacuate/", "{}"),
@@ -78,15 +78,15 @@
                         record("evacuate/south", "{}"),
                         record("config", "{\"version\":3}")));
         topic.receive(record("evacuate/No Hall", "{}"));
-        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuated());
+        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuatedHalls());
         assertEquals(List.of(3L), configurations.stream().map(Configuration::version).toList());
     }
 
     @Test
-    public void otherKeysEvacuateNothing() {
+    public void recordsWithOtherKeysAreIgnored() {
         topic.receive(record("wave/1", "{}"));
         topic.receive(record("evacuated/north", "{}"));
-        assertEquals(EvacuatedHalls.NONE, topic.getEvacuated());
+        assertEquals(EvacuatedHalls.NONE, topic.getEvacuatedHalls());
         assertEquals(List.of(), configurations);
     }
 }
--- a/src/test/java/org/standlink/election/TestCandidate.java
+++ b/src/test/java/org/standlink/election/TestCandidate.java
@@ -41,17 +41,17 @@
                     clock,
                     "10.0.0.1:1",
                     Incarnation.of(1),
-                    () -> store.records(Topic.CLAIMS).size());
+                    () -> store.getRecords(Topic.CLAIMS).size());
 
     private int countClaims() {
-        return store.records(Topic.CLAIMS).size();
+        return store.getRecords(Topic.CLAIMS).size();
     }
 
     private void tickFor(long millis, boolean leaderWrites, boolean leaderAnswers) {
         for (long passed = 0; passed < millis; passed += 100) {
             clock.advance(100);
             if (leaderWrites) {
-                store.records(Topic.CELL).add(HEARTBEAT);
+                store.getRecords(Topic.CELL).add(HEARTBEAT);
             }
             if (leaderAnswers) {
                 candidate.leaderAnswered(0);
@@ -62,7 +62,7 @@
 
     @BeforeEach
     public void setUpLeader() {
-        store.records(Topic.CLAIMS).add(OTHER_CLAIM.toRecord());
+        store.getRecords(Topic.CLAIMS).add(OTHER_CLAIM.toRecord());
         candidate.observeClaim(OTHER_CLAIM);
     }
 
@@ -71,7 +71,7 @@
         candidate.observeClaim(new Claim(Epoch.of(1), "", Incarnation.of(9)));
         candidate.tick();
         assertEquals(2, countClaims());
-        assertEquals(Epoch.of(2), Claim.of(store.records(Topic.CLAIMS).get(1)).epoch());
+        assertEquals(Epoch.of(2), Claim.of(store.getRecords(Topic.CLAIMS).get(1)).epoch());
     }
 
     /** A process that resigned after a failure is likely to fail again as leader. */
@@ -145,13 +145,13 @@
     public void losesAgainstAnEarlierClaim() {
         Candidate late = new Candidate(store, clock, "10.0.0.2:1", Incarnation.of(2), () -> 0);
         late.tick();
-        assertEquals(List.of(OTHER_CLAIM.toRecord()), store.records(Topic.CLAIMS));
+        assertEquals(List.of(OTHER_CLAIM.toRecord()), store.getRecords(Topic.CLAIMS));
     }
 
     @Test
     public void claimsAtOnceWhenAnEarlierProcessLedAtItsAddress() {
         Claim ownClaim = new Claim(Epoch.of(2), "10.0.0.1:1", Incarnation.of(7));
-        store.records(Topic.CLAIMS).add(ownClaim.toRecord());
+        store.getRecords(Topic.CLAIMS).add(ownClaim.toRecord());
         candidate.observeClaim(ownClaim);
         candidate.tick();
         assertEquals(3, countClaims());
@@ -178,7 +178,7 @@
     public void neverClaimsWhileTheLeaderWritesThoughItReportsAStoreOutage() {
         for (int i = 0; i < 50; i++) {
             clock.advance(100);
-            store.records(Topic.CELL).add(HEARTBEAT);
+            store.getRecords(Topic.CELL).add(HEARTBEAT);
             candidate.leaderAnswered(2000);
             candidate.tick();
         }
@@ -189,7 +189,7 @@
     public void givesANewLeaderTimeToReadTheState() {
         tickFor(1000, false, false);
         Claim next = new Claim(Epoch.of(2), "10.0.0.8:1", Incarnation.of(8));
-        store.records(Topic.CLAIMS).add(next.toRecord());
+        store.getRecords(Topic.CLAIMS).add(next.toRecord());
         candidate.observeClaim(next);
         tickFor(1600, false, false);
         assertEquals(2, countClaims());
--- a/src/test/java/org/standlink/entry/TestRequestRouter.java
+++ b/src/test/java/org/standlink/entry/TestRequestRouter.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.FakeClock;
-import org.standlink.Fixtures;
 import org.standlink.HallId;
 import org.standlink.Incarnation;
 import org.standlink.Outcome;
@@ -76,7 +76,7 @@
 
     @BeforeEach
     void start() {
-        String bundle = Fixtures.bundle(1, "");
+        String bundle = BundleFixtures.bundle(1, "");
         for (int i = 0; i < 3; i++) {
             int index = i;
             Hello hello = new Hello(VmId.parse("vm-" + (i + 1)), Incarnation.of(i));
@@ -91,7 +91,7 @@
             scripts[i] = answersWithBody("vm-" + (i + 1));
             bundle = bundle.replace("127.0.0.1:700" + (i + 1), "127.0.0.1:" + server.getPort());
         }
-        holder.offer(Fixtures.signed(bundle), BundleVersion.of(1));
+        holder.offer(BundleFixtures.signed(bundle), BundleVersion.of(1));
         router =
                 new RequestRouter(
                         Incarnation.of(99),
--- a/src/test/java/org/standlink/leader/CellHarness.java
+++ b/src/test/java/org/standlink/leader/CellHarness.java
@@ -20,10 +20,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.CellId;
 import org.standlink.FakeClock;
-import org.standlink.Fixtures;
 import org.standlink.Resources;
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
@@ -76,7 +76,7 @@
 
     void publishBundle(String jobs, String upstreams) {
         long version = pollLog().read(fold -> fold.getBundles().getVersion()).getValue() + 1;
-        String signed = Fixtures.signed(Fixtures.bundle(version, jobs, upstreams, ""));
+        String signed = BundleFixtures.signed(BundleFixtures.bundle(version, jobs, upstreams, ""));
         log.append(RecordCodec.encode(new BundleRecord(RecordCodec.newId(), signed)));
         clock.advance(20);
     }
@@ -186,7 +186,7 @@
 
     private static List<TaskStart> listRunning(CellNode node) {
         try {
-            return node.worker.getRunning();
+            return node.worker.getRunningAttempts();
         } catch (StandlinkException down) {
             return new ArrayList<>();
         }
@@ -273,7 +273,7 @@
         pollLog()
                 .read(
                         fold -> {
-                            fold.getCell(CELL)
+                            fold.getCellState(CELL)
                                     .getTasks()
                                     .forEach(t -> result.put(t.task(), t.attempt()));
                             return null;
@@ -318,7 +318,7 @@
     }
 
     TaskState getTask(TaskId task) {
-        return pollLog().read(fold -> fold.getCell(CELL).get(task));
+        return pollLog().read(fold -> fold.getCellState(CELL).getTask(task));
     }
 
     TaskState findRunningTaskOn(String... vms) {
@@ -326,7 +326,7 @@
         return pollLog()
                 .read(
                         fold ->
-                                fold.getCell(CELL).getTasks().stream()
+                                fold.getCellState(CELL).getTasks().stream()
                                         .filter(TaskState::isAssigned)
                                         .filter(task -> wanted.contains(task.worker().toString()))
                                         .filter(task -> isRunning(task.task().toString()))
@@ -338,13 +338,13 @@
         return pollLog()
                 .read(
                         fold ->
-                                fold.getCell(CELL).getTasks().stream()
+                                fold.getCellState(CELL).getTasks().stream()
                                         .filter(t -> t.phase() == phase)
                                         .count());
     }
 
     int countTasks() {
-        return pollLog().read(fold -> fold.getCell(CELL).getTasks().size());
+        return pollLog().read(fold -> fold.getCellState(CELL).getTasks().size());
     }
 
     /** Gets the part of the leader's status that describes a task, as a JSON text. */
--- a/src/test/java/org/standlink/leader/CellNode.java
+++ b/src/test/java/org/standlink/leader/CellNode.java
@@ -121,7 +121,7 @@
     Heartbeat createHeartbeat(LeaderService leader) {
         if (epoch == null) {
             follower.poll();
-            epoch = follower.read(fold -> fold.getCell(CellHarness.CELL).getEpoch());
+            epoch = follower.read(fold -> fold.getCellState(CellHarness.CELL).getEpoch());
         }
         SupervisorReport report = supervisor.getReport();
         ReportDelta.Selection selection = delta.selectNext(report.tasks(), leader.getEpoch());
--- a/src/test/java/org/standlink/leader/DelayedWorkerPort.java
+++ b/src/test/java/org/standlink/leader/DelayedWorkerPort.java
@@ -21,8 +21,8 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
+import org.standlink.port.AttemptStatus;
 import org.standlink.port.TaskStart;
-import org.standlink.port.TaskUsage;
 import org.standlink.port.WorkerLease;
 import org.standlink.port.WorkerPort;
 
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public TaskUsage stop(WorkerLease lease, TaskId task, Attempt attempt) {
+    public AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt) {
         return worker.stop(lease, task, attempt);
     }
 
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public List<TaskUsage> list() {
+    public List<AttemptStatus> list() {
         return worker.list();
     }
 
