--- a/src/test/java/org/standlink/leader/TestAbandonedAttemptProperties.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttemptProperties.java
@@ -26,7 +26,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.standlink.Fixtures;
+import org.standlink.BundleFixtures;
 import org.standlink.StandlinkException;
 
 /**
@@ -37,7 +37,7 @@
 public class TestAbandonedAttemptProperties {
 
     private static final String JOBS =
-            Fixtures.SCAN
+            BundleFixtures.SCAN_JOB
                     .replace("'tasks':4", "'tasks':16")
                     .replace("'runSeconds':60", "'runSeconds':20");
 
@@ -138,7 +138,7 @@
             case DISCONNECT_AGENT -> cell.setReachable(vm, false);
             case RECONNECT_AGENT -> cell.setReachable(vm, true);
             case DELAY_APPEND -> cell.getLog().delayAppends(1);
-            case EXECUTE_DELAYED_APPENDS -> cell.getLog().landLate();
+            case EXECUTE_DELAYED_APPENDS -> cell.getLog().executeDelayedAppends();
             case LOG_DOWN -> cell.setLogDown(true);
             case LOG_UP -> cell.setLogDown(false);
             case CANCEL -> cell.publishBundle("");
--- a/src/test/java/org/standlink/leader/TestAbandonedAttempts.java
+++ b/src/test/java/org/standlink/leader/TestAbandonedAttempts.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.standlink.Fixtures;
+import org.standlink.BundleFixtures;
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
 import org.standlink.log.TaskState;
@@ -42,7 +42,7 @@
     private static final TaskId TASK = TaskId.parse("scan#0");
 
     private static final String LONG =
-            Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':5000");
+            BundleFixtures.SCAN_JOB.replace("'runSeconds':60", "'runSeconds':5000");
 
     private static final String ONE = LONG.replace("'tasks':4", "'tasks':1");
 
--- a/src/test/java/org/standlink/leader/TestBundleCellLeader.java
+++ b/src/test/java/org/standlink/leader/TestBundleCellLeader.java
@@ -22,8 +22,8 @@
 
 import org.junit.jupiter.api.Test;
 import org.standlink.Attempt;
+import org.standlink.BundleFixtures;
 import org.standlink.ErrorCode;
-import org.standlink.Fixtures;
 import org.standlink.StandlinkException;
 import org.standlink.log.TaskState;
 
@@ -38,7 +38,7 @@
             "{'id':'large','mode':'manage','team':'security','cell':'one','batchClass':'l','tasks':1,"
                     + "'resources':{'cores':7,'memoryMegabytes':1000}}";
 
-    private static final String FILL = Fixtures.SCAN.replace("'tasks':4", "'tasks':20");
+    private static final String FILL = BundleFixtures.SCAN_JOB.replace("'tasks':4", "'tasks':20");
 
     private final CellHarness cell = new CellHarness();
 
@@ -50,7 +50,7 @@
 
     @Test
     void runsTasksToCompletion() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         assertEquals(4, cell.countRunning());
         cell.runForSeconds(70);
         assertEquals(4, cell.countInPhase(TaskState.Phase.FINISHED));
@@ -59,7 +59,7 @@
 
     @Test
     void resumesTasksOfAnUnresponsiveAgentOnce() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.setReachable(vm, false);
@@ -78,7 +78,7 @@
 
     @Test
     void neverRevokesAReleaseWhoseAppendFailed() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.setReachable(vm, false);
@@ -114,7 +114,7 @@
 
     @Test
     void stopsAllTasksWhenTheAuthorityExpires() {
-        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':5000"));
+        startCell(BundleFixtures.SCAN_JOB.replace("'runSeconds':60", "'runSeconds':5000"));
         cell.setLogDown(true);
         cell.runForSeconds(650);
         assertEquals(0, cell.countRunning());
@@ -123,7 +123,7 @@
 
     @Test
     void takesOverFromAnotherLeader() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         cell.claim("vm-2");
         cell.runForSeconds(10);
         assertEquals(4, cell.countRunning());
@@ -136,7 +136,7 @@
 
     @Test
     void waitsForTheAuthorityToExpireWhenOldLeaderAndAgentAreUnresponsive() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.setReachable(before.worker().toString(), false);
         cell.claim(before.worker().toString().equals("vm-2") ? "vm-3" : "vm-2");
@@ -149,7 +149,7 @@
 
     @Test
     void waitsForTheAuthorityToExpireForAnAgentThatHasNotAcknowledged() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         String vm = before.worker().toString();
         cell.claim(vm.equals("vm-2") ? "vm-3" : "vm-2");
@@ -162,7 +162,7 @@
 
     @Test
     void resumesTasksOfADeadLeaderBeforeItsAuthorityExpires() {
-        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
+        startCell(BundleFixtures.SCAN_JOB.replace("'runSeconds':60", "'runSeconds':600"));
         TaskState before = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3");
         String dead = before.worker().toString();
         cell.claim(dead);
@@ -181,7 +181,7 @@
 
     @Test
     void grantsItselfNoLeaseWhenPartitionedFromLogAndAgents() {
-        startCell(Fixtures.SCAN.replace("'runSeconds':60", "'runSeconds':600"));
+        startCell(BundleFixtures.SCAN_JOB.replace("'runSeconds':60", "'runSeconds':600"));
         cell.setLogDown(true);
         cell.runForSeconds(15);
         cell.sendHeartbeatOrThrow("vm-1");
@@ -192,7 +192,7 @@
 
     @Test
     void keepsTasksThroughAnAgentRestart() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.restartAgent(before.worker().toString());
         cell.runForSeconds(10);
@@ -202,7 +202,7 @@
 
     @Test
     void resumesTasksLostInAWorkerRestart() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         TaskState before = cell.findRunningTaskOn("vm-2", "vm-3");
         cell.getWorker(before.worker().toString()).restart();
         cell.runForSeconds(10);
@@ -221,7 +221,7 @@
 
     @Test
     void reportsAnUnplaceableTaskWithoutDelayingOthers() {
-        startCell(LARGE + "," + Fixtures.SCAN);
+        startCell(LARGE + "," + BundleFixtures.SCAN_JOB);
         assertEquals(4, cell.countRunning());
         assertTrue(cell.getTaskStatus("large#0").contains("larger than every permitted worker"));
     }
@@ -242,7 +242,7 @@
 
     @Test
     void movesTasksAwayFromALeavingVm() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         String vm = cell.findRunningTaskOn("vm-1", "vm-2", "vm-3").worker().toString();
         cell.setLeaving(vm);
         cell.runForSeconds(8);
@@ -254,14 +254,17 @@
     @Test
     void avoidsAWorkerThatFailsAllTasks() {
         cell.getWorker("vm-1").setFailing(true);
-        startCell(Fixtures.SCAN + "," + Fixtures.SCAN.replace("'id':'scan'", "'id':'other'"));
+        startCell(
+                BundleFixtures.SCAN_JOB
+                        + ","
+                        + BundleFixtures.SCAN_JOB.replace("'id':'scan'", "'id':'other'"));
         cell.runForSeconds(150);
         assertEquals(8, cell.countInPhase(TaskState.Phase.FINISHED));
     }
 
     @Test
     void recoversAfterAWorkerOutage() {
-        startCell(Fixtures.SCAN);
+        startCell(BundleFixtures.SCAN_JOB);
         cell.getWorker("vm-2").setDown(true);
         cell.runForSeconds(3);
         cell.getWorker("vm-2").setDown(false);
@@ -283,7 +286,7 @@
 
     @Test
     void observesWithoutActing() {
-        startCell(Fixtures.SCAN.replace("manage", "observe"));
+        startCell(BundleFixtures.SCAN_JOB.replace("manage", "observe"));
         assertEquals(0, cell.countRunning());
         assertTrue(cell.getTaskStatus("scan#0").contains("only observed"));
         assertNull(cell.getTask(org.standlink.TaskId.parse("scan#0")).worker());
--- a/src/test/java/org/standlink/leader/TestCellProperties.java
+++ b/src/test/java/org/standlink/leader/TestCellProperties.java
@@ -27,7 +27,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.standlink.Attempt;
-import org.standlink.Fixtures;
+import org.standlink.BundleFixtures;
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
 import org.standlink.log.TaskState;
@@ -39,7 +39,7 @@
  */
 public class TestCellProperties {
 
-    private static final String JOBS = Fixtures.SCAN.replace("'tasks':4", "'tasks':12");
+    private static final String JOBS = BundleFixtures.SCAN_JOB.replace("'tasks':4", "'tasks':12");
 
     /** The kinds of actions. */
     enum Kind {
@@ -133,7 +133,7 @@
             case LOG_UP -> cell.setLogDown(false);
             case LOSE_ANSWER -> cell.getLog().loseAnswers(1);
             case DELAY_APPEND -> cell.getLog().delayAppends(1);
-            case EXECUTE_DELAYED_APPENDS -> cell.getLog().landLate();
+            case EXECUTE_DELAYED_APPENDS -> cell.getLog().executeDelayedAppends();
             case CLAIM -> tryClaim(cell, vm);
             case FOLLOW_OLD_LEADER -> cell.setFollowsOldLeader(vm);
             case LOSE_HEARTBEAT -> trySendHeartbeatWithoutAnswer(cell, vm);
@@ -171,7 +171,7 @@
         cell.setLogDown(false);
         cell.getLog().loseAnswers(0);
         cell.getLog().delayAppends(0);
-        cell.getLog().landLate();
+        cell.getLog().executeDelayedAppends();
         for (int i = 1; i <= 3; i++) {
             cell.getWorker("vm-" + i).setDown(false);
             cell.setReachable("vm-" + i, true);
--- a/src/test/java/org/standlink/leader/TestLeaderService.java
+++ b/src/test/java/org/standlink/leader/TestLeaderService.java
@@ -20,8 +20,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.standlink.BundleFixtures;
 import org.standlink.FakeClock;
-import org.standlink.Fixtures;
 import org.standlink.StandlinkException;
 import org.standlink.TaskId;
 import org.standlink.log.BundleRecord;
@@ -40,7 +40,7 @@
 public class TestLeaderService {
 
     private static final String ONE =
-            Fixtures.SCAN
+            BundleFixtures.SCAN_JOB
                     .replace("'tasks':4", "'tasks':1")
                     .replace("'runSeconds':60", "'runSeconds':5000");
 
@@ -80,7 +80,7 @@
     private final CellNode agent = new CellNode(3, clock, log);
 
     private void publish() {
-        String signed = Fixtures.signed(Fixtures.bundle(1, ONE));
+        String signed = BundleFixtures.signed(BundleFixtures.bundle(1, ONE));
         log.append(RecordCodec.encode(new BundleRecord(RecordCodec.newId(), signed)));
     }
 
@@ -105,7 +105,7 @@
 
     private TaskState getTask() {
         follower.poll();
-        return follower.read(fold -> fold.getCell(CellHarness.CELL).get(TASK));
+        return follower.read(fold -> fold.getCellState(CellHarness.CELL).getTask(TASK));
     }
 
     // -----------------------------------------------------------------------
@@ -121,13 +121,13 @@
         publish();
         oldLeader.service.claim();
         runLeader(oldLeader, 5);
-        assertEquals(1, agent.worker.getRunning().size());
+        assertEquals(1, agent.worker.getRunningAttempts().size());
         log.delayAppends(1);
         assertThrows(StandlinkException.class, newLeader.service::claim);
         beforeRead =
                 () -> {
                     runLeader(oldLeader, 30);
-                    log.landLate();
+                    log.executeDelayedAppends();
                 };
         newLeader.service.runOnce();
         assertTrue(newLeader.service.isLeading());
@@ -135,12 +135,12 @@
             clock.advance(1000);
             exchangeHeartbeat(oldLeader);
             newLeader.service.runOnce();
-            boolean running = !agent.worker.getRunning().isEmpty();
+            boolean running = !agent.worker.getRunningAttempts().isEmpty();
             assertTrue(
                     !running || getTask().isAssigned(),
                     "released while it was running, after " + i + " s");
         }
-        assertEquals(0, agent.worker.getRunning().size());
+        assertEquals(0, agent.worker.getRunningAttempts().size());
         assertTrue(!getTask().isAssigned(), "released once the authority had expired");
     }
 
@@ -161,6 +161,6 @@
                 () -> newLeader.service.handleHeartbeat(partialHeartbeat));
         runLeader(newLeader, 3);
         assertTrue(getTask().isAssigned());
-        assertEquals(1, agent.worker.getRunning().size());
+        assertEquals(1, agent.worker.getRunningAttempts().size());
     }
 }
--- a/src/test/java/org/standlink/log/TestLogFollower.java
+++ b/src/test/java/org/standlink/log/TestLogFollower.java
@@ -26,12 +26,12 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
 import org.standlink.Attempt;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.CellId;
 import org.standlink.Epoch;
 import org.standlink.ErrorCode;
 import org.standlink.FakeClock;
-import org.standlink.Fixtures;
 import org.standlink.Incarnation;
 import org.standlink.Resources;
 import org.standlink.StandlinkException;
@@ -59,7 +59,8 @@
     private void publish(long version, String jobs) {
         append(
                 new BundleRecord(
-                        RecordCodec.newId(), Fixtures.signed(Fixtures.bundle(version, jobs))));
+                        RecordCodec.newId(),
+                        BundleFixtures.signed(BundleFixtures.bundle(version, jobs))));
     }
 
     private void claim(long epoch, String vm) {
@@ -93,19 +94,20 @@
     }
 
     private static TaskState task(LogFollower follower) {
-        return follower.read(fold -> fold.getCell(CELL).get(TASK));
+        return follower.read(fold -> fold.getCellState(CELL).getTask(TASK));
     }
 
     @Test
-    void takesTheFirstOfTwoClaims() {
+    void acceptsTheFirstOfTwoClaims() {
         claim(1, "vm-1");
         claim(1, "vm-2");
-        assertEquals(VmId.parse("vm-1"), follow().read(fold -> fold.getCell(CELL).getLeader()));
+        assertEquals(
+                VmId.parse("vm-1"), follow().read(fold -> fold.getCellState(CELL).getLeader()));
     }
 
     @Test
-    void passesOverAnOldLeadersRecords() {
-        publish(1, Fixtures.SCAN);
+    void ignoresRecordsOfAnEarlierLeader() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         claim(2, "vm-2");
         tasks(1, 1, assign(1, "vm-1"));
@@ -113,8 +115,8 @@
     }
 
     @Test
-    void resumesOnceForEachRelease() {
-        publish(1, Fixtures.SCAN);
+    void assignsOnceAfterEachRelease() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         tasks(1, 1, assign(1, "vm-1"));
         tasks(1, 2, assign(2, "vm-2"));
@@ -127,27 +129,27 @@
     }
 
     @Test
-    void passesOverAnAppendThatLandsAfterALaterOne() {
-        publish(1, Fixtures.SCAN);
+    void ignoresAnAppendThatLandsAfterALaterOne() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         tasks(1, 1, assign(1, "vm-1"));
         log.delayAppends(1);
         assertThrows(StandlinkException.class, () -> tasks(1, 2, release(1)));
         publish(2, "");
         tasks(1, 3, release(1));
-        publish(3, Fixtures.SCAN);
+        publish(3, BundleFixtures.SCAN_JOB);
         tasks(1, 4, assign(1, "vm-2"));
         assertFalse(task(follow()).isAssigned(), "an attempt is never repeated");
         tasks(1, 5, assign(2, "vm-2"));
-        log.landLate();
+        log.executeDelayedAppends();
         assertTrue(
                 task(follow()).isAssigned(),
                 "the old life's release must not end the new life's attempt");
     }
 
     @Test
-    void countsARecordOnceThatWasAppendedTwice() {
-        publish(1, Fixtures.SCAN);
+    void appliesARecordOnceThatWasAppendedTwice() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         BundleTaskRecord record =
                 new BundleTaskRecord(
@@ -158,20 +160,20 @@
     }
 
     @Test
-    void startsFromASnapshotThatLandedLate() {
-        publish(1, Fixtures.SCAN);
+    void startsFromADelayedSnapshot() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         tasks(1, 1, assign(1, "vm-1"));
         LogFollower whole = follow();
         SnapshotRecord snapshot =
                 whole.read(
                         fold ->
-                                fold.getCell(CELL)
-                                        .snapshot(
-                                                fold.getNext() - 1,
+                                fold.getCellState(CELL)
+                                        .createSnapshot(
+                                                fold.getNextOffset() - 1,
                                                 fold.getBundles().getSignedText()));
         tasks(1, 2, release(1));
-        publish(2, Fixtures.SCAN);
+        publish(2, BundleFixtures.SCAN_JOB);
         append(snapshot);
         tasks(1, 3, assign(2, "vm-3"));
         log.dropBefore(3);
@@ -182,8 +184,8 @@
     }
 
     @Test
-    void knowsNothingWithoutASnapshotAndLearnsFromALaterOne() {
-        publish(1, Fixtures.SCAN);
+    void hasNoStateWithoutASnapshotAndLoadsALaterOne() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         LogFollower whole = follow();
         tasks(1, 1, assign(1, "vm-1"));
@@ -191,13 +193,13 @@
         log.dropBefore(3);
         LogFollower late = follow();
         assertEquals(false, late.read(LogFold::isBundleKnown));
-        assertEquals(false, late.read(fold -> fold.isKnown(CELL)));
+        assertEquals(false, late.read(fold -> fold.isCellKnown(CELL)));
         append(
                 whole.read(
                         fold ->
-                                fold.getCell(CELL)
-                                        .snapshot(
-                                                fold.getNext() - 1,
+                                fold.getCellState(CELL)
+                                        .createSnapshot(
+                                                fold.getNextOffset() - 1,
                                                 fold.getBundles().getSignedText())));
         late.poll();
         assertEquals(true, late.read(LogFold::isBundleKnown));
@@ -211,11 +213,15 @@
      * the log is read.
      */
     @Test
-    void neverGoesBackWhileItReadsAnew() {
-        publish(1, Fixtures.SCAN);
+    void neverShowsAnEarlierStateWhileRereadingTheLog() {
+        publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         tasks(1, 1, assign(1, "vm-1"));
-        append(follow().read(fold -> fold.getCell(CELL).snapshot(fold.getNext() - 1, null)));
+        append(
+                follow().read(
+                                fold ->
+                                        fold.getCellState(CELL)
+                                                .createSnapshot(fold.getNextOffset() - 1, null)));
         tasks(1, 2, release(1));
         tasks(1, 3, assign(2, "vm-3"));
         log.dropBefore(3);
@@ -238,19 +244,20 @@
         watched.get().poll();
         assertEquals(Attempt.of(2), task(watched.get()).attempt());
         seen.clear();
-        append(new CellState(CellId.parse("two")).snapshot(log.getEnd() - 1, null));
+        append(new CellState(CellId.parse("two")).createSnapshot(log.getEnd() - 1, null));
         watched.get().poll();
         assertEquals(Set.of(Attempt.of(2)), Set.copyOf(seen));
         assertEquals(Attempt.of(2), task(watched.get()).attempt());
     }
 
     @Test
-    void publishesThroughLostAnswers() {
+    void publishesDespiteLostAnswers() {
         log.loseAnswers(1);
         assertEquals(
                 BundleVersion.of(1),
-                new BundlePublisher(log).publish(Fixtures.signed(Fixtures.bundle(1, ""))));
-        String signed = Fixtures.signed(Fixtures.bundle(2, ""));
+                new BundlePublisher(log)
+                        .publish(BundleFixtures.signed(BundleFixtures.bundle(1, ""))));
+        String signed = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
         new BundlePublisher(log).publish(signed);
         long before = log.getEnd();
         new BundlePublisher(log).publish(signed);
@@ -267,8 +274,9 @@
                         () ->
                                 new BundlePublisher(log)
                                         .publish(
-                                                Fixtures.signed(
-                                                        Fixtures.bundle(2, Fixtures.SCAN))));
+                                                BundleFixtures.signed(
+                                                        BundleFixtures.bundle(
+                                                                2, BundleFixtures.SCAN_JOB))));
         assertEquals(ErrorCode.STALE_BASE, stale.getCode());
         assertTrue(stale.getMessage().contains("version 2 won"));
     }
--- a/src/test/java/org/standlink/platform/TestHttpStore.java
+++ b/src/test/java/org/standlink/platform/TestHttpStore.java
@@ -31,10 +31,10 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 import org.standlink.process.ProcessThreads;
+import org.standlink.store.AppendCondition;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.ReadResult;
 import org.standlink.store.Topic;
-import org.standlink.store.Writer;
 
 /** Tests the client of the store against the stand-in, over real connections. */
 public class TestHttpStore {
@@ -77,14 +77,14 @@
         store.append(
                         Topic.CELL,
                         List.of(record("a", "1")),
-                        new Writer(Epoch.of(1), 1, Writer.ANYWHERE))
+                        new AppendCondition(Epoch.of(1), 1, AppendCondition.ANY_END))
                 .join();
         store.fence(Topic.CELL, Epoch.of(2)).join();
         CompletableFuture<Long> late =
                 store.append(
                         Topic.CELL,
                         List.of(record("a", "2")),
-                        new Writer(Epoch.of(1), 2, Writer.ANYWHERE));
+                        new AppendCondition(Epoch.of(1), 2, AppendCondition.ANY_END));
         assertEquals(ErrorCode.EPOCH_FENCED, codeOf(late));
         assertEquals(1, store.readEnd(Topic.CELL).join());
     }
@@ -98,13 +98,13 @@
                 .join();
         store.appendAt(Topic.CLAIMS, List.of(record("b", "")), 3).join();
         ReadResult newest = store.readNewest(Topic.CLAIMS).join();
-        assertEquals(4, newest.next());
+        assertEquals(4, newest.nextOffset());
         assertEquals(1, newest.records().size());
         assertEquals("a", newest.records().get(0).key());
         CompletableFuture<ReadResult> waiting = store.read(Topic.CLAIMS, 4, 20_000);
         store.appendAt(Topic.CLAIMS, List.of(record("c", "3")), 4).join();
         ReadResult following = waiting.join();
-        assertEquals(5, following.next());
+        assertEquals(5, following.nextOffset());
         assertEquals("c", following.records().get(0).key());
     }
 }
--- a/src/test/java/org/standlink/platform/TestRecordFormat.java
+++ b/src/test/java/org/standlink/platform/TestRecordFormat.java
@@ -43,7 +43,7 @@
         ByteBuffer body = ByteBuffer.allocate(16 + records.length);
         body.putLong(42).putLong(0).put(records);
         ReadResult result = HttpStore.RecordFormat.decodeReadAnswer(body.array(), 40);
-        assertEquals(42, result.next());
+        assertEquals(42, result.nextOffset());
         assertEquals(new KeyedRecord("ab", new byte[] {7, 8}), result.records().get(0));
         assertEquals(new KeyedRecord("c", new byte[0]), result.records().get(1));
     }
--- a/src/test/java/org/standlink/platform/TestStalledStoreConnections.java
+++ b/src/test/java/org/standlink/platform/TestStalledStoreConnections.java
@@ -33,9 +33,9 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 import org.standlink.process.ProcessThreads;
+import org.standlink.store.AppendCondition;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.Topic;
-import org.standlink.store.Writer;
 
 /**
  * Tests each kind of call to the store on connections that stall for good while new ones work.
@@ -47,8 +47,10 @@
  */
 public class TestStalledStoreConnections {
 
-    private static final Writer FIRST = new Writer(Epoch.of(1), 1, Writer.ANYWHERE);
-    private static final Writer SECOND = new Writer(Epoch.of(1), 2, Writer.ANYWHERE);
+    private static final AppendCondition FIRST =
+            new AppendCondition(Epoch.of(1), 1, AppendCondition.ANY_END);
+    private static final AppendCondition SECOND =
+            new AppendCondition(Epoch.of(1), 2, AppendCondition.ANY_END);
 
     private final ExecutorService threads = ProcessThreads.newCached("test");
     private StandInStore standIn;
--- a/src/test/java/org/standlink/port/TestPlatformHttp.java
+++ b/src/test/java/org/standlink/port/TestJsonHttpClient.java
@@ -36,7 +36,7 @@
 import org.standlink.process.ProcessThreads;
 
 /** A table of what may go wrong with a call, and what the adapter makes of it. */
-public class TestPlatformHttp {
+public class TestJsonHttpClient {
 
     private final ExecutorService executor = ProcessThreads.newCached("test");
 
@@ -98,7 +98,7 @@
         "refused, NO_CAPACITY",
         "not running, PLATFORM_UNAVAILABLE",
     })
-    void saysWhatIsKnownOfTheCall(String kind, ErrorCode expected) {
+    void mapsFailuresToErrorCodes(String kind, ErrorCode expected) {
         fault = kind;
         URI uri = URI.create("http://127.0.0.1:" + server.getAddress().getPort());
         if (kind.equals("not running")) {
@@ -106,8 +106,8 @@
         }
         LogPort log =
                 new HttpLog(
-                        new PlatformHttp(
-                                uri, PlatformHttp.newClient(executor), Duration.ofMillis(300)));
+                        new JsonHttpClient(
+                                uri, JsonHttpClient.newClient(executor), Duration.ofMillis(300)));
         StandlinkException failure =
                 assertThrows(StandlinkException.class, () -> log.append(new byte[] {1}));
         assertEquals(expected, failure.getCode());
--- a/src/test/java/org/standlink/port/TestLogContract.java
+++ b/src/test/java/org/standlink/port/TestLogContract.java
@@ -33,7 +33,7 @@
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryLog;
 import org.standlink.standin.MemoryVmList;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /** The contract of the log, the same for the fake and for the HTTP adapter with the stand-in. */
 public class TestLogContract {
@@ -58,13 +58,13 @@
             return memory;
         }
         service =
-                StandInHttp.servePlatform(
+                StandInHttpServices.servePlatform(
                         new InetSocketAddress("127.0.0.1", 0),
                         executor,
                         memory,
                         new MemoryVmList(clock, 0));
         URI uri = URI.create("http://127.0.0.1:" + service.getPort());
-        return new HttpLog(new PlatformHttp(uri, PlatformHttp.newClient(executor)));
+        return new HttpLog(new JsonHttpClient(uri, JsonHttpClient.newClient(executor)));
     }
 
     @AfterEach
@@ -97,7 +97,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void losesAnAnswerAfterTheEffect(Kind kind) {
+    void reportsUnknownOutcomeWhenTheAnswerIsLost(Kind kind) {
         LogPort log = log(kind);
         memory.loseAnswers(1);
         assertFails(ErrorCode.PLATFORM_OUTCOME_UNKNOWN, () -> log.append(record("a")));
@@ -106,19 +106,19 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void landsALostAppendLate(Kind kind) {
+    void executesADelayedAppendLater(Kind kind) {
         LogPort log = log(kind);
         memory.delayAppends(1);
         assertFails(ErrorCode.PLATFORM_OUTCOME_UNKNOWN, () -> log.append(record("late")));
         log.append(record("next"));
         assertEquals(1, log.read(0, 10).entries().size());
-        memory.landLate();
+        memory.executeDelayedAppends();
         assertArrayEquals(record("late"), log.read(0, 10).entries().get(1).record());
     }
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void takesNothingWhileDown(Kind kind) {
+    void rejectsCallsWhileDown(Kind kind) {
         LogPort log = log(kind);
         memory.setDown(true);
         assertFails(ErrorCode.PLATFORM_UNAVAILABLE, () -> log.append(record("a")));
@@ -129,7 +129,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void takesABoundedNumberASecond(Kind kind) {
+    void limitsAppendsPerSecond(Kind kind) {
         LogPort log = log(kind);
         for (int i = 0; i < RATE; i++) {
             log.append(record("a"));
--- a/src/test/java/org/standlink/port/TestVmListContract.java
+++ b/src/test/java/org/standlink/port/TestVmListContract.java
@@ -33,7 +33,7 @@
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryLog;
 import org.standlink.standin.MemoryVmList;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /**
  * The contract of the VM list, the same for the fake and for the HTTP adapter with the stand-in.
@@ -62,13 +62,13 @@
             return memory;
         }
         service =
-                StandInHttp.servePlatform(
+                StandInHttpServices.servePlatform(
                         new InetSocketAddress("127.0.0.1", 0),
                         executor,
                         new MemoryLog(clock, 1, 1),
                         memory);
         URI uri = URI.create("http://127.0.0.1:" + service.getPort());
-        return new HttpVmList(new PlatformHttp(uri, PlatformHttp.newClient(executor)));
+        return new HttpVmList(new JsonHttpClient(uri, JsonHttpClient.newClient(executor)));
     }
 
     @AfterEach
@@ -81,7 +81,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void tellsChangesLate(Kind kind) {
+    void returnsChangesAfterTheLag(Kind kind) {
         VmListPort list = list(kind);
         memory.put(STAYING);
         assertEquals(List.of(), list.list());
@@ -96,7 +96,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void saysWhenItIsDown(Kind kind) {
+    void reportsUnavailableWhileDown(Kind kind) {
         VmListPort list = list(kind);
         memory.setDown(true);
         StandlinkException failure = assertThrows(StandlinkException.class, list::list);
--- a/src/test/java/org/standlink/port/TestWorkerContract.java
+++ b/src/test/java/org/standlink/port/TestWorkerContract.java
@@ -33,7 +33,7 @@
 import org.standlink.process.HttpService;
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryWorker;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /** The contract of a worker, the same for the fake and for the HTTP adapter with the stand-in. */
 public class TestWorkerContract {
@@ -61,9 +61,9 @@
             return memory;
         }
         service = new HttpService(new InetSocketAddress("127.0.0.1", 0), executor);
-        StandInHttp.serveWorker(service, memory);
+        StandInHttpServices.serveWorker(service, memory);
         URI uri = URI.create("http://127.0.0.1:" + service.getPort());
-        return new HttpWorker(new PlatformHttp(uri, PlatformHttp.newClient(executor)));
+        return new HttpWorker(new JsonHttpClient(uri, JsonHttpClient.newClient(executor)));
     }
 
     @AfterEach
@@ -95,17 +95,17 @@
         assertEquals("8000", worker.list().get(0).checkpoint());
         worker.renew(lease);
         clock.advance(3000);
-        assertEquals(TaskUsage.State.FINISHED, worker.list().get(0).state());
+        assertEquals(AttemptStatus.State.FINISHED, worker.list().get(0).state());
     }
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void stopsWhatRunsWhenTheLeaseLapses(Kind kind) {
+    void stopsTasksWhenTheLeaseLapses(Kind kind) {
         WorkerPort worker = worker(kind);
         WorkerLease lease = worker.acquire("vm-1");
         worker.start(lease, start(FIRST, 2, null));
         clock.advance(6000);
-        assertEquals(TaskUsage.State.STOPPED, worker.list().get(0).state());
+        assertEquals(AttemptStatus.State.STOPPED, worker.list().get(0).state());
         assertEquals("5000", worker.list().get(0).checkpoint());
         assertFails(ErrorCode.LEASE_LAPSED, () -> worker.renew(lease));
         assertFails(
@@ -120,9 +120,9 @@
         worker.start(old, start(FIRST, 2, null));
         assertFails(ErrorCode.LEASE_LAPSED, () -> worker.acquire("vm-2"));
         WorkerLease taken = worker.acquire("vm-1");
-        assertEquals(TaskUsage.State.RUNNING, worker.list().get(0).state());
+        assertEquals(AttemptStatus.State.RUNNING, worker.list().get(0).state());
         assertFails(ErrorCode.LEASE_LAPSED, () -> worker.stop(old, TASK, FIRST));
-        assertEquals(TaskUsage.State.STOPPED, worker.stop(taken, TASK, FIRST).state());
+        assertEquals(AttemptStatus.State.STOPPED, worker.stop(taken, TASK, FIRST).state());
     }
 
     @ParameterizedTest
@@ -132,20 +132,20 @@
         WorkerLease lease = worker.acquire("vm-1");
         worker.start(lease, start(FIRST, 2, null));
         worker.start(lease, start(FIRST, 2, null));
-        assertEquals(1, memory.getRunning().size());
+        assertEquals(1, memory.getRunningAttempts().size());
         worker.stop(lease, TASK, FIRST);
         worker.start(lease, start(FIRST, 2, null));
-        assertEquals(0, memory.getRunning().size());
+        assertEquals(0, memory.getRunningAttempts().size());
     }
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void neverTakesAStartThatWasStoppedBeforeItCame(Kind kind) {
+    void ignoresAStartThatArrivesAfterItsStop(Kind kind) {
         WorkerPort worker = worker(kind);
         WorkerLease lease = worker.acquire("vm-1");
         worker.stop(lease, TASK, FIRST);
         worker.start(lease, start(FIRST, 2, null));
-        assertEquals(0, memory.getRunning().size());
+        assertEquals(0, memory.getRunningAttempts().size());
     }
 
     @ParameterizedTest
@@ -162,7 +162,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void neverGrantsMoreThanItHas(Kind kind) {
+    void rejectsAStartAboveTheCapacity(Kind kind) {
         WorkerPort worker = worker(kind);
         WorkerLease lease = worker.acquire("vm-1");
         assertFails(ErrorCode.NO_CAPACITY, () -> worker.start(lease, start(FIRST, 9, null)));
@@ -170,7 +170,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void saysWhenItIsDown(Kind kind) {
+    void reportsUnavailableWhileDown(Kind kind) {
         WorkerPort worker = worker(kind);
         memory.setDown(true);
         assertFails(ErrorCode.PLATFORM_UNAVAILABLE, worker::list);
--- a/src/test/java/org/standlink/process/TestConnectionDrain.java
+++ b/src/test/java/org/standlink/process/TestConnectionDrain.java
@@ -44,71 +44,72 @@
     private final ConnectionDrain drain = new ConnectionDrain(clock);
 
     @Test
-    public void staysForConnectionsThatTheBalancerStillSends() {
+    public void waitsForConnectionsFromTheBalancer() {
         drain.leave();
-        clock.advance(ConnectionDrain.NOTICE_MILLIS - 1);
-        assertFalse(drain.isQuiet());
+        clock.advance(ConnectionDrain.BALANCER_DELAY_MILLIS - 1);
+        assertFalse(drain.isDrained());
         clock.advance(1);
-        assertTrue(drain.isQuiet());
+        assertTrue(drain.isDrained());
     }
 
     @Test
-    public void staysForAnOpenConnectionThatHasNotBeenTold() {
+    public void waitsForAnOpenConnectionThatWasNotAskedToClose() {
         serve("one");
-        clock.advance(ConnectionDrain.OPEN_MILLIS - ConnectionDrain.NOTICE_MILLIS - 1);
+        clock.advance(
+                ConnectionDrain.CONNECTION_IDLE_MILLIS - ConnectionDrain.BALANCER_DELAY_MILLIS - 1);
         drain.leave();
-        clock.advance(ConnectionDrain.NOTICE_MILLIS);
-        assertFalse(drain.isQuiet());
+        clock.advance(ConnectionDrain.BALANCER_DELAY_MILLIS);
+        assertFalse(drain.isDrained());
         assertTrue(serve("one"));
-        assertFalse(drain.isQuiet());
-        clock.advance(ConnectionDrain.QUIET_MILLIS);
-        assertTrue(drain.isQuiet());
+        assertFalse(drain.isDrained());
+        clock.advance(ConnectionDrain.IDLE_MILLIS);
+        assertTrue(drain.isDrained());
     }
 
     @Test
-    public void staysForARequestInProgress() {
+    public void waitsForARequestInProgress() {
         drain.leave();
-        drain.begin("one");
-        clock.advance(ConnectionDrain.NOTICE_MILLIS);
-        assertFalse(drain.isQuiet());
-        drain.tell("one");
-        drain.end("one");
-        assertFalse(drain.isQuiet());
-        clock.advance(ConnectionDrain.QUIET_MILLIS);
-        assertTrue(drain.isQuiet());
+        drain.requestReceived("one");
+        clock.advance(ConnectionDrain.BALANCER_DELAY_MILLIS);
+        assertFalse(drain.isDrained());
+        drain.closeIfLeaving("one");
+        drain.requestAnswered("one");
+        assertFalse(drain.isDrained());
+        clock.advance(ConnectionDrain.IDLE_MILLIS);
+        assertTrue(drain.isDrained());
     }
 
     @Test
-    public void forgetsAConnectionThatWasNotUsedForLong() {
+    public void ignoresAnIdleConnection() {
         serve("one");
         drain.leave();
-        clock.advance(ConnectionDrain.OPEN_MILLIS);
-        assertTrue(drain.isQuiet());
+        clock.advance(ConnectionDrain.CONNECTION_IDLE_MILLIS);
+        assertTrue(drain.isDrained());
     }
 
     @Test
-    public void aRequestThatComesAtTheLastMomentIsAnswered() throws InterruptedException {
+    public void answersARequestThatArrivesAtTheLastMoment() throws InterruptedException {
         drain.leave();
         boolean[] answered = new boolean[1];
         long[] looks = new long[1];
-        drain.awaitEnd(
+        drain.awaitDrained(
                 6000,
                 millis -> {
                     clock.advance(millis);
                     looks[0]++;
                     if (drain.getInProgress() > 0 && looks[0] % 10 == 0) {
                         answered[0] = true;
-                        drain.end("late");
+                        drain.requestAnswered("late");
                     }
                 },
                 AT_ONCE,
-                () -> drain.begin("late"));
+                () -> drain.requestReceived("late"));
         assertTrue(answered[0]);
     }
 
     /** Seen: a server whose own thread was held up took itself for idle and cut what had come. */
     @Test
-    public void aRequestThatHadArrivedAndWasNotReadIsWaitedFor() throws InterruptedException {
+    public void waitsForAnUnreadRequest() throws InterruptedException {
         drain.leave();
         boolean[] read = new boolean[1];
         PendingArrivals late =
@@ -126,13 +127,13 @@
                         return 0;
                     }
                 };
-        drain.awaitEnd(6000, clock::advance, late, () -> {});
+        drain.awaitDrained(6000, clock::advance, late, () -> {});
         assertTrue(read[0]);
-        assertTrue(drain.isQuiet(), "quiet again after the last request");
+        assertTrue(drain.isDrained(), "quiet again after the last request");
     }
 
     @Test
-    public void aServerIsNotLeftWhileRequestsWaitForAHandler() throws InterruptedException {
+    public void waitsForRequestsQueuedForAHandler() throws InterruptedException {
         drain.leave();
         int[] pending = {40};
         PendingArrivals waiting =
@@ -145,25 +146,25 @@
                         return pending[0] = Math.max(0, pending[0] - 1);
                     }
                 };
-        drain.awaitEnd(60_000, clock::advance, waiting, () -> {});
+        drain.awaitDrained(60_000, clock::advance, waiting, () -> {});
         assertEquals(0, pending[0]);
     }
 
     @Test
-    public void aRequestThatNeverEndsHoldsTheProcessNoLongerThanItsGrace()
-            throws InterruptedException {
+    public void endsWithinTheGracePeriodDespiteAStuckRequest() throws InterruptedException {
         drain.leave();
-        drain.begin("stuck");
+        drain.requestReceived("stuck");
         long start = clock.nowMillis();
-        drain.awaitEnd(6000, clock::advance, AT_ONCE, () -> {});
+        drain.awaitDrained(6000, clock::advance, AT_ONCE, () -> {});
         long took = clock.nowMillis() - start;
-        assertTrue(took >= 6000 - ConnectionDrain.END_MILLIS && took < 6000, "took " + took);
+        assertTrue(
+                took >= 6000 - ConnectionDrain.EXIT_RESERVE_MILLIS && took < 6000, "took " + took);
     }
 
     private boolean serve(String connection) {
-        drain.begin(connection);
-        boolean told = drain.tell(connection);
-        drain.end(connection);
+        drain.requestReceived(connection);
+        boolean told = drain.closeIfLeaving(connection);
+        drain.requestAnswered(connection);
         return told;
     }
 }
--- a/src/test/java/org/standlink/process/TestGuarded.java
+++ b/src/test/java/org/standlink/process/TestGuarded.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 
 /**
  * Tests that work which nobody waits for never ends unseen.
@@ -49,19 +49,19 @@
     private static final IllegalStateException DEFECT = new IllegalStateException("on purpose");
 
     private final List<Throwable> ended = new ArrayList<>();
-    private final FakeLoop loop = new FakeLoop(new FakeClock());
+    private final FakeEventLoop loop = new FakeEventLoop(new FakeClock());
     private long before;
     private int runs;
 
     @BeforeEach
     public void begin() {
         before = WorkFailures.getCount();
-        WorkFailures.endBy(ended::add);
+        WorkFailures.setTerminationHandler(ended::add);
     }
 
     @AfterEach
     public void end() {
-        WorkFailures.endBy(thrown -> {});
+        WorkFailures.setTerminationHandler(thrown -> {});
     }
 
     private long noted() {
@@ -79,8 +79,8 @@
     }
 
     @Test
-    public void workThatIsRepeatedGoesOnAfterItHasThrown() {
-        Guarded.repeat("test", loop, 10, this::fail);
+    public void repeatingWorkContinuesAfterAnException() {
+        Guarded.scheduleRepeating("test", loop, 10, this::fail);
         loop.advance(35);
         assertEquals(4, runs);
         assertEquals(4, noted());
@@ -88,17 +88,17 @@
     }
 
     @Test
-    public void whatDependsOnWorkThatThrowsIsDoneInstead() {
+    public void failureActionRunsAfterAnException() {
         List<String> instead = new ArrayList<>();
         Guarded.work("test", this::fail, () -> instead.add("again")).run();
         assertEquals(List.of("again"), instead);
     }
 
     @Test
-    public void whatIsDoneWithAResultIsNotedIfItThrows() {
+    public void exceptionsOfCompletionCallbacksAreRecorded() {
         CompletableFuture<String> value = new CompletableFuture<>();
-        Guarded.then("test", value, (text, failure) -> fail());
-        Guarded.thenOn("test", value, loop, (text, failure) -> fail());
+        Guarded.onCompletion("test", value, (text, failure) -> fail());
+        Guarded.onCompletionAsync("test", value, loop, (text, failure) -> fail());
         value.complete("done");
         loop.runDue();
         assertEquals(2, runs);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void anErrorEndsTheProcess() {
+    public void anErrorTerminatesTheProcess() {
         NoClassDefFoundError error = new NoClassDefFoundError("on purpose");
         Guarded.work(
                         "test",
@@ -119,14 +119,14 @@
 
     /** A caller's request may cause it, and would end one process after the other. */
     @Test
-    public void anOverflowOfTheStackDoesNotEndTheProcess() {
+    public void aStackOverflowDoesNotTerminateTheProcess() {
         Guarded.work("test", () -> overflow(0)).run();
         assertEquals(1, noted());
         assertEquals(List.of(), ended);
     }
 
     @Test
-    public void theThreadsOfAProcessTellWhatTheirWorkThrows() throws Exception {
+    public void executorsRecordExceptionsOfTheirWork() throws Exception {
         ScheduledExecutorService timers = ProcessThreads.newScheduled("timers", 1);
         timers.execute(this::fail);
         timers.submit(() -> {}).get();
@@ -152,7 +152,7 @@
     }
 
     @Test
-    public void aRequestWhoseHandlingFailsIsAnswered() throws IOException {
+    public void aFailedRequestIsAnswered() throws IOException {
         ExecutorService threads = ProcessThreads.newCached("server");
         HttpServer server = HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
         HttpService.serve(
--- a/src/test/java/org/standlink/process/TestHttpArrivals.java
+++ b/src/test/java/org/standlink/process/TestHttpPendingArrivals.java
@@ -36,7 +36,7 @@
 import org.standlink.lease.MonotonicClock;
 
 /** Tests that a server knows of requests that have arrived and that its thread has not read. */
-public class TestHttpArrivals {
+public class TestHttpPendingArrivals {
 
     private static final long LONG_MILLIS = 20_000;
     private static final long SHORT_MILLIS = 150;
@@ -52,8 +52,8 @@
             HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
 
     /** Starts a server whose own thread may be held up as it hands a request over. */
-    private HttpArrivals start(Executor executor) {
-        HttpArrivals arrivals = HttpArrivals.watch(server, executor);
+    private HttpPendingArrivals start(Executor executor) {
+        HttpPendingArrivals arrivals = HttpPendingArrivals.monitor(server, executor);
         HttpService.serve(
                 server,
                 "/",
@@ -91,14 +91,14 @@
         return socket;
     }
 
-    private Void awaitArrivals(HttpArrivals arrivals) throws InterruptedException {
+    private Void awaitArrivals(HttpPendingArrivals arrivals) throws InterruptedException {
         arrivals.await(LONG_MILLIS);
         return null;
     }
 
     @Test
-    public void whatTheServerHasNotReadYetIsWaitedFor() throws Exception {
-        HttpArrivals arrivals =
+    public void waitsForRequestsThatAreNotYetRead() throws Exception {
+        HttpPendingArrivals arrivals =
                 start(
                         task -> {
                             reading.countDown();
@@ -119,15 +119,15 @@
     }
 
     @Test
-    public void theRequestToItselfReachesNoHandler() throws Exception {
-        HttpArrivals arrivals = start(threads);
+    public void theProbeReachesNoHandler() throws Exception {
+        HttpPendingArrivals arrivals = start(threads);
         arrivals.await(LONG_MILLIS);
         assertEquals(0, handled.get());
     }
 
     @Test
-    public void aServerThatDoesNotAnswerIsNotWaitedForLong() throws Exception {
-        HttpArrivals arrivals = start(task -> await(held));
+    public void theWaitForAnUnresponsiveServerIsBounded() throws Exception {
+        HttpPendingArrivals arrivals = start(task -> await(held));
         arrivals.await(SHORT_MILLIS);
         assertEquals(0, handled.get());
     }
--- a/src/test/java/org/standlink/process/TestLogWriter.java
+++ b/src/test/java/org/standlink/process/TestLogWriter.java
@@ -59,14 +59,14 @@
     }
 
     @Test
-    public void aBlockedOutputDropsLinesAndTellsHowMany() throws InterruptedException {
+    public void aBlockedOutputDropsLinesAndWritesTheirNumber() throws InterruptedException {
         BlockedOutput output = new BlockedOutput();
         LogWriter writer = new LogWriter(new PrintStream(output, true, StandardCharsets.UTF_8));
         int dropped = 0;
-        for (int i = 0; i < 3 * LogWriter.MOST_LINES; i++) {
+        for (int i = 0; i < 3 * LogWriter.MAX_QUEUED_LINES; i++) {
             dropped += writer.offer("line " + i) ? 0 : 1;
         }
-        assertTrue(dropped >= LogWriter.MOST_LINES);
+        assertTrue(dropped >= LogWriter.MAX_QUEUED_LINES);
         output.opened.countDown();
         while (!writer.offer(LAST)) {
             dropped++;
--- a/src/test/java/org/standlink/process/TestTimers.java
+++ b/src/test/java/org/standlink/process/TestTimers.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.ErrorCode;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.StandlinkException;
 
 /** Tests what is told when repeated work fails. */
@@ -38,7 +38,7 @@
 
     private static final Logger LOGGER = Logger.getLogger(Timers.class.getName());
 
-    private final FakeLoop loop = new FakeLoop(new FakeClock());
+    private final FakeEventLoop loop = new FakeEventLoop(new FakeClock());
     private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
     private final Timers timers = new Timers(loop, registry, "failures");
     private final List<Level> levels = new ArrayList<>();
@@ -61,7 +61,7 @@
     @BeforeEach
     public void listen() {
         LOGGER.addHandler(handler);
-        timers.every(
+        timers.scheduleRepeating(
                 "heartbeat",
                 100,
                 () -> {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    public void aLostLeaderIsOneLineWhenItIsLostAndOneWhenItIsBack() {
+    public void lossAndRecoveryOfTheLeaderAreLoggedOnce() {
         failure =
                 new CompletionException(
                         new StandlinkException(ErrorCode.PEER_UNREACHABLE, "gone", "wait"));
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void aDefectIsToldEachTime() {
+    public void aDefectIsLoggedEachTime() {
         failure = new IllegalStateException("defect");
         loop.advance(200);
         assertEquals(List.of(Level.SEVERE, Level.SEVERE), levels);
--- a/src/test/java/org/standlink/runner/RunnerFixtures.java
+++ b/src/test/java/org/standlink/runner/RunnerFixtures.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.HallId;
 import org.standlink.Resources;
 import org.standlink.job.RunId;
@@ -68,7 +68,7 @@
     }
 
     /** Creates an answer that is completed after a delay. */
-    static <T> CompletableFuture<T> completeLater(FakeLoop loop, long millis, T value) {
+    static <T> CompletableFuture<T> completeLater(FakeEventLoop loop, long millis, T value) {
         CompletableFuture<T> answer = new CompletableFuture<>();
         loop.schedule(
                 () -> {
--- a/src/test/java/org/standlink/runner/TestAgentNode.java
+++ b/src/test/java/org/standlink/runner/TestAgentNode.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.HallId;
 import org.standlink.Incarnation;
@@ -43,7 +43,7 @@
 public class TestAgentNode {
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final List<Runnable> background = new ArrayList<>();
     private final ScriptedAddress address = new ScriptedAddress();
     private final AgentNode agent =
--- a/src/test/java/org/standlink/runner/TestAgentReports.java
+++ b/src/test/java/org/standlink/runner/TestAgentReports.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.Incarnation;
 import org.standlink.LeaseGeneration;
@@ -51,7 +51,7 @@
     private static final long LOADING_STATE_MILLIS = 60;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final ScriptedLeader leader = new ScriptedLeader();
     private final ScriptedWorker worker = new ScriptedWorker();
     private final AgentNode agent =
--- a/src/test/java/org/standlink/runner/TestEvacuatedHall.java
+++ b/src/test/java/org/standlink/runner/TestEvacuatedHall.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.EvacuatedHalls;
@@ -51,7 +51,7 @@
             EvacuatedHalls.of(List.of(RunnerFixtures.WORKER.hall()));
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final Fence fence = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
     private final ScriptedWorker worker = new ScriptedWorker();
     private EvacuatedHalls evacuated = EvacuatedHalls.NONE;
--- a/src/test/java/org/standlink/runner/TestStaleAnswers.java
+++ b/src/test/java/org/standlink/runner/TestStaleAnswers.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.RunId;
@@ -46,7 +46,7 @@
     private static final long CALL_TIMEOUT_MILLIS = 500;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final ScriptedWorker worker = new ScriptedWorker();
     private Fence fence = Fence.of(Epoch.of(1), LeaseGeneration.of(1));
     private WorkerSupervisor supervisor;
--- a/src/test/java/org/standlink/runner/TestUnenforcedCapacity.java
+++ b/src/test/java/org/standlink/runner/TestUnenforcedCapacity.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.Property;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.HallId;
 import org.standlink.LeaseGeneration;
@@ -77,7 +77,7 @@
 
         private final Random random;
         private final FakeClock clock = new FakeClock();
-        private final FakeLoop loop = new FakeLoop(clock);
+        private final FakeEventLoop loop = new FakeEventLoop(clock);
         private final DelayedWorker worker = new DelayedWorker();
         private final WorkerSupervisor supervisor;
         private final Map<TaskName, RunId> assigned = new LinkedHashMap<>();
--- a/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
+++ b/src/test/java/org/standlink/runner/TestWorkerSupervisor.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.Fence;
 import org.standlink.LeaseGeneration;
 import org.standlink.job.RunEnd;
@@ -45,7 +45,7 @@
     private static final long LEASE_MILLIS = 6000;
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final ScriptedWorker worker = new ScriptedWorker();
     private final RecordingListener listener = new RecordingListener();
     private Fence fence = fence(1);
--- a/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
+++ b/src/test/java/org/standlink/simulation/SimulatedStoreClient.java
@@ -21,12 +21,12 @@
 import org.standlink.Epoch;
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
+import org.standlink.store.AppendCondition;
 import org.standlink.store.FakeKeyedStore;
 import org.standlink.store.KeyedRecord;
 import org.standlink.store.KeyedStore;
 import org.standlink.store.ReadResult;
 import org.standlink.store.Topic;
-import org.standlink.store.Writer;
 
 /**
  * The store client of one simulated process. Calls can be refused, take long, lose their answers,
@@ -65,8 +65,9 @@
     }
 
     @Override
-    public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, Writer writer) {
-        return call(() -> store.append(topic, records, writer));
+    public CompletableFuture<Long> append(
+            Topic topic, List<KeyedRecord> records, AppendCondition condition) {
+        return call(() -> store.append(topic, records, condition));
     }
 
     @Override
--- a/src/test/java/org/standlink/simulation/SimulationEnvironment.java
+++ b/src/test/java/org/standlink/simulation/SimulationEnvironment.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 import org.standlink.lease.MonotonicClock;
 
 /**
@@ -30,7 +30,7 @@
 final class SimulationEnvironment {
 
     private final FakeClock clock = new FakeClock();
-    private final FakeLoop loop = new FakeLoop(clock);
+    private final FakeEventLoop loop = new FakeEventLoop(clock);
     private final List<ProcessLoop> processes = new ArrayList<>();
     private final List<String> traceLines = new ArrayList<>();
     private final Random random;
@@ -52,7 +52,7 @@
     /** The event loop of one process, which can be frozen, suspended and ended. */
     final class ProcessLoop {
 
-        private final FakeLoop processLoop = new FakeLoop(clock);
+        private final FakeEventLoop processLoop = new FakeEventLoop(clock);
         private long frozenUntil;
         private long suspendedMillis;
         private long clockReadsLeft;
@@ -62,7 +62,7 @@
             processes.add(this);
         }
 
-        FakeLoop getLoop() {
+        FakeEventLoop getLoop() {
             return processLoop;
         }
 
@@ -125,7 +125,7 @@
         }
 
         private long nextDue() {
-            return Math.max(frozenUntil, processLoop.nextDue());
+            return Math.max(frozenUntil, processLoop.getNextDueMillis());
         }
     }
 
@@ -182,7 +182,7 @@
                     process.runDue();
                 }
             }
-            long next = loop.nextDue();
+            long next = loop.getNextDueMillis();
             for (ProcessLoop process : processes) {
                 next = Math.min(next, process.nextDue());
             }
--- a/src/test/java/org/standlink/specification/SpecificationCheck.java
+++ b/src/test/java/org/standlink/specification/SpecificationCheck.java
@@ -40,14 +40,14 @@
  * @param name the name of this choice of constants
  * @param invariants the invariants, with spaces between them
  * @param constants the constants
- * @param broken the invariant that must be found broken, null if all hold
+ * @param violatedInvariant the invariant that must be found broken, null if all hold
  */
 record SpecificationCheck(
         String module,
         String name,
         String invariants,
         Map<String, String> constants,
-        String broken) {
+        String violatedInvariant) {
 
     /** The status with which TLC ends if an invariant is broken. */
     private static final int VIOLATION = 12;
@@ -65,7 +65,7 @@
      * @param checks what each of them runs
      * @return the tests, in this order
      */
-    static Stream<DynamicTest> tests(SpecificationCheck... checks) {
+    static Stream<DynamicTest> createTests(SpecificationCheck... checks) {
         // All are started at once and some run side by side; each test waits for its own.
         return Stream.of(checks)
                 .map(
@@ -94,14 +94,18 @@
         Matcher states = STATES.matcher(output);
         assertTrue(states.find(), output);
         String verdict =
-                check.broken() == null ? "holds" : "is broken, as it must be: " + check.broken();
+                check.violatedInvariant() == null
+                        ? "holds"
+                        : "is broken, as it must be: " + check.violatedInvariant();
         System.out.printf(
                 "%s %s %s; %s states, %s distinct%n",
                 check.module(), check.name(), verdict, states.group(1), states.group(2));
-        if (check.broken() == null) {
+        if (check.violatedInvariant() == null) {
             assertTrue(output.contains("No error has been found"), output);
         } else {
-            assertTrue(output.contains("Invariant " + check.broken() + " is violated"), output);
+            assertTrue(
+                    output.contains("Invariant " + check.violatedInvariant() + " is violated"),
+                    output);
         }
     }
 
@@ -115,7 +119,8 @@
                 java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         StringBuilder configuration = new StringBuilder("SPECIFICATION Spec\n");
         // A variant may break several invariants; which one several threads find first is chance.
-        String invariants = check.broken() == null ? check.invariants() : check.broken();
+        String invariants =
+                check.violatedInvariant() == null ? check.invariants() : check.violatedInvariant();
         for (String invariant : invariants.split(" ")) {
             configuration.append("INVARIANT ").append(invariant).append('\n');
         }
@@ -148,7 +153,7 @@
                         .redirectErrorStream(true)
                         .start();
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(check.broken() == null ? 0 : VIOLATION, process.waitFor(), output);
+        assertEquals(check.violatedInvariant() == null ? 0 : VIOLATION, process.waitFor(), output);
         return output;
     }
 }
--- a/src/test/java/org/standlink/specification/TestSpecifications.java
+++ b/src/test/java/org/standlink/specification/TestSpecifications.java
@@ -95,7 +95,7 @@
 
     @TestFactory
     Stream<DynamicTest> leases() {
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 lease("one-leader", ONE_LEADER, null),
                 lease("late-restarts", LATE_RESTARTS, null),
                 lease("two-leaders", TWO_LEADERS, null),
@@ -106,7 +106,7 @@
     Stream<DynamicTest> leasesWithoutAFence() {
         String broken = "OnePlace";
         Map<String, String> quick = with(ONE_LEADER, "Pauses", "FALSE", "LateAppends", "FALSE");
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 lease(
                         "waits-one-worker-lease",
                         with(ONE_LEADER, "WorkerWaits", "1", "Worker", "3"),
@@ -147,7 +147,7 @@
                         "TRUE");
         Map<String, String> repeatable = with(once, "Repeatable", "TRUE");
         String both = "AtMostOnce NotRunIsTrue";
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 new SpecificationCheck("Requests", "once", both, once, null),
                 new SpecificationCheck("Requests", "repeatable", both, repeatable, null),
                 new SpecificationCheck(
@@ -175,7 +175,7 @@
     @TestFactory
     Stream<DynamicTest> keys() {
         Map<String, String> all = allTrue("WaitsAfterStart", "WaitsAfterMove", "ComparesRosters");
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 new SpecificationCheck("Keys", "window", "AtMostOnce", all, null),
                 new SpecificationCheck(
                         "Keys",
@@ -201,7 +201,7 @@
     Stream<DynamicTest> bundles() {
         Map<String, String> all =
                 with(allTrue("ChecksBase", "SnapshotHasOffset", "NeedsSnapshot"), "MaxLog", "4");
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 new SpecificationCheck("Bundles", "agreement", "Agreement", all, null),
                 new SpecificationCheck(
                         "Bundles",
@@ -244,7 +244,7 @@
                         "OrdersEnd",
                         "TRUE");
         String place = "OnePlace";
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 cell("submitted", all, null),
                 cell("acts-first", with(all, "WritesFirst", "FALSE"), place),
                 cell("no-fence", with(all, "Fences", "FALSE"), place),
@@ -264,7 +264,7 @@
     @TestFactory
     Stream<DynamicTest> appends() {
         Map<String, String> all = with("Changes", "{1, 2, 3}", "EndsOnThrow", "TRUE");
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 appends("told-once-kept", all, null),
                 appends("goes-on-after-a-throw", with(all, "EndsOnThrow", "FALSE"), "ToldIsKept"));
     }
@@ -305,7 +305,7 @@
 
     @TestFactory
     Stream<DynamicTest> agentLeases() {
-        return SpecificationCheck.tests(
+        return SpecificationCheck.createTests(
                 agent("late-calls", LATE_CALLS, true),
                 agent("late-reports", LATE_REPORTS, true),
                 agent("no-generation", with(LATE_CALLS, "Generations", "FALSE"), false),
@@ -352,8 +352,8 @@
 
     /** The last two are not barred: they show what is known to be open. */
     @TestFactory
-    Stream<DynamicTest> workerLives() {
-        return SpecificationCheck.tests(
+    Stream<DynamicTest> workerIncarnations() {
+        return SpecificationCheck.createTests(
                 lives("two-lives", TWO_LIVES, null),
                 lives("tells-no-lives", with(TWO_LIVES, "TellsLives", "FALSE"), "NoEndLost"),
                 lives("raises-nothing", with(TWO_LIVES, "RaisesFirst", "FALSE"), "OnePlace"),
--- a/src/test/java/org/standlink/standin/TestUpstreamServer.java
+++ b/src/test/java/org/standlink/standin/TestUpstreamServer.java
@@ -58,7 +58,7 @@
     private static final int REQUESTS = 20;
 
     @Test
-    public void answersAsLongAsCallersComeWhileItLeaves() throws Exception {
+    public void answersRequestsWhileLeaving() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(4);
         UpstreamServer server =
                 new UpstreamServer(new InetSocketAddress("127.0.0.1", 0), threads, SERVICE_MILLIS);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void aRequestThatWaitsToBeAcceptedIsAnsweredByAServerThatLeaves() throws Exception {
+    public void answersARequestWaitingToBeAcceptedWhileLeaving() throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(4);
         CountDownLatch arrived = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
--- a/src/test/java/org/standlink/store/FakeKeyedStore.java
+++ b/src/test/java/org/standlink/store/FakeKeyedStore.java
@@ -40,13 +40,13 @@
         /** Nothing is done, and calls are refused. */
         DOWN,
         /** Calls are done, but their answers are lost. */
-        LOST,
+        ANSWERS_LOST,
         /** Calls are done, and nothing is heard of them. */
-        SILENT,
+        UNRESPONSIVE,
         /** Appends get no answer, and are done when the late ones are. */
-        LATE,
+        DELAYED,
         /** Appends are answered as if they were done, and are done when the late ones are. */
-        ANSWERED_BEFORE
+        ANSWERED_EARLY
     }
 
     private int mostRead = 1_000_000;
@@ -69,19 +69,19 @@
     }
 
     /** Lets calls of which nothing is heard fail after a while, as those of a real client do. */
-    public void failSilentCallsAfter(long millis, ScheduledExecutorService loop) {
+    public void failUnansweredCallsAfter(long millis, ScheduledExecutorService loop) {
         silentMillis = millis;
         timers = loop;
     }
 
     /** Lets refusals come after a while, as those of a real store do. */
-    public void refuseAfter(long millis, ScheduledExecutorService loop) {
+    public void setRefusalDelay(long millis, ScheduledExecutorService loop) {
         refusalMillis = millis;
         timers = loop;
     }
 
     /** Sets how many records a read answers at most. */
-    public void setMostRead(int records) {
+    public void setMaxRecordsPerRead(int records) {
         mostRead = records;
     }
 
@@ -91,12 +91,12 @@
     }
 
     /** Gets how many appends of a writer were tried. */
-    public int getAppends() {
+    public int getAppendCount() {
         return appends;
     }
 
     /** Gets all records of a topic. */
-    public List<KeyedRecord> records(Topic topic) {
+    public List<KeyedRecord> getRecords(Topic topic) {
         return topics.computeIfAbsent(topic, key -> new ArrayList<>());
     }
 
@@ -104,11 +104,11 @@
     public CompletableFuture<Long> appendAt(Topic topic, List<KeyedRecord> added, long end) {
         return call(
                 () -> {
-                    if (records(topic).size() != end) {
+                    if (getRecords(topic).size() != end) {
                         throw failure(ErrorCode.CONDITION_FAILED);
                     }
-                    records(topic).addAll(added);
-                    return (long) records(topic).size();
+                    getRecords(topic).addAll(added);
+                    return (long) getRecords(topic).size();
                 });
     }
 
@@ -116,30 +116,32 @@
      * Does the appends that are late. Their epochs and numbers were looked at when they came, and
      * are not again; where the topic ends is.
      */
-    public void doLateAppends() {
+    public void executeDelayedAppends() {
         late.forEach(Runnable::run);
         late.clear();
     }
 
-    private void doLater(Topic topic, List<KeyedRecord> added, Writer writer) {
+    private void doLater(Topic topic, List<KeyedRecord> added, AppendCondition writer) {
         late.add(
                 () -> {
                     if (endsAt(topic, writer)) {
-                        records(topic).addAll(added);
+                        getRecords(topic).addAll(added);
                     }
                 });
     }
 
     @Override
-    public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> added, Writer writer) {
+    public CompletableFuture<Long> append(
+            Topic topic, List<KeyedRecord> added, AppendCondition writer) {
         appends++;
-        if (mode == Mode.LATE) {
+        if (mode == Mode.DELAYED) {
             doLater(topic, added, writer);
             return silence();
         }
-        if (mode == Mode.ANSWERED_BEFORE) {
+        if (mode == Mode.ANSWERED_EARLY) {
             doLater(topic, added, writer);
-            return CompletableFuture.completedFuture((long) records(topic).size() + added.size());
+            return CompletableFuture.completedFuture(
+                    (long) getRecords(topic).size() + added.size());
         }
         return call(
                 () -> {
@@ -153,9 +155,9 @@
                             throw failure(ErrorCode.CONDITION_FAILED);
                         }
                         sequences.put(topic, writer.sequence());
-                        records(topic).addAll(added);
+                        getRecords(topic).addAll(added);
                     }
-                    return (long) records(topic).size();
+                    return (long) getRecords(topic).size();
                 });
     }
 
@@ -164,7 +166,7 @@
         return call(
                 () -> {
                     raise(topic, epoch);
-                    return (long) records(topic).size();
+                    return (long) getRecords(topic).size();
                 });
     }
 
@@ -175,7 +177,7 @@
                     if (historyDropped) {
                         throw failure(ErrorCode.LOG_GAP);
                     }
-                    List<KeyedRecord> all = records(topic);
+                    List<KeyedRecord> all = getRecords(topic);
                     int start = (int) Math.min(from, all.size());
                     int end = Math.min(all.size(), start + mostRead);
                     return new ReadResult(end, List.copyOf(all.subList(start, end)));
@@ -184,7 +186,7 @@
 
     @Override
     public CompletableFuture<Long> readEnd(Topic topic) {
-        return call(() -> (long) records(topic).size());
+        return call(() -> (long) getRecords(topic).size());
     }
 
     @Override
@@ -192,19 +194,20 @@
         return call(
                 () -> {
                     Map<String, KeyedRecord> newest = new LinkedHashMap<>();
-                    for (KeyedRecord record : records(topic)) {
+                    for (KeyedRecord record : getRecords(topic)) {
                         newest.remove(record.key());
                         if (record.value().length > 0) {
                             newest.put(record.key(), record);
                         }
                     }
-                    return new ReadResult(records(topic).size(), new ArrayList<>(newest.values()));
+                    return new ReadResult(
+                            getRecords(topic).size(), new ArrayList<>(newest.values()));
                 });
     }
 
-    private boolean endsAt(Topic topic, Writer writer) {
+    private boolean endsAt(Topic topic, AppendCondition writer) {
         long expected = writer.expectedEnd();
-        return expected == Writer.ANYWHERE || records(topic).size() == expected;
+        return expected == AppendCondition.ANY_END || getRecords(topic).size() == expected;
     }
 
     private void raise(Topic topic, Epoch epoch) {
@@ -239,10 +242,10 @@
         }
         try {
             T value = effect.get();
-            if (mode == Mode.SILENT) {
+            if (mode == Mode.UNRESPONSIVE) {
                 return silence();
             }
-            return mode == Mode.LOST
+            return mode == Mode.ANSWERS_LOST
                     ? CompletableFuture.failedFuture(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN))
                     : CompletableFuture.completedFuture(value);
         } catch (StandlinkException refused) {
--- a/src/test/java/org/standlink/store/TestTopicFollower.java
+++ b/src/test/java/org/standlink/store/TestTopicFollower.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.Epoch;
 import org.standlink.FakeClock;
-import org.standlink.FakeLoop;
+import org.standlink.FakeEventLoop;
 
 /** Tests what a receiver is told when history is dropped between two reads. */
 public class TestTopicFollower {
@@ -34,7 +34,7 @@
     private static final byte[] REMOVED = {};
     private static final long READ_MILLIS = 10;
 
-    private final FakeLoop loop = new FakeLoop(new FakeClock());
+    private final FakeEventLoop loop = new FakeEventLoop(new FakeClock());
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final SlowStore reads = new SlowStore();
     private final List<String> seen = new ArrayList<>();
@@ -90,7 +90,8 @@
         }
 
         @Override
-        public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> added, Writer writer) {
+        public CompletableFuture<Long> append(
+                Topic topic, List<KeyedRecord> added, AppendCondition writer) {
             return store.append(topic, added, writer);
         }
 
@@ -106,15 +107,15 @@
     }
 
     private void append(String key, byte[] value) {
-        store.records(Topic.OPERATOR).add(new KeyedRecord(key, value));
+        store.getRecords(Topic.OPERATOR).add(new KeyedRecord(key, value));
     }
 
     @Test
-    public void theNewestOfEachKeyComesFirstAndThenEachRecord() {
+    public void newestRecordsAreReceivedBeforeFollowingRecords() {
         append("a", VALUE);
         try (TopicFollower follower =
                 new TopicFollower(reads, Topic.OPERATOR, loop, loop, receiver)) {
-            store.setMostRead(1);
+            store.setMaxRecordsPerRead(1);
             follower.start();
             loop.advance(15);
             append("b", VALUE);
@@ -129,7 +130,7 @@
      * left, and only what is missing among the newest tells of it.
      */
     @Test
-    public void aRemovalWhoseRecordWasDroppedShowsInTheNewest() {
+    public void removalIsDetectedAfterItsRecordWasDropped() {
         append("a", VALUE);
         TopicFollower follower = new TopicFollower(reads, Topic.OPERATOR, loop, loop, receiver);
         follower.start();
