--- a/src/main/java/org/standlink/log/BundlePublisher.java
+++ b/src/main/java/org/standlink/log/BundlePublisher.java
@@ -28,29 +28,27 @@
 import org.standlink.port.LogPort;
 
 /**
- * Publishes bundles and finds out whether they were accepted, also when answers are lost.
+ * Publishes bundles and determines whether they were accepted, even if answers of the log are lost.
  *
- * <p>{@code BundlePublisher} is mutable and not thread-safe; use one for each bundle.
+ * <p>{@code BundlePublisher} is mutable and not thread-safe; use one instance for each bundle.
  */
 public final class BundlePublisher {
 
-    /** How often a lost append is made again. */
-    private static final int APPENDS = 3;
+    /** The maximum number of times that a record is appended while its outcome is unknown. */
+    private static final int MAX_APPENDS = 3;
 
-    /** How often the log is read for the record before it is appended again. */
-    private static final int READS = 10;
+    /** The maximum number of reads that look for the record after each append. */
+    private static final int MAX_READS = 10;
 
-    /** The time between two readings, in milliseconds. */
-    private static final long READ_MILLIS = 200;
+    /** The time between two reads, in milliseconds. */
+    private static final long READ_INTERVAL_MILLIS = 200;
 
-    /** The log. */
     private final LogPort log;
 
-    /** The fold of the log. */
     private final LogFollower follower;
 
-    /** What became of each record; empty if accepted. */
-    private final Map<String, Optional<StandlinkException>> decided = new HashMap<>();
+    /** The decision on each record, by record id; empty if the bundle was accepted. */
+    private final Map<String, Optional<StandlinkException>> decisions = new HashMap<>();
 
     /**
      * Constructor.
@@ -61,16 +59,17 @@
         this.log = log;
         this.follower =
                 new LogFollower(
-                        log, (id, refusal) -> decided.put(id, Optional.ofNullable(refusal)));
+                        log, (id, refusal) -> decisions.put(id, Optional.ofNullable(refusal)));
     }
 
     /**
      * Publishes a bundle.
      *
-     * @param signedText the signed bundle's text
-     * @return the version, now in force
-     * @throws StandlinkException with code STALE_BASE, INVALID_BUNDLE or INVALID_SIGNATURE if it
-     *     was refused, PLATFORM_UNAVAILABLE if nothing was published, or PLATFORM_OUTCOME_UNKNOWN
+     * @param signedText the text of the signed bundle
+     * @return the version, which is now in force
+     * @throws StandlinkException with code STALE_BASE, INVALID_BUNDLE or INVALID_SIGNATURE if the
+     *     bundle was refused, PLATFORM_UNAVAILABLE if nothing was published, or
+     *     PLATFORM_OUTCOME_UNKNOWN if it may or may not have been published
      */
     public BundleVersion publish(String signedText) {
         Bundle bundle = BundleReader.read(SignedBundle.read(signedText).bundle());
@@ -78,20 +77,20 @@
         if (isInForce(signedText)) {
             return bundle.version();
         }
-        refuseStale(bundle);
+        rejectStaleBase(bundle);
         String id = RecordCodec.newId();
         byte[] record = RecordCodec.encode(new BundleRecord(id, signedText));
-        for (int i = 0; i < APPENDS; i++) {
+        for (int i = 0; i < MAX_APPENDS; i++) {
             append(record, i);
-            if (findDecision(id)) {
+            if (awaitDecision(id)) {
                 break;
             }
         }
-        return result(id, signedText, bundle.version());
+        return requireAccepted(id, signedText, bundle.version());
     }
 
     /**
-     * Gets the fold of the log as of the last reading.
+     * Gets the follower of the log, in its state after the last read.
      *
      * @return the follower
      */
@@ -104,36 +103,37 @@
         return follower.read(fold -> signedText.equals(fold.getBundles().getSignedText()));
     }
 
-    private void refuseStale(Bundle bundle) {
-        BundleVersion present = follower.read(fold -> fold.getBundles().getVersion());
-        if (!bundle.base().equals(present)) {
+    private void rejectStaleBase(Bundle bundle) {
+        BundleVersion current = follower.read(fold -> fold.getBundles().getVersion());
+        if (!bundle.base().equals(current)) {
             throw new StandlinkException(
                     ErrorCode.STALE_BASE,
-                    "base " + bundle.base() + " is not in force; version " + present + " won",
-                    "fetch version " + present + ", make the change there and publish again");
+                    "base " + bundle.base() + " is not in force; version " + current + " won",
+                    "fetch version " + current + ", make the change there and publish again");
         }
     }
 
-    private void append(byte[] record, int earlier) {
+    private void append(byte[] record, int previousAppends) {
         try {
             log.append(record);
         } catch (StandlinkException failure) {
-            boolean nothing = failure.getCode() == ErrorCode.PLATFORM_UNAVAILABLE && earlier == 0;
-            if (nothing) {
+            boolean notAppended =
+                    failure.getCode() == ErrorCode.PLATFORM_UNAVAILABLE && previousAppends == 0;
+            if (notAppended) {
                 throw failure;
             }
-            // It may have been appended, so the log is read for it next.
+            // The record may have been appended; the log is read next to find out.
         }
     }
 
-    private boolean findDecision(String id) {
-        for (int i = 0; i < READS; i++) {
+    private boolean awaitDecision(String id) {
+        for (int i = 0; i < MAX_READS; i++) {
             try {
                 follower.poll();
             } catch (StandlinkException unavailable) {
-                // The log may come back within the readings that are left.
+                // The log may become available again within the remaining reads.
             }
-            if (decided.containsKey(id)) {
+            if (decisions.containsKey(id)) {
                 return true;
             }
             pause();
@@ -143,17 +143,17 @@
 
     private static void pause() {
         try {
-            TimeUnit.MILLISECONDS.sleep(READ_MILLIS);
-        } catch (InterruptedException stopped) {
+            TimeUnit.MILLISECONDS.sleep(READ_INTERVAL_MILLIS);
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
-            throw unknown();
+            throw outcomeUnknown();
         }
     }
 
-    private BundleVersion result(String id, String signedText, BundleVersion version) {
-        Optional<StandlinkException> decision = decided.get(id);
+    private BundleVersion requireAccepted(String id, String signedText, BundleVersion version) {
+        Optional<StandlinkException> decision = decisions.get(id);
         if (decision == null) {
-            throw unknown();
+            throw outcomeUnknown();
         }
         if (decision.isPresent() && !isInForce(signedText)) {
             throw decision.get();
@@ -161,7 +161,7 @@
         return version;
     }
 
-    private static StandlinkException unknown() {
+    private static StandlinkException outcomeUnknown() {
         return new StandlinkException(
                 ErrorCode.PLATFORM_OUTCOME_UNKNOWN,
                 "the bundle may or may not have been published",
--- a/src/main/java/org/standlink/log/CellState.java
+++ b/src/main/java/org/standlink/log/CellState.java
@@ -29,37 +29,35 @@
 import org.standlink.VmId;
 
 /**
- * The state of one cell, folded from the log: who leads, and where each task stands.
+ * The state of one cell as folded from the log: its leader and the state of each task.
  *
  * <p>{@code CellState} is mutable and not thread-safe; its owner guards it.
  */
 public final class CellState {
 
-    /** The cell. */
     private final CellId cell;
 
-    /** The tasks that were ever assigned or cancelled. */
+    /** The tasks that have ever been assigned or cancelled. */
     private final Map<TaskId, TaskState> tasks = new TreeMap<>();
 
     /**
-     * The highest attempt of all tasks that were dropped; new tasks go on from there, so that a job
+     * The highest attempt of all tasks that were removed. New tasks continue from it, so that a job
      * that is removed and added again never repeats an attempt.
      */
-    private Attempt floor = Attempt.NONE;
+    private Attempt attemptFloor = Attempt.NONE;
 
-    /** The epoch in force. */
     private Epoch epoch = Epoch.NONE;
 
-    /** The sequence of the last valid append of the epoch, 0 if none. */
+    /** The sequence number of the last valid append of the epoch; 0 if there is none. */
     private long sequence;
 
-    /** The leader, null if none. */
+    /** The leader; null if there is none. */
     private VmId leader;
 
-    /** The leader before this one, null if none or not known. */
+    /** The previous leader; null if there was none or it is unknown. */
     private VmId previousLeader;
 
-    /** The run of the leader, null if none. */
+    /** The incarnation of the leader's process; null if there is no leader. */
     private Incarnation incarnation;
 
     /**
@@ -73,10 +71,10 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Applies a claim, if its epoch is the next one.
+     * Applies a claim if its epoch follows the current one.
      *
      * @param claim the claim
-     * @return true if the claim holds
+     * @return true if the claim is valid
      */
     public boolean apply(ClaimRecord claim) {
         if (!claim.cell().equals(cell) || !claim.epoch().equals(epoch.next())) {
@@ -91,10 +89,11 @@
     }
 
     /**
-     * Applies task events, if they are of the epoch in force.
+     * Applies task events if they are of the current epoch and their sequence number is above that
+     * of the last valid append.
      *
      * @param record the events
-     * @return true if the record is not void
+     * @return true if the events were applied
      */
     public boolean apply(BundleTaskRecord record) {
         if (!record.cell().equals(cell)
@@ -110,7 +109,7 @@
     }
 
     /**
-     * Takes over a snapshot's state.
+     * Replaces the state by that of a snapshot.
      *
      * @param snapshot a snapshot of this cell
      */
@@ -120,30 +119,31 @@
         sequence = snapshot.sequence();
         leader = snapshot.leader();
         incarnation = snapshot.incarnation();
-        floor = snapshot.floor();
+        attemptFloor = snapshot.floor();
         tasks.clear();
         snapshot.tasks().forEach(state -> tasks.put(state.task(), state));
     }
 
     /**
-     * Drops the tasks of jobs that are gone, but for those that may still be running.
+     * Removes the tasks of jobs that no longer exist, except for tasks that may still be running.
      *
-     * @param isPresent tells whether a job is in the bundle in force
+     * @param isPresent checks whether a job is in the bundle in force
      */
     public void prune(Predicate<JobId> isPresent) {
         for (TaskState state : List.copyOf(tasks.values())) {
             if (!state.isAssigned() && !isPresent.test(state.task().getJob())) {
                 tasks.remove(state.task());
-                floor = state.attempt().isAfter(floor) ? state.attempt() : floor;
+                attemptFloor =
+                        state.attempt().isAfter(attemptFloor) ? state.attempt() : attemptFloor;
             }
         }
     }
 
     /**
-     * Makes a snapshot of this state.
+     * Creates a snapshot of this state.
      *
-     * @param asOf the offset of the last record folded
-     * @param signedBundle the signed bundle in force, null to leave it out
+     * @param asOf the offset of the last record that was folded
+     * @param signedBundle the text of the signed bundle in force, null to omit it
      * @return the snapshot
      */
     public SnapshotRecord createSnapshot(long asOf, String signedBundle) {
@@ -156,7 +156,7 @@
                 sequence,
                 leader,
                 incarnation,
-                floor,
+                attemptFloor,
                 List.copyOf(tasks.values()));
     }
 
@@ -165,17 +165,17 @@
      * Gets the state of a task.
      *
      * @param task the task
-     * @return its state, new if the log never named it
+     * @return its state; that of a new task if the log has never named it
      */
     public TaskState getTask(TaskId task) {
         TaskState state = tasks.get(task);
-        return state == null ? TaskState.ofNew(task, floor) : state;
+        return state == null ? TaskState.ofNew(task, attemptFloor) : state;
     }
 
     /**
      * Gets the tasks that the log has named.
      *
-     * @return the states in the order of their ids
+     * @return the states in the order of the task identifiers
      */
     public Collection<TaskState> getTasks() {
         return tasks.values();
@@ -193,16 +193,16 @@
     /**
      * Gets the epoch in force.
      *
-     * @return the epoch, NONE if there was no claim
+     * @return the epoch; NONE if there has been no claim
      */
     public Epoch getEpoch() {
         return epoch;
     }
 
     /**
-     * Gets the sequence of the last valid append of the epoch.
+     * Gets the sequence number of the last valid append of the epoch.
      *
-     * @return the sequence, 0 if none
+     * @return the sequence number; 0 if there is none
      */
     public long getSequence() {
         return sequence;
@@ -211,25 +211,25 @@
     /**
      * Gets the leader.
      *
-     * @return the leader's VM, null if there was no claim
+     * @return the VM of the leader; null if there has been no claim
      */
     public VmId getLeader() {
         return leader;
     }
 
     /**
-     * Gets the leader before this one.
+     * Gets the previous leader.
      *
-     * @return its VM, null if there was none or it is not known
+     * @return its VM; null if there was none or it is unknown
      */
     public VmId getPreviousLeader() {
         return previousLeader;
     }
 
     /**
-     * Gets the run of the leader.
+     * Gets the incarnation of the leader's process.
      *
-     * @return the incarnation, null if there was no claim
+     * @return the incarnation; null if there has been no claim
      */
     public Incarnation getIncarnation() {
         return incarnation;
--- a/src/main/java/org/standlink/log/LogFold.java
+++ b/src/main/java/org/standlink/log/LogFold.java
@@ -29,114 +29,116 @@
 import org.standlink.port.LogEntry;
 
 /**
- * Folds the log, in order, into the bundle in force and the state of each cell.
+ * Folds the records of the log, in order, into the bundle in force and the state of each cell.
  *
- * <p>A reader that starts at offset 0 knows everything. One that starts later knows a part only
- * after a snapshot of it, or after the record that began it.
+ * <p>A fold that starts at offset 0 has the complete state. A fold that starts later has the bundle
+ * or the state of a cell only after a snapshot of it; it also has the state of a cell from the
+ * first claim of that cell on.
  *
  * <p>{@code LogFold} is mutable and not thread-safe; its owner guards it.
  */
 public final class LogFold {
 
-    /** Told what became of each published bundle. */
+    /** Receives the decisions on published bundles. */
     @FunctionalInterface
     public interface PublicationListener {
 
         /**
-         * Says what became of a bundle.
+         * Called when a published bundle is accepted or refused.
          *
          * @param recordId the id of the record
-         * @param refusal why it was refused, null if accepted
+         * @param refusal the reason if the bundle was refused, null if it was accepted
          */
         void publicationDecided(String recordId, StandlinkException refusal);
     }
 
-    /** The bundles. */
     private final BundleFold bundles = new BundleFold();
 
-    /** The cells. */
     private final Map<CellId, CellState> cells = new HashMap<>();
 
-    /** The offset through which each cell is covered by a snapshot. */
-    private final Map<CellId, Long> coveredCells = new HashMap<>();
+    /** The offset up to which a snapshot covers each cell, inclusive. */
+    private final Map<CellId, Long> cellSnapshotOffsets = new HashMap<>();
 
-    /** The cells whose state is known. */
+    /** The cells whose state is known though the fold did not start at offset 0. */
     private final Set<CellId> knownCells = new HashSet<>();
 
-    /** Told what became of each published bundle. */
     private final PublicationListener listener;
 
-    /** Whether the fold began at offset 0, so that what it has not seen does not exist. */
-    private final boolean complete;
+    /** Whether the fold started at offset 0, so that anything it has not read does not exist. */
+    private final boolean startsAtZero;
 
-    /** Whether the bundle in force is known. */
     private boolean bundleKnown;
 
-    /** The offset through which the bundle is covered by a snapshot. */
-    private long coveredBundle = -1;
+    /** The offset up to which a snapshot covers the bundle, inclusive; -1 if none does. */
+    private long bundleSnapshotOffset = -1;
 
-    /** The offset of the next record to fold. */
-    private long next;
+    private long nextOffset;
 
     /**
      * Constructor.
      *
-     * @param first the offset of the first record that will be folded
-     * @param listener told what became of each published bundle
+     * @param firstOffset the offset of the first record to fold
+     * @param listener receives the decisions on published bundles
      */
-    public LogFold(long first, PublicationListener listener) {
-        this.next = first;
-        this.complete = first == 0;
-        this.bundleKnown = complete;
+    public LogFold(long firstOffset, PublicationListener listener) {
+        this.nextOffset = firstOffset;
+        this.startsAtZero = firstOffset == 0;
+        this.bundleKnown = startsAtZero;
         this.listener = listener;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Takes a snapshot as a starting point; to be called before the records are folded.
+     * Loads a snapshot as the starting point. It must be called before the records are folded.
      *
-     * @param snapshot a snapshot whose offset is not before the first record to fold, less one
+     * @param snapshot the snapshot; ignored unless it covers all records before the first one to
+     *     fold
      */
     public void load(SnapshotRecord snapshot) {
-        if (snapshot.asOf() < next - 1) {
+        if (snapshot.asOf() < nextOffset - 1) {
             return;
         }
-        if (snapshot.signedBundle() != null && snapshot.asOf() > coveredBundle) {
+        if (snapshot.signedBundle() != null && snapshot.asOf() > bundleSnapshotOffset) {
             bundles.adopt(snapshot.signedBundle());
             bundleKnown = true;
-            coveredBundle = snapshot.asOf();
+            bundleSnapshotOffset = snapshot.asOf();
         }
-        if (snapshot.asOf() > coveredCells.getOrDefault(snapshot.cell(), -1L)) {
+        if (snapshot.asOf() > cellSnapshotOffsets.getOrDefault(snapshot.cell(), -1L)) {
             stateOf(snapshot.cell()).load(snapshot);
             knownCells.add(snapshot.cell());
-            coveredCells.put(snapshot.cell(), snapshot.asOf());
+            cellSnapshotOffsets.put(snapshot.cell(), snapshot.asOf());
         }
     }
 
     /**
      * Folds the next record.
      *
-     * @param entry the record with its offset, which must be the next one
+     * @param entry the record and its offset, which must be the next one
+     * @throws IllegalArgumentException if the offset is not the next one
      */
     public void apply(LogEntry entry) {
-        if (entry.offset() != next) {
-            throw new IllegalArgumentException("offset " + entry.offset() + ", not " + next);
+        if (entry.offset() != nextOffset) {
+            throw new IllegalArgumentException(
+                    "log record out of order: offset "
+                            + entry.offset()
+                            + ", expected "
+                            + nextOffset);
         }
-        next++;
+        nextOffset++;
         RecordCodec.decode(entry.record()).ifPresent(record -> apply(entry.offset(), record));
     }
 
     private void apply(long offset, LogRecord record) {
         if (record instanceof BundleRecord published) {
-            if (offset > coveredBundle && bundleKnown) {
+            if (offset > bundleSnapshotOffset && bundleKnown) {
                 publish(published);
             }
         } else if (record instanceof ClaimRecord claim) {
-            if (offset > coveredCells.getOrDefault(claim.cell(), -1L)) {
+            if (offset > cellSnapshotOffsets.getOrDefault(claim.cell(), -1L)) {
                 claim(claim);
             }
         } else if (record instanceof BundleTaskRecord tasks) {
-            if (offset > coveredCells.getOrDefault(tasks.cell(), -1L)
+            if (offset > cellSnapshotOffsets.getOrDefault(tasks.cell(), -1L)
                     && isCellKnown(tasks.cell())) {
                 stateOf(tasks.cell()).apply(tasks);
                 prune(stateOf(tasks.cell()));
@@ -155,8 +157,8 @@
     }
 
     private void claim(ClaimRecord claim) {
-        boolean first = claim.epoch().equals(Epoch.NONE.next());
-        if (first && !isCellKnown(claim.cell())) {
+        boolean firstClaim = claim.epoch().equals(Epoch.NONE.next());
+        if (firstClaim && !isCellKnown(claim.cell())) {
             knownCells.add(claim.cell());
         }
         if (isCellKnown(claim.cell())) {
@@ -169,9 +171,9 @@
         if (bundle == null) {
             return;
         }
-        Set<JobId> present = new HashSet<>();
-        bundle.jobs().stream().map(JobSpecification::id).forEach(present::add);
-        state.prune(present::contains);
+        Set<JobId> presentJobs = new HashSet<>();
+        bundle.jobs().stream().map(JobSpecification::id).forEach(presentJobs::add);
+        state.prune(presentJobs::contains);
     }
 
     private CellState stateOf(CellId cell) {
@@ -183,16 +185,16 @@
      * Checks whether the state of a cell is known.
      *
      * @param cell the cell
-     * @return false if records that count may have been dropped before they were read
+     * @return false if relevant records may have been dropped before they were read
      */
     public boolean isCellKnown(CellId cell) {
-        return complete || knownCells.contains(cell);
+        return startsAtZero || knownCells.contains(cell);
     }
 
     /**
      * Checks whether the bundle in force is known.
      *
-     * @return false if records that count may have been dropped before they were read
+     * @return false if relevant records may have been dropped before they were read
      */
     public boolean isBundleKnown() {
         return bundleKnown;
@@ -202,7 +204,7 @@
      * Gets the state of a cell.
      *
      * @param cell the cell
-     * @return the state, that of a new cell if the log never named it
+     * @return the state; that of a new cell if the log has never named it
      */
     public CellState getCellState(CellId cell) {
         return stateOf(cell);
@@ -223,6 +225,6 @@
      * @return the offset
      */
     public long getNextOffset() {
-        return next;
+        return nextOffset;
     }
 }
--- a/src/main/java/org/standlink/log/LogFollower.java
+++ b/src/main/java/org/standlink/log/LogFollower.java
@@ -23,38 +23,39 @@
 import org.standlink.port.LogPort;
 
 /**
- * Reads the log and keeps the fold of it, also across what the log has dropped.
+ * Reads the log and maintains the fold of its records, even if the log has dropped records that
+ * were not read.
  *
- * <p>When the next record was dropped, the follower starts anew at the first retained one, with the
- * newest snapshots found in the log.
+ * <p>If the next record has been dropped, the follower rebuilds the fold from the first retained
+ * record and the newest snapshots in the log.
  *
  * <p>{@code LogFollower} is thread-safe.
  */
 public final class LogFollower {
 
-    /** How many records to read at a time. */
-    private static final int BATCH = 500;
+    /** The maximum number of records per read. */
+    private static final int BATCH_SIZE = 500;
 
-    /** The log. */
     private final LogPort log;
 
-    /** Told what became of each published bundle. */
     private final LogFold.PublicationListener listener;
 
     /** Held while the log is read; the fold itself is guarded by this object. */
-    private final ReentrantLock polling = new ReentrantLock();
+    private final ReentrantLock pollLock = new ReentrantLock();
 
-    /** The fold; replaced when the follower starts anew. */
+    /** The fold; replaced when it is rebuilt. */
     private LogFold fold;
 
-    /** Whether the present fold began after offset 0, so that parts of it may be unknown. */
-    private boolean gap;
+    /**
+     * Whether the current fold started after offset 0, so that parts of the state may be unknown.
+     */
+    private boolean incomplete;
 
     /**
      * Constructor.
      *
      * @param log the log
-     * @param listener told what became of each published bundle
+     * @param listener receives the decisions on published bundles
      */
     public LogFollower(LogPort log, LogFold.PublicationListener listener) {
         this.log = log;
@@ -65,23 +66,24 @@
     /**
      * Reads to the end of the log.
      *
-     * @return how many records were folded
-     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE; what was read stays
+     * @return the number of records folded
+     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE; the records read
+     *     before remain folded
      */
     public int poll() {
-        polling.lock();
+        pollLock.lock();
         try {
             return readToEnd();
         } finally {
-            polling.unlock();
+            pollLock.unlock();
         }
     }
 
     /**
-     * Reads from the fold while it stands still.
+     * Reads from the fold while no record is being applied.
      *
      * @param <T> the type of the result
-     * @param reader reads what is wanted
+     * @param reader reads the required state
      * @return the result
      */
     public synchronized <T> T read(Function<LogFold, T> reader) {
@@ -93,68 +95,68 @@
         int folded = 0;
         while (true) {
             // The log may be slow, so it is read without holding the lock of the fold.
-            LogBatch batch = log.read(getNext(), BATCH);
-            if (batch.firstRetained() > getNext()) {
-                startAnew(batch.firstRetained());
+            LogBatch batch = log.read(getNextOffset(), BATCH_SIZE);
+            if (batch.firstRetained() > getNextOffset()) {
+                rebuild(batch.firstRetained());
                 continue;
             }
-            folded += foldAll(batch);
-            if (getNext() >= batch.end()) {
+            folded += applyAll(batch);
+            if (getNextOffset() >= batch.end()) {
                 return folded;
             }
         }
     }
 
-    private synchronized long getNext() {
+    private synchronized long getNextOffset() {
         return fold.getNextOffset();
     }
 
-    private void startAnew(long firstRetained) {
-        LogFold fresh = foldAnew(firstRetained);
+    private void rebuild(long firstRetained) {
+        LogFold rebuilt = buildFold(firstRetained);
         synchronized (this) {
-            fold = fresh;
-            gap = true;
+            fold = rebuilt;
+            incomplete = true;
         }
     }
 
     /**
-     * Folds the log from a later start, to where the fold in use has come at the least. What is
-     * read must never go back to the state of the snapshots: a leader would hand out anew what it
-     * gave up.
+     * Builds a fold from a later start, up to at least the position of the fold in use. What is
+     * read must never go back to the state of the snapshots: a leader would assign attempts again
+     * that it had released.
      */
-    private LogFold foldAnew(long firstRetained) {
-        LogFold fresh = new LogFold(firstRetained, listener);
+    private LogFold buildFold(long firstRetained) {
+        LogFold rebuilt = new LogFold(firstRetained, listener);
         long from = firstRetained;
         long end = firstRetained + 1;
         while (from < end) {
-            LogBatch batch = log.read(from, BATCH);
+            LogBatch batch = log.read(from, BATCH_SIZE);
             if (batch.firstRetained() > from) {
-                return foldAnew(batch.firstRetained());
+                return buildFold(batch.firstRetained());
             }
-            batch.entries().forEach(entry -> snapshotOf(entry).ifPresent(fresh::load));
+            batch.entries().forEach(entry -> snapshotOf(entry).ifPresent(rebuilt::load));
             from += batch.entries().size();
             end = batch.end();
         }
-        while (fresh.getNextOffset() < end) {
-            LogBatch batch = log.read(fresh.getNextOffset(), BATCH);
-            if (batch.firstRetained() > fresh.getNextOffset()) {
-                return foldAnew(batch.firstRetained());
+        while (rebuilt.getNextOffset() < end) {
+            LogBatch batch = log.read(rebuilt.getNextOffset(), BATCH_SIZE);
+            if (batch.firstRetained() > rebuilt.getNextOffset()) {
+                return buildFold(batch.firstRetained());
             }
-            // What came since is folded later, as it may be a snapshot that fills a gap.
-            applyBefore(end, batch, fresh);
+            // Records appended since are folded later, as one may be a snapshot with missing state.
+            applyBefore(end, batch, rebuilt);
         }
-        return fresh;
+        return rebuilt;
     }
 
-    private static void applyBefore(long end, LogBatch batch, LogFold fresh) {
-        batch.entries().stream().filter(entry -> entry.offset() < end).forEach(fresh::apply);
+    private static void applyBefore(long end, LogBatch batch, LogFold rebuilt) {
+        batch.entries().stream().filter(entry -> entry.offset() < end).forEach(rebuilt::apply);
     }
 
-    private int foldAll(LogBatch batch) {
+    private int applyAll(LogBatch batch) {
         int folded = 0;
         for (LogEntry entry : batch.entries()) {
-            if (fold(entry, batch.firstRetained())) {
-                startAnew(batch.firstRetained());
+            if (apply(entry, batch.firstRetained())) {
+                rebuild(batch.firstRetained());
                 return folded;
             }
             folded++;
@@ -162,25 +164,25 @@
         return folded;
     }
 
-    private synchronized boolean fold(LogEntry entry, long firstRetained) {
-        boolean fills = fillsGap(entry, firstRetained);
+    private synchronized boolean apply(LogEntry entry, long firstRetained) {
+        boolean requiresRebuild = suppliesMissingState(entry, firstRetained);
         fold.apply(entry);
-        return fills;
+        return requiresRebuild;
     }
 
-    private boolean fillsGap(LogEntry entry, long firstRetained) {
-        if (!gap) {
+    private boolean suppliesMissingState(LogEntry entry, long firstRetained) {
+        if (!incomplete) {
             return false;
         }
         return snapshotOf(entry)
                 .filter(snapshot -> snapshot.asOf() >= firstRetained - 1)
-                .filter(this::isNews)
+                .filter(this::containsMissingState)
                 .isPresent();
     }
 
-    private boolean isNews(SnapshotRecord snapshot) {
-        boolean bundle = snapshot.signedBundle() != null && !fold.isBundleKnown();
-        return bundle || !fold.isCellKnown(snapshot.cell());
+    private boolean containsMissingState(SnapshotRecord snapshot) {
+        boolean containsMissingBundle = snapshot.signedBundle() != null && !fold.isBundleKnown();
+        return containsMissingBundle || !fold.isCellKnown(snapshot.cell());
     }
 
     private static Optional<SnapshotRecord> snapshotOf(LogEntry entry) {
--- a/src/main/java/org/standlink/log/RecordCodec.java
+++ b/src/main/java/org/standlink/log/RecordCodec.java
@@ -32,25 +32,23 @@
  */
 public final class RecordCodec {
 
-    /** The serializer; fields that a newer version added are passed over. */
+    /** Ignores unknown fields, which a newer version may have added. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper()
                     .setSerializationInclusion(JsonInclude.Include.NON_NULL)
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** The source of record ids. */
     private static final SecureRandom RANDOM = new SecureRandom();
 
     /** The length of a record id, in bytes. */
     private static final int ID_BYTES = 12;
 
-    /** No instances. */
     private RecordCodec() {}
 
     /**
-     * Draws the id of a new record.
+     * Creates the id of a new record.
      *
-     * @return an id that no other record has
+     * @return a random id, unique among all records
      */
     public static String newId() {
         byte[] bytes = new byte[ID_BYTES];
@@ -67,9 +65,12 @@
     public static byte[] encode(LogRecord record) {
         try {
             return MAPPER.writeValueAsBytes(record);
-        } catch (IOException impossible) {
+        } catch (IOException exception) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "record not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "log record could not be encoded as JSON",
+                    "report a defect",
+                    exception);
         }
     }
 
@@ -77,12 +78,12 @@
      * Decodes a record.
      *
      * @param bytes the bytes
-     * @return the record, empty if the bytes are not one: a foreign record is passed over by all
+     * @return the record; empty if the bytes are not a known record, which every reader ignores
      */
     public static Optional<LogRecord> decode(byte[] bytes) {
         try {
             return Optional.of(MAPPER.readValue(bytes, LogRecord.class));
-        } catch (IOException | IllegalArgumentException foreign) {
+        } catch (IOException | IllegalArgumentException exception) {
             return Optional.empty();
         }
     }
--- a/src/main/java/org/standlink/log/TaskEvent.java
+++ b/src/main/java/org/standlink/log/TaskEvent.java
@@ -21,16 +21,16 @@
 import org.standlink.VmId;
 
 /**
- * One change in the life of a task.
+ * A change in the state of a task.
  *
  * <p>{@code TaskEvent} is thread-safe and immutable.
  *
- * @param kind what happened
+ * @param kind the kind of change
  * @param task the task
- * @param attempt the attempt it is about
- * @param worker the VM assigned to, null unless assigned
- * @param resources what the attempt may use, null unless assigned
- * @param checkpoint where to resume from, null if none
+ * @param attempt the attempt that the event concerns
+ * @param worker the VM that the attempt is assigned to, null unless assigned
+ * @param resources the resources that the attempt may use, null unless assigned
+ * @param checkpoint the checkpoint to resume from, null if there is none
  */
 public record TaskEvent(
         Kind kind,
@@ -40,25 +40,25 @@
         Resources resources,
         String checkpoint) {
 
-    /** What happened to a task. */
+    /** The kinds of changes. */
     public enum Kind {
         /** The attempt may run on the worker. */
         ASSIGN,
-        /** The attempt runs no more and the task may be assigned again. */
+        /** The attempt is no longer running; the task may be assigned again. */
         RELEASE,
-        /** The attempt ended without being done; the task may be assigned again. */
+        /** The attempt ended without completing the task, which may be assigned again. */
         FAIL,
-        /** The task is done. */
+        /** The task is complete. */
         FINISH
     }
 
     /**
-     * Makes an assignment.
+     * Creates an assignment.
      *
      * @param task the task
      * @param attempt the attempt
-     * @param worker the VM assigned to
-     * @param resources what the attempt may use
+     * @param worker the VM that the attempt is assigned to
+     * @param resources the resources that the attempt may use
      * @return the event
      */
     public static TaskEvent ofAssign(
@@ -67,12 +67,12 @@
     }
 
     /**
-     * Makes the end of an attempt.
+     * Creates the end of an attempt.
      *
-     * @param kind how it ended
+     * @param kind how the attempt ended
      * @param task the task
      * @param attempt the attempt
-     * @param checkpoint where to resume from, null if none
+     * @param checkpoint the checkpoint to resume from, null if there is none
      * @return the event
      */
     public static TaskEvent ofEnd(Kind kind, TaskId task, Attempt attempt, String checkpoint) {
--- a/src/main/java/org/standlink/log/TaskState.java
+++ b/src/main/java/org/standlink/log/TaskState.java
@@ -22,17 +22,17 @@
 import org.standlink.VmId;
 
 /**
- * Where a task stands, as folded from the log.
+ * The state of a task, as folded from the log.
  *
  * <p>{@code TaskState} is thread-safe and immutable.
  *
  * @param task the task
  * @param phase the phase
  * @param attempt the last attempt
- * @param worker the VM of the last attempt, null if none
- * @param resources what the last attempt may use, null if none
- * @param checkpoint where to resume from, null if none
- * @param failures how many attempts failed
+ * @param worker the VM of the last attempt, null if there is none
+ * @param resources the resources that the last attempt may use, null if there is none
+ * @param checkpoint the checkpoint to resume from, null if there is none
+ * @param failures the number of failed attempts
  */
 public record TaskState(
         TaskId task,
@@ -45,19 +45,19 @@
 
     /** The phases of a task. */
     public enum Phase {
-        /** Not assigned now. */
+        /** Not assigned. */
         WAITING,
         /** Assigned to a worker. */
         ASSIGNED,
-        /** Done. */
+        /** Complete. */
         FINISHED
     }
 
     /**
-     * Makes the state of a task that was never assigned.
+     * Creates the state of a task that has never been assigned.
      *
      * @param task the task
-     * @param floor the attempt after which its first one comes
+     * @param floor the attempt that the first attempt of the task follows
      * @return the state
      */
     public static TaskState ofNew(TaskId task, Attempt floor) {
@@ -65,17 +65,19 @@
     }
 
     /**
-     * Applies an event, if the event is valid here.
+     * Applies an event if it is valid in this state.
      *
-     * @param event an event about this task
-     * @return the state after it; this state if the event is void
+     * @param event an event of this task
+     * @return the state after the event; this state if the event is not valid
      */
     public TaskState apply(TaskEvent event) {
         return switch (event.kind()) {
             case ASSIGN -> assign(event);
-            case RELEASE -> ends(event) ? waiting(event.checkpoint(), failures) : this;
-            case FAIL -> ends(event) ? waiting(event.checkpoint(), failures + 1) : this;
-            case FINISH -> ends(event) ? finished() : this;
+            case RELEASE ->
+                    endsCurrentAttempt(event) ? toWaiting(event.checkpoint(), failures) : this;
+            case FAIL ->
+                    endsCurrentAttempt(event) ? toWaiting(event.checkpoint(), failures + 1) : this;
+            case FINISH -> endsCurrentAttempt(event) ? toFinished() : this;
         };
     }
 
@@ -104,16 +106,17 @@
                 failures);
     }
 
-    private boolean ends(TaskEvent event) {
+    private boolean endsCurrentAttempt(TaskEvent event) {
         return phase == Phase.ASSIGNED && event.attempt().equals(attempt);
     }
 
-    private TaskState waiting(String newCheckpoint, int newFailures) {
-        String kept = newCheckpoint == null ? checkpoint : newCheckpoint;
-        return new TaskState(task, Phase.WAITING, attempt, worker, resources, kept, newFailures);
+    private TaskState toWaiting(String newCheckpoint, int newFailures) {
+        String latestCheckpoint = newCheckpoint == null ? checkpoint : newCheckpoint;
+        return new TaskState(
+                task, Phase.WAITING, attempt, worker, resources, latestCheckpoint, newFailures);
     }
 
-    private TaskState finished() {
+    private TaskState toFinished() {
         return new TaskState(task, Phase.FINISHED, attempt, worker, resources, null, failures);
     }
 }
--- a/src/test/java/org/standlink/log/TestLogFollower.java
+++ b/src/test/java/org/standlink/log/TestLogFollower.java
@@ -41,7 +41,7 @@
 import org.standlink.port.LogPort;
 import org.standlink.standin.MemoryLog;
 
-/** Tests the fold of the log, across races, late appends and dropped records. */
+/** Tests the fold of the log with racing writers, delayed appends and dropped records. */
 public class TestLogFollower {
 
     private static final CellId CELL = CellId.parse("one");
@@ -73,7 +73,7 @@
                         Incarnation.of(epoch)));
     }
 
-    private void tasks(long epoch, long sequence, TaskEvent... events) {
+    private void appendTaskEvents(long epoch, long sequence, TaskEvent... events) {
         append(
                 new BundleTaskRecord(
                         RecordCodec.newId(), CELL, Epoch.of(epoch), sequence, List.of(events)));
@@ -93,7 +93,7 @@
         return follower;
     }
 
-    private static TaskState task(LogFollower follower) {
+    private static TaskState readTask(LogFollower follower) {
         return follower.read(fold -> fold.getCellState(CELL).getTask(TASK));
     }
 
@@ -110,41 +110,41 @@
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
         claim(2, "vm-2");
-        tasks(1, 1, assign(1, "vm-1"));
-        assertFalse(task(follow()).isAssigned());
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
+        assertFalse(readTask(follow()).isAssigned());
     }
 
     @Test
     void assignsOnceAfterEachRelease() {
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
-        tasks(1, 1, assign(1, "vm-1"));
-        tasks(1, 2, assign(2, "vm-2"));
-        assertEquals(Attempt.of(1), task(follow()).attempt());
-        tasks(1, 3, release(1));
-        tasks(1, 4, assign(2, "vm-2"));
-        tasks(1, 5, assign(2, "vm-3"));
-        assertEquals(VmId.parse("vm-2"), task(follow()).worker());
-        assertEquals("7", task(follow()).checkpoint());
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
+        appendTaskEvents(1, 2, assign(2, "vm-2"));
+        assertEquals(Attempt.of(1), readTask(follow()).attempt());
+        appendTaskEvents(1, 3, release(1));
+        appendTaskEvents(1, 4, assign(2, "vm-2"));
+        appendTaskEvents(1, 5, assign(2, "vm-3"));
+        assertEquals(VmId.parse("vm-2"), readTask(follow()).worker());
+        assertEquals("7", readTask(follow()).checkpoint());
     }
 
     @Test
     void ignoresAnAppendThatLandsAfterALaterOne() {
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
-        tasks(1, 1, assign(1, "vm-1"));
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
         log.delayAppends(1);
-        assertThrows(StandlinkException.class, () -> tasks(1, 2, release(1)));
+        assertThrows(StandlinkException.class, () -> appendTaskEvents(1, 2, release(1)));
         publish(2, "");
-        tasks(1, 3, release(1));
+        appendTaskEvents(1, 3, release(1));
         publish(3, BundleFixtures.SCAN_JOB);
-        tasks(1, 4, assign(1, "vm-2"));
-        assertFalse(task(follow()).isAssigned(), "an attempt is never repeated");
-        tasks(1, 5, assign(2, "vm-2"));
+        appendTaskEvents(1, 4, assign(1, "vm-2"));
+        assertFalse(readTask(follow()).isAssigned(), "an attempt is never repeated");
+        appendTaskEvents(1, 5, assign(2, "vm-2"));
         log.executeDelayedAppends();
         assertTrue(
-                task(follow()).isAssigned(),
-                "the old life's release must not end the new life's attempt");
+                readTask(follow()).isAssigned(),
+                "a delayed release must not end an attempt of a job that was added again");
     }
 
     @Test
@@ -156,78 +156,79 @@
                         "same", CELL, Epoch.of(1), 1, List.of(assign(1, "vm-1"), release(1)));
         append(record);
         append(record);
-        assertEquals(Attempt.of(1), task(follow()).attempt());
+        assertEquals(Attempt.of(1), readTask(follow()).attempt());
     }
 
     @Test
     void startsFromADelayedSnapshot() {
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
-        tasks(1, 1, assign(1, "vm-1"));
-        LogFollower whole = follow();
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
+        LogFollower earlyFollower = follow();
         SnapshotRecord snapshot =
-                whole.read(
+                earlyFollower.read(
                         fold ->
                                 fold.getCellState(CELL)
                                         .createSnapshot(
                                                 fold.getNextOffset() - 1,
                                                 fold.getBundles().getSignedText()));
-        tasks(1, 2, release(1));
+        appendTaskEvents(1, 2, release(1));
         publish(2, BundleFixtures.SCAN_JOB);
         append(snapshot);
-        tasks(1, 3, assign(2, "vm-3"));
+        appendTaskEvents(1, 3, assign(2, "vm-3"));
         log.dropBefore(3);
-        LogFollower late = follow();
-        whole.poll();
-        assertEquals(task(whole), task(late));
-        assertEquals(BundleVersion.of(2), late.read(fold -> fold.getBundles().getVersion()));
+        LogFollower lateFollower = follow();
+        earlyFollower.poll();
+        assertEquals(readTask(earlyFollower), readTask(lateFollower));
+        assertEquals(
+                BundleVersion.of(2), lateFollower.read(fold -> fold.getBundles().getVersion()));
     }
 
     @Test
     void hasNoStateWithoutASnapshotAndLoadsALaterOne() {
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
-        LogFollower whole = follow();
-        tasks(1, 1, assign(1, "vm-1"));
-        whole.poll();
+        LogFollower earlyFollower = follow();
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
+        earlyFollower.poll();
         log.dropBefore(3);
-        LogFollower late = follow();
-        assertEquals(false, late.read(LogFold::isBundleKnown));
-        assertEquals(false, late.read(fold -> fold.isCellKnown(CELL)));
+        LogFollower lateFollower = follow();
+        assertEquals(false, lateFollower.read(LogFold::isBundleKnown));
+        assertEquals(false, lateFollower.read(fold -> fold.isCellKnown(CELL)));
         append(
-                whole.read(
+                earlyFollower.read(
                         fold ->
                                 fold.getCellState(CELL)
                                         .createSnapshot(
                                                 fold.getNextOffset() - 1,
                                                 fold.getBundles().getSignedText())));
-        late.poll();
-        assertEquals(true, late.read(LogFold::isBundleKnown));
-        assertEquals(task(whole), task(late));
+        lateFollower.poll();
+        assertEquals(true, lateFollower.read(LogFold::isBundleKnown));
+        assertEquals(readTask(earlyFollower), readTask(lateFollower));
     }
 
     /**
-     * Seen by reading, not in a run: a leader answered heartbeats from a state that was over. How
-     * it came about: a snapshot that its fold lacked made it read the log anew. Cause: the state of
-     * the older snapshot was shown until the rest was read. Proof: the state is looked at whenever
-     * the log is read.
+     * Guards against a leader that answers heartbeats from an outdated state. A snapshot of a state
+     * that the fold lacks makes the follower read the log again; the state of an older snapshot was
+     * visible until the rest had been read. The test checks the visible state on each read of the
+     * log.
      */
     @Test
     void neverShowsAnEarlierStateWhileRereadingTheLog() {
         publish(1, BundleFixtures.SCAN_JOB);
         claim(1, "vm-1");
-        tasks(1, 1, assign(1, "vm-1"));
+        appendTaskEvents(1, 1, assign(1, "vm-1"));
         append(
                 follow().read(
                                 fold ->
                                         fold.getCellState(CELL)
                                                 .createSnapshot(fold.getNextOffset() - 1, null)));
-        tasks(1, 2, release(1));
-        tasks(1, 3, assign(2, "vm-3"));
+        appendTaskEvents(1, 2, release(1));
+        appendTaskEvents(1, 3, assign(2, "vm-3"));
         log.dropBefore(3);
-        List<Attempt> seen = new ArrayList<>();
-        AtomicReference<LogFollower> watched = new AtomicReference<>();
-        LogPort looking =
+        List<Attempt> seenAttempts = new ArrayList<>();
+        AtomicReference<LogFollower> follower = new AtomicReference<>();
+        LogPort observedLog =
                 new LogPort() {
                     @Override
                     public long append(byte[] record) {
@@ -235,19 +236,19 @@
                     }
 
                     @Override
-                    public LogBatch read(long from, int most) {
-                        seen.add(task(watched.get()).attempt());
-                        return log.read(from, most);
+                    public LogBatch read(long from, int maxEntries) {
+                        seenAttempts.add(readTask(follower.get()).attempt());
+                        return log.read(from, maxEntries);
                     }
                 };
-        watched.set(new LogFollower(looking, (id, refusal) -> {}));
-        watched.get().poll();
-        assertEquals(Attempt.of(2), task(watched.get()).attempt());
-        seen.clear();
+        follower.set(new LogFollower(observedLog, (id, refusal) -> {}));
+        follower.get().poll();
+        assertEquals(Attempt.of(2), readTask(follower.get()).attempt());
+        seenAttempts.clear();
         append(new CellState(CellId.parse("two")).createSnapshot(log.getEnd() - 1, null));
-        watched.get().poll();
-        assertEquals(Set.of(Attempt.of(2)), Set.copyOf(seen));
-        assertEquals(Attempt.of(2), task(watched.get()).attempt());
+        follower.get().poll();
+        assertEquals(Set.of(Attempt.of(2)), Set.copyOf(seenAttempts));
+        assertEquals(Attempt.of(2), readTask(follower.get()).attempt());
     }
 
     @Test
@@ -259,9 +260,9 @@
                         .publish(BundleFixtures.signed(BundleFixtures.bundle(1, ""))));
         String signed = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
         new BundlePublisher(log).publish(signed);
-        long before = log.getEnd();
+        long endBefore = log.getEnd();
         new BundlePublisher(log).publish(signed);
-        assertEquals(before, log.getEnd(), "a bundle in force is not appended again");
+        assertEquals(endBefore, log.getEnd(), "a bundle in force is not appended again");
     }
 
     @Test
