--- a/src/main/java/org/standlink/standin/LoadBalancer.java
+++ b/src/main/java/org/standlink/standin/LoadBalancer.java
@@ -28,53 +28,54 @@
 import org.standlink.process.ProcessThreads;
 
 /**
- * Chooses entries for new connections as the platform's balancer does: it asks each entry once a
- * second whether it is ready, and passes it over after the second miss until it is ready again.
+ * Selects entries for new connections as the platform's load balancer does: it probes the readiness
+ * of each entry once a second, and skips an entry after the second failed probe until it is ready
+ * again.
  *
  * <p>{@code LoadBalancer} is thread-safe.
  */
 final class LoadBalancer implements AutoCloseable {
 
-    /** The time between two questions, in milliseconds. */
-    private static final long PROBE_MILLIS = 1000;
+    /** The time between two probes, and the time-out of a probe, in milliseconds. */
+    private static final long PROBE_INTERVAL_MILLIS = 1000;
 
-    /** After how many misses an entry gets no new connections. */
-    private static final int MOST_MISSES = 2;
+    /** The number of consecutive failed probes after which an entry gets no new connections. */
+    private static final int FAILURE_THRESHOLD = 2;
 
-    /** Where each entry tells whether it is ready; empty if nobody asks. */
-    private final List<URI> ready;
+    /** The readiness address of each entry; empty if entries are not probed. */
+    private final List<URI> readinessUris;
 
-    /** How often in a row each entry was not ready. */
-    private final AtomicIntegerArray misses;
+    /** The number of consecutive failed probes of each entry. */
+    private final AtomicIntegerArray failedProbes;
 
-    /** The client. */
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(Duration.ofMillis(PROBE_MILLIS)).build();
+            HttpClient.newBuilder()
+                    .connectTimeout(Duration.ofMillis(PROBE_INTERVAL_MILLIS))
+                    .build();
 
-    /** The timer. */
     private final ScheduledExecutorService timer = ProcessThreads.newScheduled("balancer", 1);
 
     /**
-     * Constructor, which starts to ask.
+     * Constructor, which starts to probe.
      *
-     * @param ready where each entry tells whether it is ready; empty to use all entries always
+     * @param readinessUris the readiness address of each entry; empty to use all entries always
      */
-    LoadBalancer(List<URI> ready) {
-        this.ready = List.copyOf(ready);
-        this.misses = new AtomicIntegerArray(ready.size());
-        if (!ready.isEmpty()) {
-            timer.scheduleAtFixedRate(this::probe, 0, PROBE_MILLIS, TimeUnit.MILLISECONDS);
+    LoadBalancer(List<URI> readinessUris) {
+        this.readinessUris = List.copyOf(readinessUris);
+        this.failedProbes = new AtomicIntegerArray(readinessUris.size());
+        if (!readinessUris.isEmpty()) {
+            timer.scheduleAtFixedRate(this::probe, 0, PROBE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
      * Checks whether an entry gets new connections.
      *
-     * @param entry the number of the entry
-     * @return true if so
+     * @param entry the index of the entry
+     * @return true if it does
      */
     boolean isInRotation(int entry) {
-        return ready.isEmpty() || misses.get(entry) < MOST_MISSES;
+        return readinessUris.isEmpty() || failedProbes.get(entry) < FAILURE_THRESHOLD;
     }
 
     @Override
@@ -84,20 +85,22 @@
 
     // -----------------------------------------------------------------------
     private void probe() {
-        for (int i = 0; i < ready.size(); i++) {
-            misses.set(i, isReady(ready.get(i)) ? 0 : misses.get(i) + 1);
+        for (int i = 0; i < readinessUris.size(); i++) {
+            failedProbes.set(i, isReady(readinessUris.get(i)) ? 0 : failedProbes.get(i) + 1);
         }
     }
 
     private boolean isReady(URI uri) {
         HttpRequest request =
-                HttpRequest.newBuilder(uri).timeout(Duration.ofMillis(PROBE_MILLIS)).build();
+                HttpRequest.newBuilder(uri)
+                        .timeout(Duration.ofMillis(PROBE_INTERVAL_MILLIS))
+                        .build();
         try {
             return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode() == 200;
-        } catch (IOException away) {
-            // No answer counts as not ready, as it does on the platform.
+        } catch (IOException unreachable) {
+            // A missing answer counts as not ready, as on the platform.
             return false;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/src/main/java/org/standlink/standin/LoadReport.java
+++ b/src/main/java/org/standlink/standin/LoadReport.java
@@ -18,19 +18,19 @@
 import java.util.List;
 
 /**
- * What became of the requests of a load.
+ * The outcomes of the requests of a load.
  *
  * <p>{@code LoadReport} is thread-safe and immutable.
  *
- * @param sent requests sent
- * @param correct requests with the whole answer to themselves
- * @param notRun requests told as not run
- * @param unknown requests told as unknown
- * @param incorrect requests with another answer, or none
- * @param failureDetails what the caller saw of the first wrong ones
- * @param medianMicros the median latency of the right ones, in microseconds
- * @param p99Micros the 99th percentile of the latency of the right ones, in microseconds
- * @param perSecond right answers a second
+ * @param sent the number of requests sent
+ * @param correct the number of requests whose answer was complete and their own
+ * @param notRun the number of requests reported as not run
+ * @param unknown the number of requests whose outcome was reported as unknown
+ * @param incorrect the number of requests with another answer, or none
+ * @param failureDetails details of the first incorrect or unknown answers
+ * @param medianMicros the median latency of the correct answers, in microseconds
+ * @param p99Micros the 99th percentile of the latency of the correct answers, in microseconds
+ * @param perSecond the number of correct answers per second
  */
 public record LoadReport(
         int sent,
@@ -44,9 +44,9 @@
         double perSecond) {
 
     /**
-     * Checks whether each request got its answer.
+     * Checks whether every request got its correct answer.
      *
-     * @return true if so
+     * @return true if all did
      */
     public boolean isEveryAnswerCorrect() {
         return correct == sent;
--- a/src/main/java/org/standlink/standin/MemoryLog.java
+++ b/src/main/java/org/standlink/standin/MemoryLog.java
@@ -27,58 +27,56 @@
 import org.standlink.port.LogPort;
 
 /**
- * A log in memory, with the platform's limits and faults.
+ * A log in memory that simulates the limits and faults of the platform's log.
  *
  * <p>{@code MemoryLog} is thread-safe.
  */
 public final class MemoryLog implements LogPort {
 
-    /** The span over which appends are counted, in milliseconds. */
-    private static final long RATE_MILLIS = 1000;
+    /** The window over which appends are counted, in milliseconds. */
+    private static final long RATE_WINDOW_MILLIS = 1000;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** The most appends a second. */
-    private final int mostPerSecond;
+    private final int maxAppendsPerSecond;
 
-    /** How long records are kept, in milliseconds. */
+    /** How long records are retained, in milliseconds. */
     private final long retentionMillis;
 
-    /** The records kept. */
+    /** The retained records. */
     private final Deque<LogEntry> entries = new ArrayDeque<>();
 
-    /** When each record kept was appended, in milliseconds. */
-    private final Deque<Long> times = new ArrayDeque<>();
+    /** When each retained record was appended, in milliseconds. */
+    private final Deque<Long> appendTimes = new ArrayDeque<>();
 
     /** When the appends of the last second were made, in milliseconds. */
-    private final Deque<Long> recent = new ArrayDeque<>();
+    private final Deque<Long> recentAppends = new ArrayDeque<>();
 
-    /** Appends that will land only when asked to. */
-    private final List<byte[]> late = new ArrayList<>();
+    /** The appends that are executed only on request. */
+    private final List<byte[]> delayedAppends = new ArrayList<>();
 
     /** The offset of the next record. */
     private long end;
 
-    /** Whether nothing is taken. */
+    /** Whether the log rejects all calls. */
     private boolean down;
 
-    /** How many next appends take effect but lose their answer. */
-    private int loseAnswers;
+    /** The number of upcoming appends that take effect but lose their answer. */
+    private int answersToLose;
 
-    /** How many next appends lose their answer and land late. */
-    private int delayAppends;
+    /** The number of upcoming appends that lose their answer and are executed later. */
+    private int appendsToDelay;
 
     /**
      * Constructor.
      *
      * @param clock the clock
-     * @param mostPerSecond the most appends a second
-     * @param retentionMillis how long records are kept, in milliseconds
+     * @param maxAppendsPerSecond the maximum number of appends per second
+     * @param retentionMillis how long records are retained, in milliseconds
      */
-    public MemoryLog(MonotonicClock clock, int mostPerSecond, long retentionMillis) {
+    public MemoryLog(MonotonicClock clock, int maxAppendsPerSecond, long retentionMillis) {
         this.clock = clock;
-        this.mostPerSecond = mostPerSecond;
+        this.maxAppendsPerSecond = maxAppendsPerSecond;
         this.retentionMillis = retentionMillis;
     }
 
@@ -86,35 +84,35 @@
     @Override
     public synchronized long append(byte[] record) {
         long now = clock.nowMillis();
-        while (!recent.isEmpty() && now - recent.peekFirst() >= RATE_MILLIS) {
-            recent.removeFirst();
+        while (!recentAppends.isEmpty() && now - recentAppends.peekFirst() >= RATE_WINDOW_MILLIS) {
+            recentAppends.removeFirst();
         }
-        if (down || recent.size() >= mostPerSecond) {
+        if (down || recentAppends.size() >= maxAppendsPerSecond) {
             throw unavailable();
         }
-        recent.addLast(now);
-        if (delayAppends > 0) {
-            delayAppends--;
-            late.add(record.clone());
-            throw unknown();
+        recentAppends.addLast(now);
+        if (appendsToDelay > 0) {
+            appendsToDelay--;
+            delayedAppends.add(record.clone());
+            throw outcomeUnknown();
         }
-        long offset = land(record);
-        if (loseAnswers > 0) {
-            loseAnswers--;
-            throw unknown();
+        long offset = store(record);
+        if (answersToLose > 0) {
+            answersToLose--;
+            throw outcomeUnknown();
         }
         return offset;
     }
 
     @Override
-    public synchronized LogBatch read(long from, int most) {
+    public synchronized LogBatch read(long from, int maxEntries) {
         if (down) {
             throw unavailable();
         }
-        dropOld();
+        dropExpired();
         List<LogEntry> found = new ArrayList<>();
         for (LogEntry entry : entries) {
-            if (entry.offset() >= from && found.size() < most) {
+            if (entry.offset() >= from && found.size() < maxEntries) {
                 found.add(entry);
             }
         }
@@ -123,9 +121,9 @@
 
     // -----------------------------------------------------------------------
     /**
-     * Begins or ends an outage.
+     * Starts or ends an outage.
      *
-     * @param isDown whether nothing is taken from now on
+     * @param isDown whether the log rejects all calls from now on
      */
     public synchronized void setDown(boolean isDown) {
         down = isDown;
@@ -134,41 +132,42 @@
     /**
      * Lets the next appends take effect and lose their answers.
      *
-     * @param count how many
+     * @param count the number of appends
      */
     public synchronized void loseAnswers(int count) {
-        loseAnswers = count;
+        answersToLose = count;
     }
 
     /**
-     * Lets the next appends lose their answers and land only at {@link #executeDelayedAppends}.
+     * Lets the next appends lose their answers; they are executed by {@link
+     * #executeDelayedAppends}.
      *
-     * @param count how many
+     * @param count the number of appends
      */
     public synchronized void delayAppends(int count) {
-        delayAppends = count;
+        appendsToDelay = count;
     }
 
-    /** Lands the delayed appends, in order. */
+    /** Executes the delayed appends, in order. */
     public synchronized void executeDelayedAppends() {
-        late.forEach(this::land);
-        late.clear();
+        delayedAppends.forEach(this::store);
+        delayedAppends.clear();
     }
 
     /**
-     * Drops old records at once.
+     * Drops records regardless of their age.
      *
-     * @param firstRetained the offset of the first record to keep
+     * @param firstRetained the offset of the first record to retain
      */
     public synchronized void dropBefore(long firstRetained) {
         while (!entries.isEmpty() && entries.peekFirst().offset() < firstRetained) {
             entries.removeFirst();
-            times.removeFirst();
+            appendTimes.removeFirst();
         }
     }
 
     /**
-     * Gets the offset that the next record will get.
+     * Gets the offset of the next record.
      *
      * @return the offset
      */
@@ -177,27 +176,29 @@
     }
 
     // -----------------------------------------------------------------------
-    private long land(byte[] record) {
+    private long store(byte[] record) {
         entries.addLast(new LogEntry(end, record.clone()));
-        times.addLast(clock.nowMillis());
+        appendTimes.addLast(clock.nowMillis());
         return end++;
     }
 
-    private void dropOld() {
+    private void dropExpired() {
         long oldest = clock.nowMillis() - retentionMillis;
-        while (!times.isEmpty() && times.peekFirst() < oldest) {
-            times.removeFirst();
+        while (!appendTimes.isEmpty() && appendTimes.peekFirst() < oldest) {
+            appendTimes.removeFirst();
             entries.removeFirst();
         }
     }
 
     private static StandlinkException unavailable() {
         return new StandlinkException(
-                ErrorCode.PLATFORM_UNAVAILABLE, "the log takes nothing now", "try again later");
+                ErrorCode.PLATFORM_UNAVAILABLE, "the log is unavailable", "try again later");
     }
 
-    private static StandlinkException unknown() {
+    private static StandlinkException outcomeUnknown() {
         return new StandlinkException(
-                ErrorCode.PLATFORM_OUTCOME_UNKNOWN, "the answer was lost", "read the log back");
+                ErrorCode.PLATFORM_OUTCOME_UNKNOWN,
+                "the answer to the append was lost",
+                "read the log back");
     }
 }
--- a/src/main/java/org/standlink/standin/MemoryVmList.java
+++ b/src/main/java/org/standlink/standin/MemoryVmList.java
@@ -27,54 +27,53 @@
 import org.standlink.port.VmListPort;
 
 /**
- * A VM list in memory that tells of changes only after a while.
+ * A VM list in memory that lists changes only after a delay.
  *
  * <p>{@code MemoryVmList} is thread-safe.
  */
 public final class MemoryVmList implements VmListPort {
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** How late changes are told, in milliseconds. */
-    private final long lagMillis;
+    /** The delay until a change is listed, in milliseconds. */
+    private final long delayMillis;
 
-    /** A change that will be told. */
-    private record Change(long atMillis, VmEntry entry) {}
+    /** A change that is not listed yet. */
+    private record Change(long effectiveAtMillis, VmEntry entry) {}
 
-    /** The changes not told yet, in order. */
-    private final List<Change> changes = new ArrayList<>();
+    /** The changes that are not listed yet, in order. */
+    private final List<Change> pendingChanges = new ArrayList<>();
 
-    /** What is told. */
-    private final Map<VmId, VmEntry> told = new LinkedHashMap<>();
+    /** The VMs as listed. */
+    private final Map<VmId, VmEntry> listed = new LinkedHashMap<>();
 
-    /** Whether nothing is answered. */
+    /** Whether the list rejects all calls. */
     private boolean down;
 
     /**
      * Constructor.
      *
      * @param clock the clock
-     * @param lagMillis how late changes are told, in milliseconds
+     * @param delayMillis the delay until a change is listed, in milliseconds
      */
-    public MemoryVmList(MonotonicClock clock, long lagMillis) {
+    public MemoryVmList(MonotonicClock clock, long delayMillis) {
         this.clock = clock;
-        this.lagMillis = lagMillis;
+        this.delayMillis = delayMillis;
     }
 
     /**
-     * Changes what will be told of a VM.
+     * Adds or replaces a VM; the change is listed after the delay.
      *
      * @param entry the VM
      */
     public synchronized void put(VmEntry entry) {
-        changes.add(new Change(clock.nowMillis() + lagMillis, entry));
+        pendingChanges.add(new Change(clock.nowMillis() + delayMillis, entry));
     }
 
     /**
-     * Begins or ends an outage.
+     * Starts or ends an outage.
      *
-     * @param isDown whether nothing is answered from now on
+     * @param isDown whether the list rejects all calls from now on
      */
     public synchronized void setDown(boolean isDown) {
         down = isDown;
@@ -84,13 +83,15 @@
     public synchronized List<VmEntry> list() {
         if (down) {
             throw new StandlinkException(
-                    ErrorCode.PLATFORM_UNAVAILABLE, "the list is down", "try again later");
+                    ErrorCode.PLATFORM_UNAVAILABLE,
+                    "the VM list is unavailable",
+                    "try again later");
         }
         long now = clock.nowMillis();
-        changes.stream()
-                .filter(change -> change.atMillis() <= now)
-                .forEach(change -> told.put(change.entry().vm(), change.entry()));
-        changes.removeIf(change -> change.atMillis() <= now);
-        return List.copyOf(told.values());
+        pendingChanges.stream()
+                .filter(change -> change.effectiveAtMillis() <= now)
+                .forEach(change -> listed.put(change.entry().vm(), change.entry()));
+        pendingChanges.removeIf(change -> change.effectiveAtMillis() <= now);
+        return List.copyOf(listed.values());
     }
 }
--- a/src/main/java/org/standlink/standin/MemoryWorker.java
+++ b/src/main/java/org/standlink/standin/MemoryWorker.java
@@ -31,90 +31,85 @@
 import org.standlink.port.WorkerPort;
 
 /**
- * A worker in memory: tasks make progress with the clock and stop when the lease lapses.
+ * A worker in memory: tasks progress with the clock and stop when the lease expires.
  *
- * <p>A checkpoint is the progress in milliseconds, as text. {@code MemoryWorker} is thread-safe.
+ * <p>A checkpoint is the progress in milliseconds, as text.
+ *
+ * <p>{@code MemoryWorker} is thread-safe.
  */
 public final class MemoryWorker implements WorkerPort {
 
-    /** What a throttle of nothing is, in percent. */
-    private static final int FULL = 100;
+    /** The share of its processors that a task may use if it is not throttled, in percent. */
+    private static final int UNTHROTTLED_PERCENT = 100;
 
-    /** Milliseconds in a second. */
-    private static final double SECOND_MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** What the worker has. */
     private final Resources capacity;
 
-    /** The length of a lease, in milliseconds. */
+    /** The duration of a lease, in milliseconds. */
     private final long leaseMillis;
 
-    /** How long tasks really run, as a multiple of what is declared. */
+    /** The actual run time of tasks as a multiple of the declared one. */
     private final double runFactor;
 
-    /** What tasks really use, as a share of what they are granted. */
+    /** The actual usage of tasks as a fraction of what they are granted. */
     private final double usageFactor;
 
-    /** What the worker knows of a task. */
-    private static final class Entry {
+    /** The state of an attempt. */
+    private static final class AttemptState {
 
-        /** What was started. */
         private final TaskStart start;
 
-        /** Where it stands. */
         private AttemptStatus.State state = AttemptStatus.State.RUNNING;
 
-        /** Progress, in milliseconds. */
-        private double progress;
+        private double progressMillis;
 
-        /** When progress was last counted, in milliseconds. */
-        private long countedMillis;
+        /** When the progress was last updated, in milliseconds. */
+        private long updatedAtMillis;
 
-        /** The share of its processors it may use, in percent. */
-        private int throttle = FULL;
+        /** The share of its processors that the task may use, in percent. */
+        private int throttlePercent = UNTHROTTLED_PERCENT;
 
-        private Entry(TaskStart start, long nowMillis) {
+        private AttemptState(TaskStart start, long nowMillis) {
             this.start = start;
-            this.countedMillis = nowMillis;
-            this.progress = start.checkpoint() == null ? 0 : Double.parseDouble(start.checkpoint());
+            this.updatedAtMillis = nowMillis;
+            this.progressMillis =
+                    start.checkpoint() == null ? 0 : Double.parseDouble(start.checkpoint());
         }
     }
 
-    /** Names an attempt. */
-    private record Key(TaskId task, Attempt attempt) {}
+    /** Identifies an attempt. */
+    private record AttemptKey(TaskId task, Attempt attempt) {}
 
-    /** The attempts. */
-    private final Map<Key, Entry> attempts = new HashMap<>();
+    private final Map<AttemptKey, AttemptState> attempts = new HashMap<>();
 
-    /** The lease in force, null if there is none. */
+    /** The token of the current lease; null if there is none. */
     private String token;
 
-    /** The holder of the lease. */
+    /** The holder of the last lease; null if there has been none. */
     private String holder;
 
-    /** When the lease lapses, in milliseconds. */
-    private long untilMillis;
+    /** When the lease expires, in milliseconds. */
+    private long leaseExpiryMillis;
 
-    /** The number of the last lease. */
-    private long lastLease;
+    private long lastLeaseNumber;
 
-    /** Whether everything that is started fails. */
+    /** Whether attempts fail as soon as they are started. */
     private boolean failing;
 
-    /** Whether nothing is taken. */
+    /** Whether the worker rejects all calls. */
     private boolean down;
 
     /**
      * Constructor.
      *
      * @param clock the clock
-     * @param capacity what the worker has
-     * @param leaseMillis the length of a lease, in milliseconds
-     * @param runFactor how long tasks really run, as a multiple of what is declared
-     * @param usageFactor what tasks really use, as a share of what they are granted
+     * @param capacity the resources of the worker
+     * @param leaseMillis the duration of a lease, in milliseconds
+     * @param runFactor the actual run time of tasks as a multiple of the declared one
+     * @param usageFactor the actual usage of tasks as a fraction of what they are granted
      */
     public MemoryWorker(
             MonotonicClock clock,
@@ -134,61 +129,64 @@
     public synchronized WorkerLease acquire(String newHolder) {
         advance();
         if (token != null && !newHolder.equals(holder)) {
-            throw lapsed("another holder's lease is live");
+            throw leaseNotHeld("the lease of another holder has not expired");
         }
-        lastLease++;
-        token = newHolder + "/" + System.identityHashCode(this) + "/" + lastLease;
+        lastLeaseNumber++;
+        token = newHolder + "/" + System.identityHashCode(this) + "/" + lastLeaseNumber;
         holder = newHolder;
-        untilMillis = clock.nowMillis() + leaseMillis;
+        leaseExpiryMillis = clock.nowMillis() + leaseMillis;
         return new WorkerLease(token, leaseMillis);
     }
 
     @Override
     public synchronized WorkerLease renew(WorkerLease lease) {
-        check(lease);
-        untilMillis = clock.nowMillis() + leaseMillis;
+        checkLease(lease);
+        leaseExpiryMillis = clock.nowMillis() + leaseMillis;
         return new WorkerLease(token, leaseMillis);
     }
 
     @Override
     public synchronized void start(WorkerLease lease, TaskStart start) {
-        check(lease);
-        Key key = new Key(start.task(), start.attempt());
+        checkLease(lease);
+        AttemptKey key = new AttemptKey(start.task(), start.attempt());
         if (attempts.containsKey(key)) {
             return;
         }
-        if (!granted().plus(start.resources()).fitsIn(capacity)) {
+        if (!sumGranted().plus(start.resources()).fitsIn(capacity)) {
             throw new StandlinkException(
-                    ErrorCode.NO_CAPACITY, "no room for " + start.task(), "stop something first");
+                    ErrorCode.NO_CAPACITY,
+                    "insufficient capacity for " + start.task(),
+                    "stop an attempt first");
         }
-        Entry entry = new Entry(start, clock.nowMillis());
+        AttemptState attemptState = new AttemptState(start, clock.nowMillis());
         if (failing) {
-            entry.state = AttemptStatus.State.FAILED;
+            attemptState.state = AttemptStatus.State.FAILED;
         }
-        attempts.put(key, entry);
+        attempts.put(key, attemptState);
     }
 
     @Override
     public synchronized AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt) {
-        check(lease);
-        Entry entry = attempts.get(new Key(task, attempt));
-        if (entry == null) {
-            TaskStart never = new TaskStart(task, attempt, Resources.NONE, 0, null);
-            entry = new Entry(never, clock.nowMillis());
-            attempts.put(new Key(task, attempt), entry);
+        checkLease(lease);
+        AttemptState attemptState = attempts.get(new AttemptKey(task, attempt));
+        if (attemptState == null) {
+            // Recorded as stopped, so that a delayed start of the attempt has no effect.
+            TaskStart neverStarted = new TaskStart(task, attempt, Resources.NONE, 0, null);
+            attemptState = new AttemptState(neverStarted, clock.nowMillis());
+            attempts.put(new AttemptKey(task, attempt), attemptState);
         }
-        if (entry.state == AttemptStatus.State.RUNNING) {
-            entry.state = AttemptStatus.State.STOPPED;
+        if (attemptState.state == AttemptStatus.State.RUNNING) {
+            attemptState.state = AttemptStatus.State.STOPPED;
         }
-        return usage(entry);
+        return toStatus(attemptState);
     }
 
     @Override
     public synchronized void throttle(WorkerLease lease, TaskId task, int percent) {
-        check(lease);
-        for (Entry entry : attempts.values()) {
-            if (entry.start.task().equals(task)) {
-                entry.throttle = percent;
+        checkLease(lease);
+        for (AttemptState attemptState : attempts.values()) {
+            if (attemptState.start.task().equals(task)) {
+                attemptState.throttlePercent = percent;
             }
         }
     }
@@ -197,30 +195,30 @@
     public synchronized List<AttemptStatus> list() {
         advance();
         List<AttemptStatus> result = new ArrayList<>();
-        attempts.values().forEach(entry -> result.add(usage(entry)));
+        attempts.values().forEach(attemptState -> result.add(toStatus(attemptState)));
         return result;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Lets everything that is started from now on fail, or no more.
+     * Sets whether attempts that are started from now on fail.
      *
-     * @param isFailing whether it fails
+     * @param isFailing whether they fail
      */
     public synchronized void setFailing(boolean isFailing) {
         failing = isFailing;
     }
 
     /**
-     * Begins or ends a time in which nothing is taken.
+     * Starts or ends an outage.
      *
-     * @param isDown whether nothing is taken
+     * @param isDown whether the worker rejects all calls from now on
      */
     public synchronized void setDown(boolean isDown) {
         down = isDown;
     }
 
-    /** Forgets everything, as after a restart of the VM. */
+    /** Discards the lease and all attempts, as a restart of the VM does. */
     public synchronized void restart() {
         attempts.clear();
         token = null;
@@ -228,83 +226,90 @@
     }
 
     /**
-     * Gets what runs.
+     * Gets the running attempts.
      *
-     * @return the starts of the running attempts
+     * @return the arguments that they were started with
      */
     public synchronized List<TaskStart> getRunningAttempts() {
         advance();
         return attempts.values().stream()
-                .filter(entry -> entry.state == AttemptStatus.State.RUNNING)
-                .map(entry -> entry.start)
+                .filter(attemptState -> attemptState.state == AttemptStatus.State.RUNNING)
+                .map(attemptState -> attemptState.start)
                 .toList();
     }
 
     // -----------------------------------------------------------------------
-    private void check(WorkerLease lease) {
+    private void checkLease(WorkerLease lease) {
         advance();
         if (token == null || !token.equals(lease.token())) {
-            throw lapsed("the lease '" + lease.token() + "' is not in force");
+            throw leaseNotHeld("the lease '" + lease.token() + "' is not in force");
         }
     }
 
     private void advance() {
         if (down) {
             throw new StandlinkException(
-                    ErrorCode.PLATFORM_UNAVAILABLE, "the worker is down", "try again later");
+                    ErrorCode.PLATFORM_UNAVAILABLE, "the worker is unavailable", "try again later");
         }
         long now = clock.nowMillis();
-        boolean lapses = token != null && now >= untilMillis;
-        long end = lapses ? untilMillis : now;
-        attempts.values().forEach(entry -> advance(entry, end));
-        if (lapses) {
+        boolean expires = token != null && now >= leaseExpiryMillis;
+        long end = expires ? leaseExpiryMillis : now;
+        attempts.values().forEach(attemptState -> advance(attemptState, end));
+        if (expires) {
             token = null;
             attempts.values().stream()
-                    .filter(entry -> entry.state == AttemptStatus.State.RUNNING)
-                    .forEach(entry -> entry.state = AttemptStatus.State.STOPPED);
+                    .filter(attemptState -> attemptState.state == AttemptStatus.State.RUNNING)
+                    .forEach(attemptState -> attemptState.state = AttemptStatus.State.STOPPED);
         }
     }
 
-    private void advance(Entry entry, long end) {
-        if (entry.state != AttemptStatus.State.RUNNING || end <= entry.countedMillis) {
+    private void advance(AttemptState attemptState, long end) {
+        if (attemptState.state != AttemptStatus.State.RUNNING
+                || end <= attemptState.updatedAtMillis) {
             return;
         }
-        entry.progress += (end - entry.countedMillis) * entry.throttle / (double) FULL;
-        entry.countedMillis = end;
-        if (entry.progress >= entry.start.runSeconds() * runFactor * SECOND_MILLIS) {
-            entry.state = AttemptStatus.State.FINISHED;
+        attemptState.progressMillis +=
+                (end - attemptState.updatedAtMillis)
+                        * attemptState.throttlePercent
+                        / (double) UNTHROTTLED_PERCENT;
+        attemptState.updatedAtMillis = end;
+        if (attemptState.progressMillis
+                >= attemptState.start.runSeconds() * runFactor * MILLIS_PER_SECOND) {
+            attemptState.state = AttemptStatus.State.FINISHED;
         }
     }
 
-    private Resources granted() {
+    private Resources sumGranted() {
         Resources sum = Resources.NONE;
-        for (Entry entry : attempts.values()) {
-            if (entry.state == AttemptStatus.State.RUNNING) {
-                sum = sum.plus(entry.start.resources());
+        for (AttemptState attemptState : attempts.values()) {
+            if (attemptState.state == AttemptStatus.State.RUNNING) {
+                sum = sum.plus(attemptState.start.resources());
             }
         }
         return sum;
     }
 
-    private AttemptStatus usage(Entry entry) {
-        Resources reserved = entry.start.resources();
+    private AttemptStatus toStatus(AttemptState attemptState) {
+        Resources reserved = attemptState.start.resources();
         Resources used =
                 new Resources(
                         Math.round(reserved.milliCores() * usageFactor),
                         Math.round(reserved.memoryMegabytes() * usageFactor),
                         reserved.accelerators());
-        boolean running = entry.state == AttemptStatus.State.RUNNING;
+        boolean running = attemptState.state == AttemptStatus.State.RUNNING;
         return new AttemptStatus(
-                entry.start.task(),
-                entry.start.attempt(),
-                entry.state,
-                Long.toString((long) entry.progress),
+                attemptState.start.task(),
+                attemptState.start.attempt(),
+                attemptState.state,
+                Long.toString((long) attemptState.progressMillis),
                 reserved,
                 running ? used : null);
     }
 
-    private static StandlinkException lapsed(String problem) {
+    private static StandlinkException leaseNotHeld(String problem) {
         return new StandlinkException(
-                ErrorCode.LEASE_LAPSED, problem, "take the lease anew and look what runs");
+                ErrorCode.LEASE_LAPSED,
+                problem,
+                "acquire the lease again and list the running attempts");
     }
 }
--- a/src/main/java/org/standlink/standin/RequestLoad.java
+++ b/src/main/java/org/standlink/standin/RequestLoad.java
@@ -35,241 +35,250 @@
 import org.standlink.process.ProcessThreads;
 
 /**
- * A bounded load of numbered requests with distinct bodies, each answer of which is checked.
+ * A bounded load of numbered requests with distinct bodies. Each answer is checked against its
+ * request.
  *
- * <p>{@code RequestLoad} is mutable; use one for each run.
+ * <p>{@code RequestLoad} is mutable; use one instance for each run.
  */
 public final class RequestLoad {
 
-    /** How long a request may take. */
-    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
 
-    /** The most wrong or unknown answers that are described, so that the report stays short. */
-    private static final int MOST_SEEN = 5;
+    /**
+     * The maximum number of incorrect or unknown answers that are described, so that the report
+     * stays short.
+     */
+    private static final int MAX_FAILURE_DETAILS = 5;
 
-    /** The outcome of a request that did not run. */
+    /** The outcome of a request that was not run. */
     private static final String NOT_RUN = "not-run";
 
-    /** Microseconds in a second. */
-    private static final double SECOND_MICROS = 1_000_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
     /**
-     * The entries, taken in turn; one that is not ready or refuses the connection is passed over,
-     * as a balancer does.
+     * The entries, used in turn. An entry that is not ready or refuses the connection is skipped,
+     * as a load balancer does.
      */
     private final List<URI> entries;
 
-    /** Where each entry tells whether it takes new connections; empty to use all. */
-    private final List<URI> ready;
+    /** The readiness address of each entry; empty to use all entries always. */
+    private final List<URI> readinessUris;
 
-    /** How many connections to each entry are open and not in use. */
-    private final AtomicIntegerArray open;
+    /** The number of open connections to each entry that are not in use. */
+    private final AtomicIntegerArray idleConnections;
 
-    /** Chooses entries for new connections. */
+    /** Selects entries for new connections. */
     private volatile LoadBalancer balancer;
 
-    /** The HTTP method. */
     private final String method;
 
-    /** The path. */
     private final String path;
 
-    /** Whether each request has a key. */
-    private final boolean keys;
+    /** Whether each request has an idempotency key. */
+    private final boolean idempotencyKeys;
 
     /** The pause after each request, in milliseconds. */
     private final long pauseMillis;
 
-    /** How often a request that did not run is sent again, after the time it was told. */
-    private final int retries;
+    /**
+     * The maximum number of times that a request that was not run is sent again, after the time
+     * given in its answer.
+     */
+    private final int maxRetries;
 
-    /** Distinguishes the bodies of this run. */
-    private final String run = UUID.randomUUID().toString();
+    /** Distinguishes the bodies of this run from those of other runs. */
+    private final String runId = UUID.randomUUID().toString();
 
-    /** The client. */
     private final HttpClient client =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(Duration.ofSeconds(2))
                     .build();
 
-    /** The next request. */
-    private final AtomicInteger next = new AtomicInteger();
+    private final AtomicInteger nextNumber = new AtomicInteger();
 
-    /** Requests told as not run. */
+    /** The number of requests reported as not run. */
     private final AtomicInteger notRun = new AtomicInteger();
 
-    /** Requests told as unknown. */
+    /** The number of requests whose outcome was reported as unknown. */
     private final AtomicInteger unknown = new AtomicInteger();
 
-    /** Requests with another answer, or none. */
-    private final AtomicInteger wrong = new AtomicInteger();
+    /** The number of requests with another answer, or none. */
+    private final AtomicInteger incorrect = new AtomicInteger();
 
-    /** What the caller saw of the first wrong or unknown ones. */
-    private final Queue<String> seen = new ConcurrentLinkedQueue<>();
+    /** Details of the first incorrect or unknown answers. */
+    private final Queue<String> failureDetails = new ConcurrentLinkedQueue<>();
 
-    /** Latencies of the right ones, in microseconds; -1 for the others. */
+    /** The latencies of the correct answers, in microseconds; -1 for other requests. */
     private long[] latencies;
 
     /**
      * Constructor.
      *
-     * @param entries the entries, taken in turn
-     * @param ready where each entry tells whether it takes new connections; empty to use all
+     * @param entries the entries, used in turn
+     * @param readinessUris the readiness address of each entry; empty to use all entries always
      * @param method the HTTP method
      * @param path the path
-     * @param keys whether each request has a key
+     * @param idempotencyKeys whether each request has an idempotency key
      * @param pauseMillis the pause after each request, in milliseconds
-     * @param retries how often a request that did not run is sent again
+     * @param maxRetries the maximum number of times that a request that was not run is sent again
      */
     public RequestLoad(
             List<URI> entries,
-            List<URI> ready,
+            List<URI> readinessUris,
             String method,
             String path,
-            boolean keys,
+            boolean idempotencyKeys,
             long pauseMillis,
-            int retries) {
+            int maxRetries) {
         this.entries = List.copyOf(entries);
-        this.ready = List.copyOf(ready);
-        this.open = new AtomicIntegerArray(entries.size());
+        this.readinessUris = List.copyOf(readinessUris);
+        this.idleConnections = new AtomicIntegerArray(entries.size());
         this.method = method;
         this.path = path;
-        this.keys = keys;
+        this.idempotencyKeys = idempotencyKeys;
         this.pauseMillis = pauseMillis;
-        this.retries = retries;
+        this.maxRetries = maxRetries;
     }
 
     /**
      * Sends the requests.
      *
-     * @param requests how many
-     * @param concurrency how many at once
-     * @return what became of them
+     * @param requests the number of requests
+     * @param concurrency the maximum number of requests in progress
+     * @return the outcomes of the requests
      * @throws InterruptedException if the thread is interrupted
      */
     public LoadReport run(int requests, int concurrency) throws InterruptedException {
         latencies = new long[requests];
         Arrays.fill(latencies, -1);
-        CountDownLatch done = new CountDownLatch(concurrency);
+        CountDownLatch finished = new CountDownLatch(concurrency);
         ExecutorService threads = ProcessThreads.newCached("load");
-        balancer = new LoadBalancer(ready);
+        balancer = new LoadBalancer(readinessUris);
         long start = System.nanoTime();
         for (int i = 0; i < concurrency; i++) {
-            threads.execute(() -> sendAll(requests, done));
+            threads.execute(() -> sendAll(requests, finished));
         }
-        done.await();
+        finished.await();
         double micros = (System.nanoTime() - start) / 1000.0;
         threads.shutdown();
         balancer.close();
-        long[] right = Arrays.stream(latencies).filter(one -> one >= 0).sorted().toArray();
+        long[] correct =
+                Arrays.stream(latencies).filter(latency -> latency >= 0).sorted().toArray();
         return new LoadReport(
                 requests,
-                right.length,
+                correct.length,
                 notRun.get(),
                 unknown.get(),
-                wrong.get(),
-                List.copyOf(seen),
-                percentile(right, 0.5),
-                percentile(right, 0.99),
-                right.length * SECOND_MICROS / micros);
+                incorrect.get(),
+                List.copyOf(failureDetails),
+                percentile(correct, 0.5),
+                percentile(correct, 0.99),
+                correct.length * MICROS_PER_SECOND / micros);
     }
 
-    private static long percentile(long[] sorted, double share) {
-        return sorted.length == 0 ? 0 : sorted[(int) Math.floor((sorted.length - 1) * share)];
+    private static long percentile(long[] sorted, double quantile) {
+        return sorted.length == 0 ? 0 : sorted[(int) Math.floor((sorted.length - 1) * quantile)];
     }
 
-    private void sendAll(int requests, CountDownLatch done) {
+    private void sendAll(int requests, CountDownLatch finished) {
         try {
-            int number = next.getAndIncrement();
+            int number = nextNumber.getAndIncrement();
             while (number < requests) {
                 send(number);
                 TimeUnit.MILLISECONDS.sleep(pauseMillis);
-                number = next.getAndIncrement();
+                number = nextNumber.getAndIncrement();
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         } finally {
-            done.countDown();
+            finished.countDown();
         }
     }
 
     private void send(int number) throws InterruptedException {
-        String name = run + "/" + number;
-        String body = "body of " + name;
+        String requestName = runId + "/" + number;
+        String body = "body of " + requestName;
         for (int i = 0; i < entries.size(); i++) {
             int entry = (number + i) % entries.size();
-            boolean used = takeOpen(entry) || balancer.isInRotation(entry);
-            if (used && sendTo(entry, number, name, body)) {
+            boolean selected = takeIdleConnection(entry) || balancer.isInRotation(entry);
+            if (selected && sendTo(entry, number, requestName, body)) {
                 return;
             }
         }
-        countWrong(number, "no entry takes connections");
+        countIncorrect(number, "no entry accepts connections");
     }
 
-    /** Takes an open connection to an entry, if there is one; it stays with its entry. */
-    private boolean takeOpen(int entry) {
-        int before = open.getAndUpdate(entry, count -> Math.max(0, count - 1));
+    /**
+     * Takes an idle connection to an entry, if there is one; a connection always belongs to one
+     * entry.
+     */
+    private boolean takeIdleConnection(int entry) {
+        int before = idleConnections.getAndUpdate(entry, count -> Math.max(0, count - 1));
         return before > 0;
     }
 
-    private void countWrong(int number, String reason) {
-        wrong.incrementAndGet();
-        describe(number, reason);
+    private void countIncorrect(int number, String reason) {
+        incorrect.incrementAndGet();
+        addFailureDetail(number, reason);
     }
 
-    private void describe(int number, String reason) {
-        if (seen.size() < MOST_SEEN) {
-            seen.add("request " + number + ": " + reason);
+    private void addFailureDetail(int number, String reason) {
+        if (failureDetails.size() < MAX_FAILURE_DETAILS) {
+            failureDetails.add("request " + number + ": " + reason);
         }
     }
 
-    /** Sends a request; false if the entry refused the connection, so that the next is tried. */
-    private boolean sendTo(int entry, int number, String name, String body)
+    /**
+     * Sends a request; returns false if the entry refused the connection, so that the next entry is
+     * tried.
+     */
+    private boolean sendTo(int entry, int number, String requestName, String body)
             throws InterruptedException {
         URI uri = entries.get(entry).resolve(path);
         HttpRequest.Builder request =
                 HttpRequest.newBuilder(uri)
-                        .timeout(TIMEOUT)
-                        .header(UpstreamServer.REQUEST_NUMBER_HEADER, name)
+                        .timeout(REQUEST_TIMEOUT)
+                        .header(UpstreamServer.REQUEST_NUMBER_HEADER, requestName)
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
-        if (keys) {
-            request.header("Idempotency-Key", name);
+        if (idempotencyKeys) {
+            request.header("Idempotency-Key", requestName);
         }
         long start = System.nanoTime();
         try {
             HttpResponse<String> response =
                     client.send(request.build(), HttpResponse.BodyHandlers.ofString());
-            for (int i = 0; i < retries && outcomeOf(response).equals(NOT_RUN); i++) {
+            for (int i = 0; i < maxRetries && outcomeOf(response).equals(NOT_RUN); i++) {
                 long seconds = response.headers().firstValueAsLong("Retry-After").orElse(1);
                 TimeUnit.SECONDS.sleep(seconds);
                 response = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
             }
             if (!response.headers().firstValue("Connection").orElse("").equals("close")) {
-                open.incrementAndGet(entry);
+                idleConnections.incrementAndGet(entry);
             }
             long micros = (System.nanoTime() - start) / 1000;
-            judge(number, response, method + " " + uri.getPath() + "\n" + body, micros);
+            recordOutcome(number, response, method + " " + uri.getPath() + "\n" + body, micros);
         } catch (ConnectException refused) {
             return false;
-        } catch (IOException cut) {
+        } catch (IOException exception) {
             long millis = (System.nanoTime() - start) / 1_000_000;
-            countWrong(number, uri + " after " + millis + " ms: " + cut);
+            countIncorrect(number, uri + " after " + millis + " ms: " + exception);
         }
         return true;
     }
 
-    private void judge(int number, HttpResponse<String> response, String expected, long micros) {
+    private void recordOutcome(
+            int number, HttpResponse<String> response, String expected, long micros) {
         String outcome = outcomeOf(response);
         if (outcome.equals(NOT_RUN)) {
             notRun.incrementAndGet();
         } else if (outcome.equals("unknown")) {
             unknown.incrementAndGet();
-            describe(number, "unknown: " + response.body().trim());
+            addFailureDetail(number, "unknown: " + response.body().trim());
         } else if (response.body().equals(expected)) {
             latencies[number] = micros;
         } else {
-            countWrong(number, "status " + response.statusCode() + ", body " + response.body());
+            countIncorrect(number, "status " + response.statusCode() + ", body " + response.body());
         }
     }
 
--- a/src/main/java/org/standlink/standin/StandInHttpServices.java
+++ b/src/main/java/org/standlink/standin/StandInHttpServices.java
@@ -36,24 +36,22 @@
  */
 public final class StandInHttpServices {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The most records in one answer. */
-    private static final String MOST_RECORDS = "500";
+    /** The default maximum number of records in one answer. */
+    private static final String DEFAULT_MAX_RECORDS = "500";
 
-    /** No instances. */
     private StandInHttpServices() {}
 
-    /** Does what a call asks for. */
+    /** Handles one request. */
     @FunctionalInterface
-    private interface Call {
+    private interface RequestHandling {
 
         /**
-         * Does it.
+         * Handles the request.
          *
-         * @return the value to answer
-         * @throws IOException if the body is not what is expected
+         * @return the value to answer with
+         * @throws IOException if the body is malformed
          */
         Object run() throws IOException;
     }
@@ -61,8 +59,8 @@
     /**
      * Serves a platform.
      *
-     * @param address where to listen
-     * @param executor where threads come from
+     * @param address the address to listen on
+     * @param executor runs the server and the request handlers
      * @param log the log
      * @param vms the VM list
      * @return the running service
@@ -87,7 +85,7 @@
                 request ->
                         answer(
                                 () -> {
-                                    control(request, log);
+                                    applyControl(request, log);
                                     return log.getEnd();
                                 }));
         return service;
@@ -108,8 +106,12 @@
                         answer(
                                 () ->
                                         log.read(
-                                                number(request, "from", "0"),
-                                                (int) number(request, "most", MOST_RECORDS))));
+                                                parseNumber(request, "from", "0"),
+                                                (int)
+                                                        parseNumber(
+                                                                request,
+                                                                "most",
+                                                                DEFAULT_MAX_RECORDS))));
     }
 
     /**
@@ -163,19 +165,19 @@
         return true;
     }
 
-    private static void control(HttpService.Request request, MemoryLog log) {
+    private static void applyControl(HttpService.Request request, MemoryLog log) {
         log.setDown(Boolean.parseBoolean(request.getParameter("down", "false")));
-        log.loseAnswers((int) number(request, "loseAnswers", "0"));
-        log.dropBefore(number(request, "dropBefore", "0"));
+        log.loseAnswers((int) parseNumber(request, "loseAnswers", "0"));
+        log.dropBefore(parseNumber(request, "dropBefore", "0"));
     }
 
-    private static long number(HttpService.Request request, String name, String otherwise) {
-        return Long.parseLong(request.getParameter(name, otherwise));
+    private static long parseNumber(HttpService.Request request, String name, String defaultValue) {
+        return Long.parseLong(request.getParameter(name, defaultValue));
     }
 
-    private static HttpService.Answer answer(Call call) throws IOException {
+    private static HttpService.Answer answer(RequestHandling handling) throws IOException {
         try {
-            return HttpService.Answer.ofJson(200, call.run());
+            return HttpService.Answer.ofJson(200, handling.run());
         } catch (StandlinkException failure) {
             if (failure.getCode() == ErrorCode.PLATFORM_UNAVAILABLE) {
                 return HttpService.Answer.ofText(503, failure.getMessage());
--- a/src/main/java/org/standlink/standin/UpstreamServer.java
+++ b/src/main/java/org/standlink/standin/UpstreamServer.java
@@ -31,62 +31,60 @@
 import org.standlink.process.HttpService;
 
 /**
- * An upstream that answers each request with what it asked, after a service time.
+ * An upstream that answers each request with the content of that request, after a service time.
  *
- * <p>It counts how often each numbered request ran and how many ran at once.
+ * <p>It counts how often each numbered request was run, and how many requests ran concurrently.
  *
  * <p>{@code UpstreamServer} is thread-safe.
  */
 public final class UpstreamServer implements AutoCloseable {
 
-    /** The header by which requests are numbered. */
+    /** The header with the number of a request. */
     public static final String REQUEST_NUMBER_HEADER = "Request-Number";
 
-    /** The header that asks for another service time, in milliseconds. */
+    /** The header that overrides the service time of a request, in milliseconds. */
     public static final String SERVICE_TIME_HEADER = "Service-Millis";
 
-    /** The path of the counts. */
+    /** The path that serves the counts. */
     public static final String COUNTS_PATH = "/stand-in/counts";
 
-    /** The server. */
     private final HttpServer server;
 
     /** The service time, in milliseconds. */
     private final long serviceMillis;
 
-    /** How often each numbered request ran. */
-    private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+    /** The number of runs of each numbered request. */
+    private final Map<String, AtomicInteger> runCounts = new ConcurrentHashMap<>();
 
-    /** Requests running. */
     private final AtomicInteger running = new AtomicInteger();
 
-    /** The most requests that ran at once. */
-    private final AtomicInteger mostRunning = new AtomicInteger();
+    /** The maximum number of requests that ran concurrently. */
+    private final AtomicInteger maxRunning = new AtomicInteger();
 
-    /** Tells when the callers have gone elsewhere. */
+    /** Determines when the callers have moved to other upstreams. */
     private final ConnectionDrain drain = new ConnectionDrain(MonotonicClock.ofSystem());
 
-    /** Tells which requests have reached the server. */
-    private final HttpPendingArrivals arrivals;
+    /** Determines whether requests have arrived that have not been read yet. */
+    private final HttpPendingArrivals pendingArrivals;
 
     /**
      * Constructor, which starts to listen.
      *
-     * @param address where to listen
-     * @param executor where threads come from
+     * @param address the address to listen on
+     * @param executor runs the server and the request handlers
      * @param serviceMillis the service time, in milliseconds
      */
     public UpstreamServer(InetSocketAddress address, Executor executor, long serviceMillis) {
         this.serviceMillis = serviceMillis;
         server = HttpService.newServer(address, executor);
-        arrivals = HttpPendingArrivals.monitor(server, executor);
-        HttpService.serve(server, "/", 500, drain, arrivals, this::run);
-        server.createContext(COUNTS_PATH, this::count);
+        pendingArrivals = HttpPendingArrivals.monitor(server, executor);
+        HttpService.serve(server, "/", 500, drain, pendingArrivals, this::run);
+        server.createContext(COUNTS_PATH, this::serveCounts);
         server.start();
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port of the server.
      *
      * @return the port
      */
@@ -95,36 +93,36 @@
     }
 
     /**
-     * Gets the most requests that ran at once.
+     * Gets the maximum number of requests that ran concurrently.
      *
-     * @return the number
+     * @return the number of requests
      */
     public int getMaxRunning() {
-        return mostRunning.get();
+        return maxRunning.get();
     }
 
     /**
-     * Gets how often a numbered request ran.
+     * Gets how often a numbered request was run.
      *
-     * @param number the number
-     * @return how often
+     * @param number the number of the request
+     * @return the number of runs
      */
     public int getRunCount(String number) {
-        AtomicInteger count = runs.get(number);
+        AtomicInteger count = runCounts.get(number);
         return count == null ? 0 : count.get();
     }
 
     /**
-     * Ends in order: callers are asked to close their connections, and requests are answered until
-     * no caller comes any more. An upstream that is stopped as planned has been announced as
-     * leaving before, so callers find another one.
+     * Shuts the server down gracefully: callers are asked to close their connections, and requests
+     * are answered until no more arrive. An upstream is announced as leaving before a planned stop,
+     * so that callers find another one.
      *
-     * @param mostMillis how long the whole may take, in milliseconds
+     * @param maxMillis the maximum duration, in milliseconds
      * @throws InterruptedException if the thread is interrupted
      */
-    public void drain(long mostMillis) throws InterruptedException {
+    public void drain(long maxMillis) throws InterruptedException {
         drain.leave();
-        drain.awaitDrained(mostMillis, TimeUnit.MILLISECONDS::sleep, arrivals, () -> {});
+        drain.awaitDrained(maxMillis, TimeUnit.MILLISECONDS::sleep, pendingArrivals, () -> {});
         close();
     }
 
@@ -135,44 +133,47 @@
 
     // -----------------------------------------------------------------------
     private void run(HttpExchange exchange) throws IOException {
-        int now = running.incrementAndGet();
-        mostRunning.accumulateAndGet(now, Math::max);
+        int runningNow = running.incrementAndGet();
+        maxRunning.accumulateAndGet(runningNow, Math::max);
         try {
             byte[] body = exchange.getRequestBody().readAllBytes();
             String number = exchange.getRequestHeaders().getFirst(REQUEST_NUMBER_HEADER);
             if (number != null) {
-                runs.computeIfAbsent(number, key -> new AtomicInteger()).incrementAndGet();
+                runCounts.computeIfAbsent(number, key -> new AtomicInteger()).incrementAndGet();
             }
-            String time = exchange.getRequestHeaders().getFirst(SERVICE_TIME_HEADER);
-            TimeUnit.MILLISECONDS.sleep(time == null ? serviceMillis : Long.parseLong(time));
-            String start = exchange.getRequestMethod() + " " + exchange.getRequestURI() + "\n";
+            String requestedMillis = exchange.getRequestHeaders().getFirst(SERVICE_TIME_HEADER);
+            TimeUnit.MILLISECONDS.sleep(
+                    requestedMillis == null ? serviceMillis : Long.parseLong(requestedMillis));
+            String requestLine =
+                    exchange.getRequestMethod() + " " + exchange.getRequestURI() + "\n";
             if (drain.closeIfLeaving(exchange.getRemoteAddress())) {
                 exchange.getResponseHeaders().set("Connection", "close");
             }
-            write(exchange, start, body);
-        } catch (InterruptedException stopped) {
+            write(exchange, requestLine, body);
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         } finally {
             running.decrementAndGet();
         }
     }
 
-    private static void write(HttpExchange exchange, String start, byte[] body) throws IOException {
-        byte[] head = start.getBytes(StandardCharsets.UTF_8);
+    private static void write(HttpExchange exchange, String prefix, byte[] body)
+            throws IOException {
+        byte[] head = prefix.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(200, head.length + (long) body.length);
         exchange.getResponseBody().write(head);
         exchange.getResponseBody().write(body);
     }
 
-    private void count(HttpExchange exchange) throws IOException {
-        long twice = runs.values().stream().filter(count -> count.get() > 1).count();
+    private void serveCounts(HttpExchange exchange) throws IOException {
+        long ranTwice = runCounts.values().stream().filter(count -> count.get() > 1).count();
         String text =
                 "{\"requests\":"
-                        + runs.size()
+                        + runCounts.size()
                         + ",\"ranTwice\":"
-                        + twice
+                        + ranTwice
                         + ",\"mostRunning\":"
-                        + mostRunning.get()
+                        + maxRunning.get()
                         + "}";
         try (exchange) {
             write(exchange, text, new byte[0]);
--- a/src/test/java/org/standlink/standin/TestUpstreamServer.java
+++ b/src/test/java/org/standlink/standin/TestUpstreamServer.java
@@ -38,24 +38,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the stand-in of an upstream.
+ * Tests the graceful shutdown of the stand-in for an upstream.
  *
- * <p>Seen: one request of 2500 was answered as unknown while an upstream was stopped as planned
- * beside a busy machine; its agent had lost the answer ("header parser received no bytes"). How it
- * came about: nothing had been handed to a handler for half a second, as the server's own thread
- * had not run, so the server took itself for idle. It closed its listener, and the system reset the
- * connections that had not been accepted, with the requests on them. The same held for entries.
+ * <p>Guards against requests lost by a planned stop on a busy machine. The server considered itself
+ * idle because nothing had been passed to a handler for half a second, although its own thread had
+ * not run. It closed its listener, and the operating system reset the connections that had not been
+ * accepted, with the requests on them. One request of 2500 was answered as unknown, as its agent
+ * had lost the answer ("header parser received no bytes"). Entries had the same fault.
  */
 public class TestUpstreamServer {
 
-    /** The service time, in milliseconds; all requests of a test take longer than a notice did. */
+    /**
+     * The service time, in milliseconds. In total, the requests of a test take longer than the
+     * server's former notice period.
+     */
     private static final long SERVICE_MILLIS = 60;
 
-    /** How long the server's own thread is held up, in milliseconds. */
-    private static final long HELD_MILLIS = 4000;
+    /** How long the server's own thread is blocked, in milliseconds. */
+    private static final long BLOCKED_MILLIS = 4000;
 
-    /** The requests that come while the upstream leaves. */
-    private static final int REQUESTS = 20;
+    /** The number of requests that are sent while the upstream is leaving. */
+    private static final int REQUEST_COUNT = 20;
 
     @Test
     public void answersRequestsWhileLeaving() throws Exception {
@@ -65,12 +68,12 @@
         try {
             HttpClient client = HttpClient.newHttpClient();
             assertEquals(200, send(client, server).statusCode());
-            Future<?> leaving = threads.submit(() -> drain(server));
-            for (int i = 0; i < REQUESTS; i++) {
+            Future<?> draining = threads.submit(() -> drain(server));
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 assertEquals(200, send(client, server).statusCode());
             }
-            leaving.get();
-            assertTrue(leaving.isDone());
+            draining.get();
+            assertTrue(draining.isDone());
         } finally {
             server.close();
             threads.shutdownNow();
@@ -82,25 +85,26 @@
         ExecutorService threads = Executors.newFixedThreadPool(4);
         CountDownLatch arrived = new CountDownLatch(1);
         CountDownLatch released = new CountDownLatch(1);
-        // The server's own thread, which accepts and reads, is held up by the first request.
-        AtomicBoolean holds = new AtomicBoolean(true);
-        Executor held =
+        // The first request blocks the server's own thread, which accepts and reads.
+        AtomicBoolean blocksNext = new AtomicBoolean(true);
+        Executor blockingExecutor =
                 task -> {
-                    if (holds.getAndSet(false)) {
+                    if (blocksNext.getAndSet(false)) {
                         arrived.countDown();
-                        await(released);
+                        awaitWithTimeout(released);
                     }
                     threads.execute(task);
                 };
         UpstreamServer server =
-                new UpstreamServer(new InetSocketAddress("127.0.0.1", 0), held, SERVICE_MILLIS);
+                new UpstreamServer(
+                        new InetSocketAddress("127.0.0.1", 0), blockingExecutor, SERVICE_MILLIS);
         try (Socket first = connect(server)) {
             arrived.await();
             try (Socket second = connect(server)) {
-                Future<?> leaving = threads.submit(() -> drain(server));
+                Future<?> draining = threads.submit(() -> drain(server));
                 assertEquals("HTTP/1.1 200 OK", readStatus(second));
                 assertEquals("HTTP/1.1 200 OK", readStatus(first));
-                leaving.get();
+                draining.get();
             }
         } finally {
             released.countDown();
@@ -109,11 +113,11 @@
         }
     }
 
-    /** Waits for longer than a server that takes itself for idle stays. */
-    private static void await(CountDownLatch latch) {
+    /** Waits longer than a server that considers itself idle keeps listening. */
+    private static void awaitWithTimeout(CountDownLatch latch) {
         try {
-            latch.await(HELD_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException stopped) {
+            latch.await(BLOCKED_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
