--- a/src/test/java/org/standlink/specification/SpecificationCheck.java
+++ b/src/test/java/org/standlink/specification/SpecificationCheck.java
@@ -32,15 +32,16 @@
 import org.standlink.process.ProcessThreads;
 
 /**
- * One run of TLC: a specification with its constants, which holds or must be found broken.
+ * One run of TLC: a specification with its constants, whose invariants must hold or one of which
+ * must be violated.
  *
  * <p>{@code SpecificationCheck} is immutable and thread-safe.
  *
  * @param module the specification
  * @param name the name of this choice of constants
- * @param invariants the invariants, with spaces between them
- * @param constants the constants
- * @param violatedInvariant the invariant that must be found broken, null if all hold
+ * @param invariants the invariants, separated by spaces
+ * @param constants the values of the constants, by name
+ * @param violatedInvariant the invariant that must be violated, null if all must hold
  */
 record SpecificationCheck(
         String module,
@@ -49,54 +50,57 @@
         Map<String, String> constants,
         String violatedInvariant) {
 
-    /** The status with which TLC ends if an invariant is broken. */
-    private static final int VIOLATION = 12;
+    /** The exit status of TLC if an invariant is violated. */
+    private static final int VIOLATION_STATUS = 12;
 
-    /** Runs some checks side by side. */
+    /** Runs a few checks in parallel. */
     private static final ExecutorService POOL = ProcessThreads.newBounded("tlc", 3);
 
-    /** Finds the number of states in what TLC says. */
-    private static final Pattern STATES =
+    /** Matches the numbers of states in the output of TLC. */
+    private static final Pattern STATE_COUNTS =
             Pattern.compile("(\\d+) states generated, (\\d+) distinct states found");
 
     /**
-     * Makes the tests.
+     * Creates the tests of some checks.
      *
-     * @param checks what each of them runs
-     * @return the tests, in this order
+     * @param checks the checks
+     * @return one test for each check, in the same order
      */
     static Stream<DynamicTest> createTests(SpecificationCheck... checks) {
-        // All are started at once and some run side by side; each test waits for its own.
+        // All checks are submitted at once and a few run in parallel; each test waits for its own.
         return Stream.of(checks)
                 .map(
                         check ->
                                 Map.entry(
                                         check,
-                                        CompletableFuture.supplyAsync(() -> output(check), POOL)))
+                                        CompletableFuture.supplyAsync(
+                                                () -> runUnchecked(check), POOL)))
                 .toList()
                 .stream()
                 .map(
                         entry ->
                                 DynamicTest.dynamicTest(
                                         entry.getKey().module() + " " + entry.getKey().name(),
-                                        () -> judge(entry.getKey(), entry.getValue().join())));
+                                        () ->
+                                                verifyOutput(
+                                                        entry.getKey(), entry.getValue().join())));
     }
 
-    private static String output(SpecificationCheck check) {
+    private static String runUnchecked(SpecificationCheck check) {
         try {
-            return check(check);
+            return runTlc(check);
         } catch (IOException | InterruptedException failure) {
             throw new IllegalStateException(failure);
         }
     }
 
-    private static void judge(SpecificationCheck check, String output) {
-        Matcher states = STATES.matcher(output);
+    private static void verifyOutput(SpecificationCheck check, String output) {
+        Matcher states = STATE_COUNTS.matcher(output);
         assertTrue(states.find(), output);
         String verdict =
                 check.violatedInvariant() == null
                         ? "holds"
-                        : "is broken, as it must be: " + check.violatedInvariant();
+                        : "is violated, as required: " + check.violatedInvariant();
         System.out.printf(
                 "%s %s %s; %s states, %s distinct%n",
                 check.module(), check.name(), verdict, states.group(1), states.group(2));
@@ -109,7 +113,8 @@
         }
     }
 
-    private static String check(SpecificationCheck check) throws IOException, InterruptedException {
+    private static String runTlc(SpecificationCheck check)
+            throws IOException, InterruptedException {
         Path folder =
                 Files.createDirectories(
                         Path.of("target", "specs", check.module() + "-" + check.name()));
@@ -118,7 +123,8 @@
                 folder.resolve(check.module() + ".tla"),
                 java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         StringBuilder configuration = new StringBuilder("SPECIFICATION Spec\n");
-        // A variant may break several invariants; which one several threads find first is chance.
+        // A variant may violate several invariants, and which of them the threads of TLC find first
+        // varies, so only the expected one is checked.
         String invariants =
                 check.violatedInvariant() == null ? check.invariants() : check.violatedInvariant();
         for (String invariant : invariants.split(" ")) {
@@ -153,7 +159,10 @@
                         .redirectErrorStream(true)
                         .start();
         String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(check.violatedInvariant() == null ? 0 : VIOLATION, process.waitFor(), output);
+        assertEquals(
+                check.violatedInvariant() == null ? 0 : VIOLATION_STATUS,
+                process.waitFor(),
+                output);
         return output;
     }
 }
--- a/src/test/java/org/standlink/specification/TestSpecifications.java
+++ b/src/test/java/org/standlink/specification/TestSpecifications.java
@@ -24,7 +24,7 @@
 
 /**
  * Checks the specifications with TLC: the design holds, and each variant without one of its fences
- * is found to be broken.
+ * violates an invariant.
  */
 public class TestSpecifications {
 
@@ -80,7 +80,7 @@
     private static final Map<String, String> WITH_RESTARTS =
             with(TWO_LEADERS, "Restarts", "TRUE", "Authority", "2");
 
-    /** One leader whose appends may land late, and agents that may start anew. */
+    /** One leader whose appends may take effect late, and agents that may restart. */
     private static final Map<String, String> LATE_RESTARTS =
             with(
                     ONE_LEADER,
@@ -104,31 +104,31 @@
 
     @TestFactory
     Stream<DynamicTest> leasesWithoutAFence() {
-        String broken = "OnePlace";
+        String violated = "OnePlace";
         Map<String, String> quick = with(ONE_LEADER, "Pauses", "FALSE", "LateAppends", "FALSE");
         return SpecificationCheck.createTests(
                 lease(
                         "waits-one-worker-lease",
                         with(ONE_LEADER, "WorkerWaits", "1", "Worker", "3"),
-                        broken),
-                lease("takes-release-back", with(ONE_LEADER, "Sticky", "FALSE"), broken),
-                lease("takes-old-answers", with(quick, "LatestOnly", "FALSE"), broken),
-                lease("hands-out-ended", with(LATE_RESTARTS, "EndsStick", "FALSE"), broken),
+                        violated),
+                lease("takes-release-back", with(ONE_LEADER, "Sticky", "FALSE"), violated),
+                lease("takes-old-answers", with(quick, "LatestOnly", "FALSE"), violated),
+                lease("hands-out-ended", with(LATE_RESTARTS, "EndsStick", "FALSE"), violated),
                 lease(
                         "believes-earlier-run",
                         with(LATE_RESTARTS, "ChecksRun", "FALSE", "LateAppends", "FALSE"),
-                        broken),
-                lease("forgets-authority", with(TWO_LEADERS, "UnheardWaits", "FALSE"), broken),
-                lease("counts-unacknowledged", with(TWO_LEADERS, "NeedsAck", "FALSE"), broken),
+                        violated),
+                lease("forgets-authority", with(TWO_LEADERS, "UnheardWaits", "FALSE"), violated),
+                lease("counts-unacknowledged", with(TWO_LEADERS, "NeedsAck", "FALSE"), violated),
                 lease(
                         "restart-without-read",
                         with(WITH_RESTARTS, "RestartReads", "FALSE"),
-                        broken));
+                        violated));
     }
 
     private static SpecificationCheck lease(
-            String name, Map<String, String> constants, String broken) {
-        return new SpecificationCheck("Leases", name, "OnePlace", constants, broken);
+            String name, Map<String, String> constants, String violated) {
+        return new SpecificationCheck("Leases", name, "OnePlace", constants, violated);
     }
 
     @TestFactory
@@ -257,8 +257,8 @@
     }
 
     private static SpecificationCheck cell(
-            String name, Map<String, String> constants, String broken) {
-        return new SpecificationCheck("Cell", name, "OnePlace NoneAfterDone", constants, broken);
+            String name, Map<String, String> constants, String violated) {
+        return new SpecificationCheck("Cell", name, "OnePlace NoneAfterDone", constants, violated);
     }
 
     @TestFactory
@@ -270,11 +270,11 @@
     }
 
     private static SpecificationCheck appends(
-            String name, Map<String, String> constants, String broken) {
-        return new SpecificationCheck("Appends", name, "ToldIsKept", constants, broken);
+            String name, Map<String, String> constants, String violated) {
+        return new SpecificationCheck("Appends", name, "ToldIsKept", constants, violated);
     }
 
-    /** Two processes of an agent, and calls that are carried out late. */
+    /** Two processes of an agent, and calls that are executed late. */
     private static final Map<String, String> LATE_CALLS =
             with(
                     allTrue(
@@ -299,7 +299,7 @@
                     "Lease",
                     "1");
 
-    /** Two processes of an agent, and reports that come late. */
+    /** Two processes of an agent, and reports that arrive late. */
     private static final Map<String, String> LATE_REPORTS =
             with(LATE_CALLS, "MaxGeneration", "2", "MaxReports", "2", "MaxCalls", "1");
 
@@ -327,12 +327,12 @@
     private static SpecificationCheck agent(
             String name, Map<String, String> constants, boolean holds) {
         String both = "OnePlace PresentHeard";
-        String broken = holds ? null : "OnePlace";
-        return new SpecificationCheck("AgentLeases", name, both, constants, broken);
+        String violated = holds ? null : "OnePlace";
+        return new SpecificationCheck("AgentLeases", name, both, constants, violated);
     }
 
-    /** A worker that starts again once under its id; each start is called for once. */
-    private static final Map<String, String> TWO_LIVES =
+    /** A worker that restarts once under its id; each start is requested once. */
+    private static final Map<String, String> RESTARTED =
             with(
                     allTrue(
                             "TellsLives",
@@ -350,25 +350,25 @@
                     "MaxCalls",
                     "2");
 
-    /** The last two are not barred: they show what is known to be open. */
+    /** The design does not prevent the last two violations: they are known limits. */
     @TestFactory
     Stream<DynamicTest> workerIncarnations() {
         return SpecificationCheck.createTests(
-                lives("two-lives", TWO_LIVES, null),
-                lives("tells-no-lives", with(TWO_LIVES, "TellsLives", "FALSE"), "NoEndLost"),
-                lives("raises-nothing", with(TWO_LIVES, "RaisesFirst", "FALSE"), "OnePlace"),
-                lives("waits-for-nothing", with(TWO_LIVES, "WaitsForLists", "FALSE"), "OnePlace"),
-                lives("any-lists", with(TWO_LIVES, "ListsUnderRaised", "FALSE"), "OnePlace"),
-                lives("gives-up-all", with(TWO_LIVES, "TakesOver", "FALSE"), "OnePlace"),
-                lives("records-go-on", with(TWO_LIVES, "RecordsAnew", "FALSE"), "NoEndLost"),
-                lives("calls-repeated", with(TWO_LIVES, "RepeatsCalls", "TRUE"), "NotAgain"),
-                lives("three-lives", with(TWO_LIVES, "MaxLife", "3"), "OnePlace"));
+                worker("two-lives", RESTARTED, null),
+                worker("tells-no-lives", with(RESTARTED, "TellsLives", "FALSE"), "NoEndLost"),
+                worker("raises-nothing", with(RESTARTED, "RaisesFirst", "FALSE"), "OnePlace"),
+                worker("waits-for-nothing", with(RESTARTED, "WaitsForLists", "FALSE"), "OnePlace"),
+                worker("any-lists", with(RESTARTED, "ListsUnderRaised", "FALSE"), "OnePlace"),
+                worker("gives-up-all", with(RESTARTED, "TakesOver", "FALSE"), "OnePlace"),
+                worker("records-go-on", with(RESTARTED, "RecordsAnew", "FALSE"), "NoEndLost"),
+                worker("calls-repeated", with(RESTARTED, "RepeatsCalls", "TRUE"), "NotAgain"),
+                worker("three-lives", with(RESTARTED, "MaxLife", "3"), "OnePlace"));
     }
 
-    private static SpecificationCheck lives(
-            String name, Map<String, String> constants, String broken) {
+    private static SpecificationCheck worker(
+            String name, Map<String, String> constants, String violated) {
         String all = "OnePlace NotAgain NoEndLost";
-        return new SpecificationCheck("WorkerLives", name, all, constants, broken);
+        return new SpecificationCheck("WorkerLives", name, all, constants, violated);
     }
 
     // -----------------------------------------------------------------------
