--- a/src/main/java/org/standlink/standin/StandInHttp.java
+++ b/src/main/java/org/standlink/standin/StandInHttpServices.java
@@ -24,36 +24,34 @@
 import org.standlink.port.LogPort;
 import org.standlink.port.PlatformRefusal;
 import org.standlink.port.VmEntry;
-import org.standlink.port.WorkerCall;
 import org.standlink.port.WorkerLease;
 import org.standlink.port.WorkerPort;
+import org.standlink.port.WorkerRequest;
 import org.standlink.process.HttpService;
 
 /**
  * Serves the in-memory stand-ins over the protocol of the HTTP adapters.
  *
- * <p>{@code StandInHttp} is thread-safe and immutable.
+ * <p>{@code StandInHttpServices} is thread-safe and immutable.
  */
-public final class StandInHttp {
+public final class StandInHttpServices {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The most records in one answer. */
-    private static final String MOST_RECORDS = "500";
+    /** The default maximum number of records in one answer. */
+    private static final String DEFAULT_MAX_RECORDS = "500";
 
-    /** No instances. */
-    private StandInHttp() {}
+    private StandInHttpServices() {}
 
-    /** Does what a call asks for. */
+    /** Handles one request. */
     @FunctionalInterface
-    private interface Call {
+    private interface RequestHandling {
 
         /**
-         * Does it.
+         * Handles the request.
          *
-         * @return the value to answer
-         * @throws IOException if the body is not what is expected
+         * @return the value to answer with
+         * @throws IOException if the body is malformed
          */
         Object run() throws IOException;
     }
@@ -61,8 +59,8 @@
     /**
      * Serves a platform.
      *
-     * @param address where to listen
-     * @param executor where threads come from
+     * @param address the address to listen on
+     * @param executor runs the server and the request handlers
      * @param log the log
      * @param vms the VM list
      * @return the running service
@@ -71,8 +69,8 @@
             InetSocketAddress address, Executor executor, MemoryLog log, MemoryVmList vms) {
         HttpService service = new HttpService(address, executor);
         serveLog(service, log);
-        service.on("GET", "/vms", request -> answer(vms::list));
-        service.on(
+        service.addHandler("GET", "/vms", request -> answer(vms::list));
+        service.addHandler(
                 "POST",
                 "/control/vms",
                 request ->
@@ -81,13 +79,13 @@
                                     vms.put(MAPPER.readValue(request.body(), VmEntry.class));
                                     return true;
                                 }));
-        service.on(
+        service.addHandler(
                 "POST",
                 "/control/log",
                 request ->
                         answer(
                                 () -> {
-                                    control(request, log);
+                                    applyControl(request, log);
                                     return log.getEnd();
                                 }));
         return service;
@@ -100,16 +98,20 @@
      * @param log the log
      */
     public static void serveLog(HttpService service, LogPort log) {
-        service.on("POST", "/log", request -> answer(() -> log.append(request.body())));
-        service.on(
+        service.addHandler("POST", "/log", request -> answer(() -> log.append(request.body())));
+        service.addHandler(
                 "GET",
                 "/log",
                 request ->
                         answer(
                                 () ->
                                         log.read(
-                                                number(request, "from", "0"),
-                                                (int) number(request, "most", MOST_RECORDS))));
+                                                parseNumber(request, "from", "0"),
+                                                (int)
+                                                        parseNumber(
+                                                                request,
+                                                                "most",
+                                                                DEFAULT_MAX_RECORDS))));
     }
 
     /**
@@ -119,7 +121,7 @@
      * @param worker the worker
      */
     public static void serveWorker(HttpService service, WorkerPort worker) {
-        service.on(
+        service.addHandler(
                 "POST",
                 "/lease/acquire",
                 request ->
@@ -127,7 +129,7 @@
                                 () ->
                                         worker.acquire(
                                                 MAPPER.readValue(request.body(), String.class))));
-        service.on(
+        service.addHandler(
                 "POST",
                 "/lease/renew",
                 request ->
@@ -136,45 +138,46 @@
                                         worker.renew(
                                                 MAPPER.readValue(
                                                         request.body(), WorkerLease.class))));
-        service.on("POST", "/tasks/start", request -> answer(() -> start(worker, request)));
-        service.on("POST", "/tasks/stop", request -> answer(() -> stop(worker, request)));
-        service.on("POST", "/tasks/throttle", request -> answer(() -> throttle(worker, request)));
-        service.on("GET", "/tasks", request -> answer(worker::list));
+        service.addHandler("POST", "/tasks/start", request -> answer(() -> start(worker, request)));
+        service.addHandler("POST", "/tasks/stop", request -> answer(() -> stop(worker, request)));
+        service.addHandler(
+                "POST", "/tasks/throttle", request -> answer(() -> throttle(worker, request)));
+        service.addHandler("GET", "/tasks", request -> answer(worker::list));
     }
 
     // -----------------------------------------------------------------------
     private static boolean start(WorkerPort worker, HttpService.Request request)
             throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         worker.start(call.lease(), call.start());
         return true;
     }
 
     private static Object stop(WorkerPort worker, HttpService.Request request) throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         return worker.stop(call.lease(), call.task(), call.attempt());
     }
 
     private static boolean throttle(WorkerPort worker, HttpService.Request request)
             throws IOException {
-        WorkerCall call = MAPPER.readValue(request.body(), WorkerCall.class);
+        WorkerRequest call = MAPPER.readValue(request.body(), WorkerRequest.class);
         worker.throttle(call.lease(), call.task(), call.percent());
         return true;
     }
 
-    private static void control(HttpService.Request request, MemoryLog log) {
+    private static void applyControl(HttpService.Request request, MemoryLog log) {
         log.setDown(Boolean.parseBoolean(request.getParameter("down", "false")));
-        log.loseAnswers((int) number(request, "loseAnswers", "0"));
-        log.dropBefore(number(request, "dropBefore", "0"));
+        log.loseAnswers((int) parseNumber(request, "loseAnswers", "0"));
+        log.dropBefore(parseNumber(request, "dropBefore", "0"));
     }
 
-    private static long number(HttpService.Request request, String name, String otherwise) {
-        return Long.parseLong(request.getParameter(name, otherwise));
+    private static long parseNumber(HttpService.Request request, String name, String defaultValue) {
+        return Long.parseLong(request.getParameter(name, defaultValue));
     }
 
-    private static HttpService.Answer answer(Call call) throws IOException {
+    private static HttpService.Answer answer(RequestHandling handling) throws IOException {
         try {
-            return HttpService.Answer.ofJson(200, call.run());
+            return HttpService.Answer.ofJson(200, handling.run());
         } catch (StandlinkException failure) {
             if (failure.getCode() == ErrorCode.PLATFORM_UNAVAILABLE) {
                 return HttpService.Answer.ofText(503, failure.getMessage());
