--- a/src/main/java/org/standlink/json/Addresses.java
+++ b/src/main/java/org/standlink/json/Addresses.java
@@ -27,38 +27,36 @@
  */
 public final class Addresses {
 
-    /** The highest port. */
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** No instances. */
     private Addresses() {}
 
     /**
-     * Parses host and port.
+     * Parses an address of host and port.
      *
      * @param text the text, such as {@code 10.0.0.1:7000}
      * @return the address
-     * @throws StandlinkException with code INVALID_SETTINGS if the text is not one
+     * @throws StandlinkException with code INVALID_SETTINGS if the text is malformed
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= HIGHEST_PORT) {
+            if (colon > 0 && port >= 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
-        } catch (NumberFormatException notPort) {
-            throw wrong(text, "host:port, such as 10.0.0.1:7000", notPort);
+        } catch (NumberFormatException e) {
+            throw invalidAddress(text, "host:port, such as 10.0.0.1:7000", e);
         }
-        throw wrong(text, "host:port, such as 10.0.0.1:7000", null);
+        throw invalidAddress(text, "host:port, such as 10.0.0.1:7000", null);
     }
 
     /**
-     * Parses the start of HTTP addresses.
+     * Parses the base of HTTP addresses.
      *
      * @param text the text, such as {@code http://10.0.0.1:7000}
      * @return the address
-     * @throws StandlinkException with code INVALID_SETTINGS if the text is not one
+     * @throws StandlinkException with code INVALID_SETTINGS if the text is malformed
      */
     public static URI parseHttp(String text) {
         try {
@@ -66,13 +64,13 @@
             if (uri.getHost() != null && uri.getScheme().matches("https?")) {
                 return uri;
             }
-        } catch (IllegalArgumentException malformed) {
-            throw wrong(text, "http://host:port", malformed);
+        } catch (IllegalArgumentException e) {
+            throw invalidAddress(text, "http://host:port", e);
         }
-        throw wrong(text, "http://host:port", null);
+        throw invalidAddress(text, "http://host:port", null);
     }
 
-    private static StandlinkException wrong(String text, String form, Throwable cause) {
+    private static StandlinkException invalidAddress(String text, String form, Throwable cause) {
         return new StandlinkException(
                 ErrorCode.INVALID_SETTINGS,
                 "'" + text + "' is not an address",
--- a/src/main/java/org/standlink/json/JsonSection.java
+++ b/src/main/java/org/standlink/json/JsonSection.java
@@ -30,77 +30,67 @@
 import org.standlink.StandlinkException;
 
 /**
- * One JSON object that is being read with every key checked.
+ * Reads a JSON object and checks every key.
  *
- * <p>Each getter notes the key as known and adds a fault when the value is missing, of the wrong
- * type or out of range; it then returns a harmless stand-in so that reading goes on. After the last
- * getter, {@link #reportUnknownKeys()} reports the keys that nobody asked for.
+ * <p>Each getter registers its key and adds an error if the value is missing, of the wrong type or
+ * out of range; it then returns a substitute value so that further errors are found. After the last
+ * getter, {@link #reportUnknownKeys()} reports the keys that were not requested.
  *
  * <p>{@code JsonSection} is mutable and not thread-safe.
  */
 public final class JsonSection {
 
-    /** The parser, which refuses a key given twice and text after the end. */
+    /** The parser, which rejects duplicate keys and trailing text. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper()
                     .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    /** The object. */
     private final JsonNode node;
 
-    /** Where the object is, empty for the whole file. */
+    /** The path of the object, empty for the whole file. */
     private final String path;
 
-    /** Where faults go. */
-    private final ValidationErrors faults;
+    private final ValidationErrors errors;
 
-    /** The keys that were asked for. */
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> requestedKeys = new HashSet<>();
 
-    /**
-     * Constructor.
-     *
-     * @param node the object
-     * @param path where the object is
-     * @param faults where faults go
-     */
-    private JsonSection(JsonNode node, String path, ValidationErrors faults) {
+    private JsonSection(JsonNode node, String path, ValidationErrors errors) {
         this.node = node;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     /**
-     * Parses a text.
+     * Parses a JSON text.
      *
      * @param text the JSON text
-     * @param faults where faults go
+     * @param errors collects the errors
      * @return the section, empty if the text is not a JSON object
      */
-    public static JsonSection parse(String text, ValidationErrors faults) {
+    public static JsonSection parse(String text, ValidationErrors errors) {
         try {
-            return of(MAPPER.readTree(text), "", faults);
-        } catch (JsonProcessingException malformed) {
-            faults.add("$", "not JSON: " + malformed.getOriginalMessage(), "mend the syntax");
-            return new JsonSection(MAPPER.createObjectNode(), "", faults);
+            return of(MAPPER.readTree(text), "", errors);
+        } catch (JsonProcessingException e) {
+            errors.add("$", "not JSON: " + e.getOriginalMessage(), "correct the syntax");
+            return new JsonSection(MAPPER.createObjectNode(), "", errors);
         }
     }
 
     /**
-     * Makes a section of a node.
+     * Creates a section of a node.
      *
      * @param node the node
-     * @param path where it is
-     * @param faults where faults go
+     * @param path its path
+     * @param errors collects the errors
      * @return the section, empty if the node is not an object
      */
-    private static JsonSection of(JsonNode node, String path, ValidationErrors faults) {
+    private static JsonSection of(JsonNode node, String path, ValidationErrors errors) {
         if (node.isObject()) {
-            return new JsonSection(node, path, faults);
+            return new JsonSection(node, path, errors);
         }
-        faults.add(path.isEmpty() ? "$" : path, "not an object", "write {...} here");
-        return new JsonSection(MAPPER.createObjectNode(), path, faults);
+        errors.add(path.isEmpty() ? "$" : path, "not an object", "write {...} here");
+        return new JsonSection(MAPPER.createObjectNode(), path, errors);
     }
 
     // -----------------------------------------------------------------------
@@ -125,66 +115,66 @@
     }
 
     /**
-     * Gets a text that must be there.
+     * Gets a required string.
      *
      * @param key the key
-     * @return the text, empty if there is a fault
+     * @return the string, empty if it is missing or invalid
      */
     public String requiredText(String key) {
-        JsonNode value = required(key, "a text");
+        JsonNode value = required(key, "a string");
         return value == null ? "" : textOf(key, value, "");
     }
 
     /**
-     * Gets a text that may be left out.
+     * Gets an optional string.
      *
      * @param key the key
-     * @param otherwise the text if left out
-     * @return the text
+     * @param defaultValue the string if missing or invalid
+     * @return the string
      */
-    public String text(String key, String otherwise) {
-        known.add(key);
-        return has(key) ? textOf(key, node.get(key), otherwise) : otherwise;
+    public String text(String key, String defaultValue) {
+        requestedKeys.add(key);
+        return has(key) ? textOf(key, node.get(key), defaultValue) : defaultValue;
     }
 
     /**
-     * Gets a typed value written as text that must be there.
+     * Gets a required typed value, which is written as a string.
      *
      * @param <T> the type of the value
      * @param key the key
-     * @param parser makes the value of the text
-     * @return the value, null if there is a fault
+     * @param parser parses the string
+     * @return the value, null if it is missing or invalid
      */
     public <T> T requiredValue(String key, Function<String, T> parser) {
-        JsonNode value = required(key, "a text");
+        JsonNode value = required(key, "a string");
         return value == null ? null : parse(pathOf(key), textOf(key, value, null), parser);
     }
 
     /**
-     * Gets a typed value written as text that may be left out.
+     * Gets an optional typed value, which is written as a string.
      *
      * @param <T> the type of the value
      * @param key the key
-     * @param parser makes the value of the text
-     * @param otherwise the value if left out
-     * @return the value
+     * @param parser parses the string
+     * @param defaultValue the value if missing
+     * @return the value, null if it is invalid
      */
-    public <T> T value(String key, Function<String, T> parser, T otherwise) {
-        known.add(key);
-        return has(key) ? requiredValue(key, parser) : otherwise;
+    public <T> T value(String key, Function<String, T> parser, T defaultValue) {
+        requestedKeys.add(key);
+        return has(key) ? requiredValue(key, parser) : defaultValue;
     }
 
     /**
-     * Gets a constant of an enumeration, written in lower case.
+     * Gets an optional enum constant, which is written in lower case.
      *
-     * @param <E> the enumeration
+     * @param <E> the enum
      * @param key the key
-     * @param type the class of the enumeration
-     * @param otherwise the constant if left out
+     * @param type the class of the enum
+     * @param defaultValue the constant if missing or invalid
      * @return the constant
      */
-    public <E extends Enum<E>> E enumValue(String key, Class<E> type, E otherwise) {
-        String text = text(key, otherwise.name().toLowerCase(Locale.ROOT));
+    public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue) {
+        String text = text(key, defaultValue.name().toLowerCase(Locale.ROOT));
         List<String> allowed = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
             String name = constant.name().toLowerCase(Locale.ROOT);
@@ -193,93 +183,92 @@
             }
             allowed.add(name);
         }
-        faults.add(pathOf(key), "'" + text + "' is not known", "use one of " + allowed);
-        return otherwise;
+        errors.add(pathOf(key), "'" + text + "' is not known", "use one of " + allowed);
+        return defaultValue;
     }
 
     /**
-     * Gets a whole number that must be there.
+     * Gets a required integer.
      *
      * @param key the key
-     * @param low the least allowed
-     * @param high the greatest allowed
-     * @return the number, {@code low} if there is a fault
+     * @param min the minimum
+     * @param max the maximum
+     * @return the number, {@code min} if it is missing or invalid
      */
-    public long requiredInteger(String key, long low, long high) {
-        JsonNode value = required(key, "a whole number from " + low + " to " + high);
-        return value == null ? low : integerOf(key, value, low, high);
+    public long requiredInteger(String key, long min, long max) {
+        JsonNode value = required(key, "a whole number from " + min + " to " + max);
+        return value == null ? min : integerOf(key, value, min, max);
     }
 
     /**
-     * Gets a whole number that may be left out.
+     * Gets an optional integer.
      *
      * @param key the key
-     * @param otherwise the number if left out
-     * @param low the least allowed
-     * @param high the greatest allowed
-     * @return the number
+     * @param defaultValue the number if missing
+     * @param min the minimum
+     * @param max the maximum
+     * @return the number, {@code min} if it is invalid
      */
-    public long integer(String key, long otherwise, long low, long high) {
-        known.add(key);
-        return has(key) ? integerOf(key, node.get(key), low, high) : otherwise;
+    public long integer(String key, long defaultValue, long min, long max) {
+        requestedKeys.add(key);
+        return has(key) ? integerOf(key, node.get(key), min, max) : defaultValue;
     }
 
     /**
-     * Gets a number that may be left out.
+     * Gets an optional number.
      *
      * @param key the key
-     * @param otherwise the number if left out
-     * @param low the least allowed
-     * @param high the greatest allowed
-     * @return the number
+     * @param defaultValue the number if missing
+     * @param min the minimum
+     * @param max the maximum
+     * @return the number, {@code min} if it is invalid
      */
-    public double decimal(String key, double otherwise, double low, double high) {
-        known.add(key);
+    public double decimal(String key, double defaultValue, double min, double max) {
+        requestedKeys.add(key);
         if (!has(key)) {
-            return otherwise;
+            return defaultValue;
         }
         JsonNode value = node.get(key);
-        if (!value.isNumber() || value.asDouble() < low || value.asDouble() > high) {
-            faults.add(
-                    pathOf(key), value + " is wrong", "use a number from " + low + " to " + high);
-            return low;
+        if (!value.isNumber() || value.asDouble() < min || value.asDouble() > max) {
+            errors.add(pathOf(key), value + " is wrong", "use a number from " + min + " to " + max);
+            return min;
         }
         return value.asDouble();
     }
 
     /**
-     * Gets a truth value that may be left out.
+     * Gets an optional boolean.
      *
      * @param key the key
-     * @param otherwise the value if left out
+     * @param defaultValue the value if missing or invalid
      * @return the value
      */
-    public boolean flag(String key, boolean otherwise) {
-        known.add(key);
+    public boolean flag(String key, boolean defaultValue) {
+        requestedKeys.add(key);
         if (!has(key)) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.get(key).isBoolean()) {
-            faults.add(pathOf(key), node.get(key) + " is wrong", "use true or false");
-            return otherwise;
+            errors.add(pathOf(key), node.get(key) + " is wrong", "use true or false");
+            return defaultValue;
         }
         return node.get(key).asBoolean();
     }
 
     /**
-     * Gets an object, empty if left out.
+     * Gets an optional object, empty if it is missing or invalid.
      *
      * @param key the key
      * @return the section
      */
     public JsonSection section(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         JsonNode value = has(key) ? node.get(key) : MAPPER.createObjectNode();
-        return of(value, pathOf(key), faults);
+        return of(value, pathOf(key), errors);
     }
 
     /**
-     * Gets an array of objects, empty if left out.
+     * Gets an optional array of objects, empty if it is missing or invalid.
      *
      * @param key the key
      * @return the sections in order
@@ -288,25 +277,26 @@
         List<JsonSection> result = new ArrayList<>();
         int index = 0;
         for (JsonNode element : array(key)) {
-            result.add(of(element, pathOf(key) + "[" + index++ + "]", faults));
+            result.add(of(element, pathOf(key) + "[" + index++ + "]", errors));
         }
         return result;
     }
 
     /**
-     * Gets an array of typed values written as texts, empty if left out.
+     * Gets an optional array of typed values, which are written as strings; empty if it is missing
+     * or invalid.
      *
      * @param <T> the type of the values
      * @param key the key
-     * @param parser makes a value of a text
-     * @return the values in order, without the faulty ones
+     * @param parser parses a string
+     * @return the values in order, without the invalid ones
      */
     public <T> List<T> values(String key, Function<String, T> parser) {
         List<T> result = new ArrayList<>();
         int index = 0;
         for (JsonNode element : array(key)) {
-            String where = pathOf(key) + "[" + index++ + "]";
-            T value = parse(where, element.isTextual() ? element.asText() : null, parser);
+            String valuePath = pathOf(key) + "[" + index++ + "]";
+            T value = parse(valuePath, element.isTextual() ? element.asText() : null, parser);
             if (value != null) {
                 result.add(value);
             }
@@ -314,12 +304,15 @@
         return result;
     }
 
-    /** Reports the keys that nobody asked for. */
+    /** Adds an error for each key that was not requested. */
     public void reportUnknownKeys() {
         for (Iterator<String> keys = node.fieldNames(); keys.hasNext(); ) {
             String key = keys.next();
-            if (!known.contains(key)) {
-                faults.add(pathOf(key), "unknown key", "remove it or use one of " + sorted(known));
+            if (!requestedKeys.contains(key)) {
+                errors.add(
+                        pathOf(key),
+                        "unknown key",
+                        "remove it or use one of " + sorted(requestedKeys));
             }
         }
     }
@@ -329,52 +322,52 @@
         return keys.stream().sorted().toList();
     }
 
-    private JsonNode required(String key, String wanted) {
-        known.add(key);
+    private JsonNode required(String key, String expected) {
+        requestedKeys.add(key);
         if (!has(key)) {
-            faults.add(pathOf(key), "missing", "give " + wanted);
+            errors.add(pathOf(key), "missing", "give " + expected);
             return null;
         }
         return node.get(key);
     }
 
     private Iterable<JsonNode> array(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         if (has(key) && !node.get(key).isArray()) {
-            faults.add(pathOf(key), node.get(key) + " is not an array", "write [...] here");
+            errors.add(pathOf(key), node.get(key) + " is not an array", "write [...] here");
             return MAPPER.createArrayNode();
         }
         return has(key) ? node.get(key) : MAPPER.createArrayNode();
     }
 
-    private String textOf(String key, JsonNode value, String otherwise) {
+    private String textOf(String key, JsonNode value, String defaultValue) {
         if (!value.isTextual()) {
-            faults.add(pathOf(key), value + " is not a text", "write \"...\" here");
-            return otherwise;
+            errors.add(pathOf(key), value + " is not a string", "write \"...\" here");
+            return defaultValue;
         }
         return value.asText();
     }
 
-    private long integerOf(String key, JsonNode value, long low, long high) {
-        if (!value.isIntegralNumber() || value.asLong() < low || value.asLong() > high) {
-            faults.add(
+    private long integerOf(String key, JsonNode value, long min, long max) {
+        if (!value.isIntegralNumber() || value.asLong() < min || value.asLong() > max) {
+            errors.add(
                     pathOf(key),
                     value + " is wrong",
-                    "use a whole number from " + low + " to " + high);
-            return low;
+                    "use a whole number from " + min + " to " + max);
+            return min;
         }
         return value.asLong();
     }
 
-    private <T> T parse(String where, String text, Function<String, T> parser) {
+    private <T> T parse(String valuePath, String text, Function<String, T> parser) {
         if (text == null) {
-            faults.add(where, "not a text", "write \"...\" here");
+            errors.add(valuePath, "not a string", "write \"...\" here");
             return null;
         }
         try {
             return parser.apply(text);
-        } catch (StandlinkException wrong) {
-            faults.add(where, "'" + text + "' is wrong", wrong.getRemedy());
+        } catch (StandlinkException e) {
+            errors.add(valuePath, "'" + text + "' is wrong", e.getRemedy());
             return null;
         }
     }
--- a/src/main/java/org/standlink/json/ValidationError.java
+++ b/src/main/java/org/standlink/json/ValidationError.java
@@ -16,13 +16,13 @@
 package org.standlink.json;
 
 /**
- * One thing that is wrong in a file.
+ * An error in a file.
  *
  * <p>{@code ValidationError} is thread-safe and immutable.
  *
- * @param path where it is, such as {@code services[0].slots}
- * @param problem what is wrong, with the bad value
- * @param remedy what to do about it
+ * @param path the location of the error, such as {@code services[0].slots}
+ * @param problem a description of the error, with the invalid value
+ * @param remedy how to correct it
  */
 public record ValidationError(String path, String problem, String remedy) {
 
--- a/src/main/java/org/standlink/json/ValidationErrors.java
+++ b/src/main/java/org/standlink/json/ValidationErrors.java
@@ -21,50 +21,49 @@
 import org.standlink.StandlinkException;
 
 /**
- * Collects what is wrong in a file, so that all of it is told at once.
+ * Collects the errors in a file, so that all of them are reported together.
  *
  * <p>{@code ValidationErrors} is mutable and not thread-safe.
  */
 public final class ValidationErrors {
 
-    /** What was found. */
-    private final List<ValidationError> found = new ArrayList<>();
+    private final List<ValidationError> errors = new ArrayList<>();
 
     /**
-     * Adds a fault.
+     * Adds an error.
      *
-     * @param path where it is
-     * @param problem what is wrong, with the bad value
-     * @param remedy what to do about it
+     * @param path the location of the error
+     * @param problem a description of the error, with the invalid value
+     * @param remedy how to correct it
      */
     public void add(String path, String problem, String remedy) {
-        found.add(new ValidationError(path, problem, remedy));
+        errors.add(new ValidationError(path, problem, remedy));
     }
 
     /**
-     * Gets what was found.
+     * Gets the errors.
      *
-     * @return the faults in the order found
+     * @return the errors in the order in which they were added
      */
     public List<ValidationError> getErrors() {
-        return List.copyOf(found);
+        return List.copyOf(errors);
     }
 
     /**
-     * Throws if anything was found.
+     * Throws an exception if there are any errors.
      *
-     * @param code the code of the error
+     * @param code the code of the exception
      * @param source the name of the file, for the message
-     * @throws StandlinkException with the given code, listing every fault on a line of its own
+     * @throws StandlinkException with the given code, listing each error on a line of its own
      */
     public void throwIfAny(ErrorCode code, String source) {
-        if (found.isEmpty()) {
+        if (errors.isEmpty()) {
             return;
         }
-        StringBuilder lines = new StringBuilder(source + " has " + found.size() + " fault(s):");
-        for (ValidationError fault : found) {
-            lines.append("\n  ").append(fault);
+        StringBuilder lines = new StringBuilder(source + " has " + errors.size() + " fault(s):");
+        for (ValidationError error : errors) {
+            lines.append("\n  ").append(error);
         }
-        throw new StandlinkException(code, lines.toString(), "mend each of them and try again");
+        throw new StandlinkException(code, lines.toString(), "correct each of them and try again");
     }
 }
--- a/src/main/java/org/standlink/json/package-info.java
+++ b/src/main/java/org/standlink/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reading JSON with every key checked and all faults told at once. */
+/** Reading of JSON files with a check of every key; all errors are reported together. */
 package org.standlink.json;
--- a/src/main/java/org/standlink/process/ConnectionDrain.java
+++ b/src/main/java/org/standlink/process/ConnectionDrain.java
@@ -22,80 +22,80 @@
 import org.standlink.lease.MonotonicClock;
 
 /**
- * Tells when a server that is leaving has told all of its callers, so that it may end without
- * cutting a request.
+ * Drains the connections of a server that is leaving, so that it ends without interrupting a
+ * request.
  *
- * <p>While the server leaves, each answer asks for the connection to be closed. It is quiet once
- * the balancer has had time to send new connections elsewhere, nothing is in progress, nothing has
- * come for a while, and every connection used lately has been told.
+ * <p>While the server leaves, each answer asks the caller to close its connection. The server is
+ * drained once the load balancer has had time to send new connections elsewhere, no request is in
+ * progress, none has arrived for a while, and every recently used connection has been asked to
+ * close.
  *
  * <p>{@code ConnectionDrain} is thread-safe.
  */
 public final class ConnectionDrain {
 
     /**
-     * How long new connections may still come, in milliseconds: the platform's balancer asks once a
-     * second and acts on the second miss, which takes a little time itself.
+     * How long new connections may still arrive, in milliseconds: the platform's load balancer
+     * checks once a second and acts on the second failed check, with a short delay.
      */
     static final long BALANCER_DELAY_MILLIS = 2500;
 
-    /** How long nothing must have come, in milliseconds; longer than a request's way here. */
+    /** How long no request must have arrived, in milliseconds; exceeds the network latency. */
     static final long IDLE_MILLIS = 500;
 
     /**
-     * How long an unused connection counts as open, in milliseconds: callers that pause longer open
-     * another one.
+     * How long an unused connection counts as open, in milliseconds: callers that are idle for
+     * longer open a new connection.
      */
     static final long CONNECTION_IDLE_MILLIS = 5000;
 
     /**
-     * What is left of the grace for what is in progress, in milliseconds: the longest answer that
-     * is waited for, with some to spare.
+     * The part of the grace period that is reserved for requests in progress, in milliseconds: the
+     * longest answer that is waited for, plus a margin.
      */
     static final long ANSWER_RESERVE_MILLIS = 1500;
 
-    /** What is left of the grace for the process to end, in milliseconds. */
+    /** The part of the grace period that is reserved for the exit, in milliseconds. */
     static final long EXIT_RESERVE_MILLIS = 200;
 
-    /** How long requests that have arrived may take to be read, in milliseconds. */
+    /** The timeout for reading requests that have arrived, in milliseconds. */
     static final long ARRIVAL_TIMEOUT_MILLIS = 1000;
 
-    /** The time between two looks at whether callers are quiet, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    /** The interval between two checks whether the server is drained, in milliseconds. */
+    private static final long POLL_INTERVAL_MILLIS = 50;
 
-    /** Lets time pass. */
+    /** Suspends the current thread. */
     @FunctionalInterface
     public interface Sleeper {
 
         /**
-         * Lets time pass.
+         * Sleeps.
          *
-         * @param millis how long, in milliseconds
+         * @param millis the duration, in milliseconds
          * @throws InterruptedException if the thread is interrupted
          */
         void sleep(long millis) throws InterruptedException;
     }
 
-    /** The most connections remembered; the descriptors of the largest machine. */
-    private static final int MOST_CONNECTIONS = 8192;
+    /** The maximum number of tracked connections: the file descriptors of the largest machine. */
+    private static final int MAX_CONNECTIONS = 8192;
 
-    /** The clock. */
     private final MonotonicClock clock;
 
-    /** When each connection that has not been told was used last; guarded by this. */
-    private final Map<Object, Long> untold = new HashMap<>();
+    /** The last use of each connection that has not been asked to close; guarded by this. */
+    private final Map<Object, Long> lastUses = new HashMap<>();
 
     /** The connections with a request in progress; guarded by this. */
-    private final Set<Object> busy = new HashSet<>();
+    private final Set<Object> busyConnections = new HashSet<>();
 
-    /** When a request began or ended last; guarded by this. */
-    private long lastUse;
+    /** When a request last arrived or was answered; guarded by this. */
+    private long lastActivityMillis;
 
-    /** When the server began to leave, negative while it stays; guarded by this. */
-    private long leftAt = -1;
+    /** When the server started to leave, negative if it is not leaving; guarded by this. */
+    private long leavingSinceMillis = -1;
 
     /**
-     * Constructor.
+     * Creates a drain of a server that is not leaving.
      *
      * @param clock the clock
      */
@@ -103,107 +103,110 @@
         this.clock = clock;
     }
 
-    /** Begins to leave. */
+    /** Starts to leave; later calls have no effect. */
     public synchronized void leave() {
-        if (leftAt < 0) {
-            leftAt = clock.nowMillis();
+        if (leavingSinceMillis < 0) {
+            leavingSinceMillis = clock.nowMillis();
         }
     }
 
     /**
-     * Notes that a request has arrived.
+     * Records that a request has arrived.
      *
      * @param connection identifies the connection, such as the caller's address
      */
     public synchronized void requestReceived(Object connection) {
-        busy.add(connection);
-        lastUse = clock.nowMillis();
+        busyConnections.add(connection);
+        lastActivityMillis = clock.nowMillis();
     }
 
     /**
-     * Decides whether the answer must ask for the connection to be closed.
+     * Decides whether an answer must ask the caller to close the connection. If so, the connection
+     * is no longer waited for; otherwise its use is recorded.
      *
      * @param connection identifies the connection
      * @return true if the server is leaving
      */
     public synchronized boolean closeIfLeaving(Object connection) {
-        boolean leaving = leftAt >= 0;
+        boolean leaving = leavingSinceMillis >= 0;
         if (leaving) {
-            untold.remove(connection);
+            lastUses.remove(connection);
         } else {
-            remember(connection);
+            recordUse(connection);
         }
         return leaving;
     }
 
     /**
-     * Notes that a request has been answered.
+     * Records that a request has been answered.
      *
      * @param connection identifies the connection
      */
     public synchronized void requestAnswered(Object connection) {
-        busy.remove(connection);
-        lastUse = clock.nowMillis();
+        busyConnections.remove(connection);
+        lastActivityMillis = clock.nowMillis();
     }
 
     /**
-     * Gets how many requests are in progress.
+     * Gets the number of connections with a request in progress.
      *
      * @return the number
      */
     public synchronized int getInProgress() {
-        return busy.size();
+        return busyConnections.size();
     }
 
     /**
      * Checks whether the server may end.
      *
-     * @return true if no caller can be cut
+     * @return true if the server is leaving and no request can be interrupted
      */
     public synchronized boolean isDrained() {
         long now = clock.nowMillis();
-        return leftAt >= 0
-                && now - leftAt >= BALANCER_DELAY_MILLIS
-                && now - lastUse >= IDLE_MILLIS
-                && busy.isEmpty()
-                && untold.values().stream().allMatch(used -> now - used >= CONNECTION_IDLE_MILLIS);
+        return leavingSinceMillis >= 0
+                && now - leavingSinceMillis >= BALANCER_DELAY_MILLIS
+                && now - lastActivityMillis >= IDLE_MILLIS
+                && busyConnections.isEmpty()
+                && lastUses.values().stream()
+                        .allMatch(lastUse -> now - lastUse >= CONNECTION_IDLE_MILLIS);
     }
 
     /**
-     * Waits until the server may end: until it is quiet, or the grace is nearly over and nothing is
-     * in progress. The caller must end the process at once.
+     * Waits until the server may end: until it is drained, or the grace period is nearly over and
+     * no request is in progress. The caller must end the process at once.
      *
-     * @param graceMillis how long the whole may take, in milliseconds
-     * @param pause lets time pass
-     * @param arrivals tells which requests have reached the server
-     * @param whenQuiet is told before the last look; what it starts may go on during a short pause
+     * @param graceMillis the grace period, in milliseconds
+     * @param sleeper suspends the thread between two checks
+     * @param arrivals the requests that have reached the server
+     * @param drainedAction is run before the last check; work that it starts may continue for the
+     *     interval before that check
      * @throws InterruptedException if the thread is interrupted
      */
     public void awaitDrained(
-            long graceMillis, Sleeper pause, PendingArrivals arrivals, Runnable whenQuiet)
+            long graceMillis, Sleeper sleeper, PendingArrivals arrivals, Runnable drainedAction)
             throws InterruptedException {
         long start = clock.nowMillis();
-        long quietUntil = start + graceMillis - ANSWER_RESERVE_MILLIS;
+        long drainDeadline = start + graceMillis - ANSWER_RESERVE_MILLIS;
         boolean allRead = false;
-        while (clock.nowMillis() < quietUntil && !(allRead && isDrained())) {
-            pause.sleep(LOOK_MILLIS);
+        while (clock.nowMillis() < drainDeadline && !(allRead && isDrained())) {
+            sleeper.sleep(POLL_INTERVAL_MILLIS);
             if (isDrained()) {
                 arrivals.await(ARRIVAL_TIMEOUT_MILLIS);
                 allRead = arrivals.getPending() == 0;
             }
         }
-        whenQuiet.run();
+        drainedAction.run();
         do {
-            pause.sleep(LOOK_MILLIS);
+            sleeper.sleep(POLL_INTERVAL_MILLIS);
         } while (getInProgress() + arrivals.getPending() > 0
                 && clock.nowMillis() - start < graceMillis - EXIT_RESERVE_MILLIS);
     }
 
-    private void remember(Object connection) {
+    private void recordUse(Object connection) {
         long now = clock.nowMillis();
-        if (untold.size() >= MOST_CONNECTIONS) {
-            untold.values().removeIf(used -> now - used >= CONNECTION_IDLE_MILLIS);
+        if (lastUses.size() >= MAX_CONNECTIONS) {
+            lastUses.values().removeIf(lastUse -> now - lastUse >= CONNECTION_IDLE_MILLIS);
         }
-        untold.put(connection, now);
+        lastUses.put(connection, now);
     }
 }
--- a/src/main/java/org/standlink/process/EventLog.java
+++ b/src/main/java/org/standlink/process/EventLog.java
@@ -24,32 +24,26 @@
 import java.util.TreeMap;
 
 /**
- * Writes structured log lines: one JSON object a line, for each decision and each change of what
- * the process believes.
+ * Writes structured log lines, one JSON object per line, for decisions and for changes in the state
+ * that the process assumes.
  *
- * <p>Lines are handed to {@link LogWriter}, which never blocks and counts what it drops.
+ * <p>Lines are passed to {@link LogWriter}, which never blocks and counts the lines it drops.
  *
  * <p>{@code EventLog} is thread-safe and immutable.
  */
 public final class EventLog {
 
-    /** Makes JSON. */
     private static final JsonFactory JSON = new JsonFactory();
 
     /** The short name of the class that logs. */
     private final String source;
 
-    /**
-     * Constructor.
-     *
-     * @param source the short name of the class that logs
-     */
     private EventLog(String source) {
         this.source = source;
     }
 
     /**
-     * Makes a log for a class.
+     * Creates a log for a class.
      *
      * @param source the class
      * @return the log
@@ -59,30 +53,30 @@
     }
 
     /**
-     * Begins a line about something expected.
+     * Creates a line about an expected event.
      *
-     * @param event what happened, in words joined by hyphens
-     * @return the line, to be filled and written
+     * @param event the name of the event, in words joined by hyphens
+     * @return the line, to which fields can be added
      */
     public Line info(String event) {
         return new Line("INFO", source, event);
     }
 
     /**
-     * Begins a line about something that needs attention if it lasts.
+     * Creates a line about an event that needs attention if it persists.
      *
-     * @param event what happened, in words joined by hyphens
-     * @return the line, to be filled and written
+     * @param event the name of the event, in words joined by hyphens
+     * @return the line, to which fields can be added
      */
     public Line warning(String event) {
         return new Line("WARNING", source, event);
     }
 
     /**
-     * Begins a line about a defect.
+     * Creates a line about a defect.
      *
-     * @param event what happened, in words joined by hyphens
-     * @return the line, to be filled and written
+     * @param event the name of the event, in words joined by hyphens
+     * @return the line, to which fields can be added
      */
     public Line error(String event) {
         return new Line("ERROR", source, event);
@@ -90,31 +84,20 @@
 
     // -----------------------------------------------------------------------
     /**
-     * One line that is being filled.
+     * A log line under construction.
      *
      * <p>{@code Line} is mutable and not thread-safe.
      */
     public static final class Line {
 
-        /** The level. */
         private final String level;
 
-        /** The short name of the class that logs. */
         private final String source;
 
-        /** What happened. */
         private final String event;
 
-        /** The inputs and the outcome. */
         private final Map<String, Object> fields = new TreeMap<>();
 
-        /**
-         * Constructor.
-         *
-         * @param level the level
-         * @param source the short name of the class that logs
-         * @param event what happened
-         */
         private Line(String level, String source, String event) {
             this.level = level;
             this.source = source;
@@ -125,7 +108,7 @@
          * Adds a field.
          *
          * @param name the name
-         * @param value the value; its text form is written
+         * @param value the value; integers and booleans are written as such, others as strings
          * @return this line
          */
         public Line with(String name, Object value) {
@@ -133,7 +116,7 @@
             return this;
         }
 
-        /** Hands the line to the writer. */
+        /** Passes the line to the log writer. */
         public void write() {
             LogWriter.getInstance().offer(toString());
         }
@@ -151,7 +134,7 @@
                     writeField(json, field.getKey(), field.getValue());
                 }
                 json.writeEndObject();
-            } catch (IOException impossible) {
+            } catch (IOException e) {
                 return event;
             }
             return text.toString();
--- a/src/main/java/org/standlink/process/Guarded.java
+++ b/src/main/java/org/standlink/process/Guarded.java
@@ -24,118 +24,119 @@
 import java.util.function.BiConsumer;
 
 /**
- * Hands over work that nobody waits for, so that none of it ends unseen: what it throws goes to
- * {@link WorkFailures}.
+ * Runs work whose result is not awaited and reports the exceptions that it throws to {@link
+ * WorkFailures}.
  *
- * <p>The JDK keeps what such work throws in a future that nobody looks at, and never repeats work
- * that threw once.
+ * <p>The JDK stores such an exception in a future that is never read, and does not run repeating
+ * work again after it has thrown once.
  *
  * <p>{@code Guarded} is thread-safe and immutable.
  */
 public final class Guarded {
 
-    /** No instances. */
     private Guarded() {}
 
     /**
-     * Makes work that throws nothing.
+     * Wraps work so that it throws nothing.
      *
-     * @param name what the work is, in words joined by hyphens
+     * @param name the name of the work, in words joined by hyphens
      * @param work the work
-     * @return the work, whose failures are noted
+     * @return the wrapped work, which records its failures
      */
     public static Runnable work(String name, Runnable work) {
         return work(name, work, () -> {});
     }
 
     /**
-     * Makes work that throws nothing, and does something instead if it fails.
+     * Wraps work so that it throws nothing and runs an action if it fails.
      *
-     * @param name what the work is, in words joined by hyphens
+     * @param name the name of the work, in words joined by hyphens
      * @param work the work
-     * @param whenFailed what is done after a failure, so that whatever depends on the work goes on
-     * @return the work, whose failures are noted
+     * @param failureAction is run after a failure, so that what depends on the work continues
+     * @return the wrapped work, which records its failures
      */
-    public static Runnable work(String name, Runnable work, Runnable whenFailed) {
+    public static Runnable work(String name, Runnable work, Runnable failureAction) {
         return () -> {
             try {
                 work.run();
             } catch (Throwable thrown) {
                 WorkFailures.record(name, thrown);
-                whenFailed.run();
+                failureAction.run();
             }
         };
     }
 
     /**
-     * Runs work again and again, the first time at once, also after it has failed.
+     * Schedules repeating work, which starts at once and continues after failures.
      *
-     * @param name what the work is, in words joined by hyphens
-     * @param timers the threads
-     * @param pauseMillis the pause between two runs, in milliseconds
+     * @param name the name of the work, in words joined by hyphens
+     * @param scheduler runs the work
+     * @param delayMillis the delay between two runs, in milliseconds
      * @param work the work
-     * @return the series, which can be cancelled
+     * @return a future that cancels the repetition
      */
     public static ScheduledFuture<?> scheduleRepeating(
-            String name, ScheduledExecutorService timers, long pauseMillis, Runnable work) {
-        return timers.scheduleWithFixedDelay(
-                work(name, work), 0, pauseMillis, TimeUnit.MILLISECONDS);
+            String name, ScheduledExecutorService scheduler, long delayMillis, Runnable work) {
+        return scheduler.scheduleWithFixedDelay(
+                work(name, work), 0, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Does something with the result of a future, on the thread that completes it.
+     * Runs an action on the result of a future, on the thread that completes it.
      *
-     * @param name what that is, in words joined by hyphens
+     * @param name the name of the action, in words joined by hyphens
      * @param future the future
-     * @param then takes the value or the failure
+     * @param action receives the value or the failure
      * @param <T> the type of the value
-     * @return the same result, once that is done
+     * @return a future with the same result that completes after the action
      */
     public static <T> CompletableFuture<T> onCompletion(
-            String name, CompletableFuture<T> future, BiConsumer<? super T, Throwable> then) {
+            String name, CompletableFuture<T> future, BiConsumer<? super T, Throwable> action) {
         return future.whenComplete(
-                (value, failure) -> work(name, () -> then.accept(value, failure)).run());
+                (value, failure) -> work(name, () -> action.accept(value, failure)).run());
     }
 
     /**
-     * Does something with the result of a future, on an executor.
+     * Runs an action on the result of a future, on an executor.
      *
-     * @param name what that is, in words joined by hyphens
+     * @param name the name of the action, in words joined by hyphens
      * @param future the future
-     * @param executor where it is done
-     * @param then takes the value or the failure
+     * @param executor runs the action
+     * @param action receives the value or the failure
      * @param <T> the type of the value
      */
     public static <T> void onCompletionAsync(
             String name,
             CompletableFuture<T> future,
             Executor executor,
-            BiConsumer<? super T, Throwable> then) {
+            BiConsumer<? super T, Throwable> action) {
         future.whenComplete(
                 (value, failure) ->
-                        handOver(executor, work(name, () -> then.accept(value, failure))));
+                        handOver(executor, work(name, () -> action.accept(value, failure))));
     }
 
     /**
-     * Does something with the result of a future, on an executor that sees to failures itself, such
-     * as a leader's loop: there a throw must not be noted only, but end the leader.
+     * Runs an action on the result of a future, on an executor that handles exceptions itself, such
+     * as a leader's event loop: there an exception must not only be recorded but end the leader.
      *
      * @param future the future
-     * @param executor where it is done
-     * @param then takes the value or the failure
+     * @param executor runs the action
+     * @param action receives the value or the failure
      * @param <T> the type of the value
      */
     public static <T> void onCompletionInLoop(
-            CompletableFuture<T> future, Executor executor, BiConsumer<? super T, Throwable> then) {
+            CompletableFuture<T> future,
+            Executor executor,
+            BiConsumer<? super T, Throwable> action) {
         future.whenComplete(
-                (value, failure) -> handOver(executor, () -> then.accept(value, failure)));
+                (value, failure) -> handOver(executor, () -> action.accept(value, failure)));
     }
 
     /**
-     * Runs work once, later, on a thread of the JDK's.
+     * Schedules work to run once on the JDK's default executor.
      *
-     * @param millis after how long, in milliseconds
-     * @param work the work, which throws nothing
+     * @param millis the delay, in milliseconds
+     * @param work the work, which must not throw
      */
     public static void schedule(long millis, Runnable work) {
         CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS).execute(work);
@@ -144,8 +145,8 @@
     private static void handOver(Executor executor, Runnable work) {
         try {
             executor.execute(work);
-        } catch (RejectedExecutionException ending) {
-            // The process ends and its executors are closed; nothing is left to tell.
+        } catch (RejectedExecutionException e) {
+            // The process is ending and its executors are closed, so there is nothing to report.
             return;
         } catch (Throwable thrown) {
             WorkFailures.record("hand-over", thrown);
--- a/src/main/java/org/standlink/process/HttpPendingArrivals.java
+++ b/src/main/java/org/standlink/process/HttpPendingArrivals.java
@@ -29,97 +29,94 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Tells which requests have reached the JDK's HTTP server.
+ * Tracks the requests that have reached the JDK's HTTP server and are not answered yet.
  *
- * <p>One thread of that server accepts connections and reads requests. The system makes connections
- * before that thread has accepted them, and resets them when the server closes. A request of this
- * process to itself is read after all that arrived before it.
+ * <p>One thread of that server accepts connections and reads requests. The operating system
+ * establishes connections before that thread accepts them, and resets them when the server closes.
+ * A probe, a request of this process to itself, is read after all requests that arrived before it.
  *
  * <p>{@code HttpPendingArrivals} is thread-safe.
  */
 public final class HttpPendingArrivals implements PendingArrivals {
 
-    /** The request of this process to itself. */
-    private static final byte[] OWN_REQUEST =
+    private static final byte[] PROBE =
             "GET / HTTP/1.1\r\nHost: self\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * How many such requests are sent, one after the other: what the server's thread finds at once
-     * it hands over in any order, so that the first may overtake others.
+     * The number of probes sent, one after the other. The server's thread hands over requests that
+     * it finds at the same time in any order, so the first probe may overtake other requests.
      */
-    private static final int OWN_REQUESTS = 2;
+    private static final int PROBE_COUNT = 2;
 
-    /** The status of their answers, which have no body. */
     private static final int NO_CONTENT = 204;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(HttpPendingArrivals.class);
 
-    /** The server. */
     private final HttpServer server;
 
-    /** The requests that have been handed over and are not over. */
+    /** The number of requests that were handed over to the executor and are not completed. */
     private final AtomicInteger pending = new AtomicInteger();
 
-    /** The local ports of connections of this process to itself. */
-    private final Set<Integer> ownPorts = ConcurrentHashMap.newKeySet();
+    /** The local ports of the connections that probes are sent over. */
+    private final Set<Integer> probePorts = ConcurrentHashMap.newKeySet();
 
     private HttpPendingArrivals(HttpServer server) {
         this.server = server;
     }
 
     /**
-     * Watches a server that has not been started.
+     * Monitors a server that has not been started, and sets its executor.
      *
      * @param server the server
-     * @param executor where its threads come from
-     * @return what tells of its requests
+     * @param executor runs its handlers
+     * @return the monitor of its pending requests
      */
     public static HttpPendingArrivals monitor(HttpServer server, Executor executor) {
-        HttpPendingArrivals made = new HttpPendingArrivals(server);
-        server.setExecutor(task -> made.handOver(task, executor));
-        return made;
+        HttpPendingArrivals arrivals = new HttpPendingArrivals(server);
+        server.setExecutor(task -> arrivals.handOver(task, executor));
+        return arrivals;
     }
 
     // -----------------------------------------------------------------------
     /**
-     * Answers a request of this process to itself.
+     * Answers a request if it is a probe.
      *
      * @param exchange the request
-     * @return false if it is another one
+     * @return false if it is not a probe
      * @throws IOException if the answer cannot be sent
      */
     boolean answerProbe(HttpExchange exchange) throws IOException {
-        InetSocketAddress from = exchange.getRemoteAddress();
-        boolean own =
-                ownPorts.contains(from.getPort())
-                        && from.getAddress().equals(exchange.getLocalAddress().getAddress());
-        if (own) {
+        InetSocketAddress source = exchange.getRemoteAddress();
+        boolean probe =
+                probePorts.contains(source.getPort())
+                        && source.getAddress().equals(exchange.getLocalAddress().getAddress());
+        if (probe) {
             exchange.sendResponseHeaders(NO_CONTENT, -1);
             exchange.close();
         }
-        return own;
+        return probe;
     }
 
     @Override
     public void await(long timeoutMillis) throws InterruptedException {
-        int stepMillis = (int) Math.max(1, timeoutMillis / (1 + OWN_REQUESTS));
-        try (Socket own = new Socket()) {
-            own.bind(null);
-            ownPorts.add(own.getLocalPort());
-            own.connect(server.getAddress(), stepMillis);
-            own.setSoTimeout(stepMillis);
+        int stepMillis = (int) Math.max(1, timeoutMillis / (1 + PROBE_COUNT));
+        try (Socket probe = new Socket()) {
+            probe.bind(null);
+            probePorts.add(probe.getLocalPort());
+            probe.connect(server.getAddress(), stepMillis);
+            probe.setSoTimeout(stepMillis);
             BufferedReader answers =
                     new BufferedReader(
-                            new InputStreamReader(own.getInputStream(), StandardCharsets.US_ASCII));
-            for (int sent = 0; sent < OWN_REQUESTS; sent++) {
-                own.getOutputStream().write(OWN_REQUEST);
+                            new InputStreamReader(
+                                    probe.getInputStream(), StandardCharsets.US_ASCII));
+            for (int sent = 0; sent < PROBE_COUNT; sent++) {
+                probe.getOutputStream().write(PROBE);
                 skipAnswer(answers);
             }
-            ownPorts.remove(own.getLocalPort());
-        } catch (IOException unanswered) {
-            // The request may still be read, so its port stays known.
-            LOG.info("pending-arrivals-unknown").with("cause", unanswered).write();
+            probePorts.remove(probe.getLocalPort());
+        } catch (IOException e) {
+            // The probe may still be read, so its port stays registered.
+            LOG.info("pending-arrivals-unknown").with("cause", e).write();
         }
     }
 
@@ -131,12 +128,12 @@
     // -----------------------------------------------------------------------
     private void handOver(Runnable task, Executor executor) {
         pending.incrementAndGet();
-        boolean taken = false;
+        boolean accepted = false;
         try {
             executor.execute(() -> run(task));
-            taken = true;
+            accepted = true;
         } finally {
-            if (!taken) {
+            if (!accepted) {
                 pending.decrementAndGet();
             }
         }
@@ -150,7 +147,7 @@
         }
     }
 
-    /** Reads up to the empty line that ends an answer without a body. */
+    /** Skips up to and including the empty line that ends an answer without a body. */
     private static void skipAnswer(BufferedReader answers) throws IOException {
         String line = answers.readLine();
         while (line != null && !line.isEmpty()) {
--- a/src/main/java/org/standlink/process/HttpService.java
+++ b/src/main/java/org/standlink/process/HttpService.java
@@ -30,16 +30,15 @@
 import org.standlink.StandlinkException;
 
 /**
- * A small HTTP server for exact paths, on the JDK's server.
+ * A small HTTP server with a handler for each exact path, based on the JDK's server.
  *
  * <p>{@code HttpService} is thread-safe.
  */
 public final class HttpService implements AutoCloseable {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Handles requests to one path. */
+    /** Handles the requests of one path. */
     @FunctionalInterface
     public interface Handler {
 
@@ -56,25 +55,25 @@
     /**
      * A request.
      *
-     * @param query the query, empty if none
+     * @param query the raw query, empty if there is none
      * @param body the body
      */
     public record Request(String query, byte[] body) {
 
         /**
-         * Gets a parameter of the query.
+         * Gets a parameter of the query, not decoded.
          *
          * @param name the name
-         * @param otherwise the value if it is not there
+         * @param defaultValue the value if the parameter is missing
          * @return the value
          */
-        public String getParameter(String name, String otherwise) {
+        public String getParameter(String name, String defaultValue) {
             for (String part : query.split("&")) {
                 if (part.startsWith(name + "=")) {
                     return part.substring(name.length() + 1);
                 }
             }
-            return otherwise;
+            return defaultValue;
         }
     }
 
@@ -88,7 +87,7 @@
     public record Answer(int status, String contentType, byte[] body) {
 
         /**
-         * Makes an answer of a text.
+         * Creates an answer with a text as its body, followed by a line break.
          *
          * @param status the HTTP status
          * @param text the text
@@ -100,7 +99,7 @@
         }
 
         /**
-         * Makes an answer of a value, written as JSON.
+         * Creates an answer with a value serialised as JSON.
          *
          * @param status the HTTP status
          * @param value the value
@@ -109,25 +108,24 @@
         public static Answer ofJson(int status, Object value) {
             try {
                 return new Answer(status, "application/json", MAPPER.writeValueAsBytes(value));
-            } catch (JsonProcessingException impossible) {
+            } catch (JsonProcessingException e) {
                 throw new StandlinkException(
-                        ErrorCode.INTERNAL, "answer not encoded", "report a defect", impossible);
+                        ErrorCode.INTERNAL, "answer could not be encoded", "report a defect", e);
             }
         }
     }
 
-    /** The server. */
     private final HttpServer server;
 
     /** The handlers by method and path. */
     private final Map<String, Handler> handlers = new ConcurrentHashMap<>();
 
     /**
-     * Constructor, which starts to listen.
+     * Creates a service and starts to listen.
      *
-     * @param address where to listen
-     * @param executor where threads come from
-     * @throws StandlinkException with code PEER_UNREACHABLE if the address cannot be taken
+     * @param address the address to listen on
+     * @param executor runs the handlers
+     * @throws StandlinkException with code PEER_UNREACHABLE if the address cannot be bound
      */
     public HttpService(InetSocketAddress address, Executor executor) {
         server = newServer(address, executor);
@@ -136,34 +134,34 @@
     }
 
     /**
-     * Makes a server of the JDK that has not been started.
+     * Creates a server of the JDK that has not been started.
      *
-     * @param address where to listen
-     * @param executor where threads come from
+     * @param address the address to listen on
+     * @param executor runs the handlers
      * @return the server
-     * @throws StandlinkException with code PEER_UNREACHABLE if the address cannot be taken
+     * @throws StandlinkException with code PEER_UNREACHABLE if the address cannot be bound
      */
     public static HttpServer newServer(InetSocketAddress address, Executor executor) {
         try {
-            HttpServer made = HttpServer.create(address, 0);
-            made.setExecutor(executor);
-            return made;
-        } catch (IOException taken) {
+            HttpServer created = HttpServer.create(address, 0);
+            created.setExecutor(executor);
+            return created;
+        } catch (IOException e) {
             throw new StandlinkException(
                     ErrorCode.PEER_UNREACHABLE,
                     "cannot listen on " + address,
                     "free the address or change it in the settings",
-                    taken);
+                    e);
         }
     }
 
     /**
-     * Handles all paths with a beginning; each request is answered, also if its handling fails.
+     * Handles all paths with a prefix. Each request is answered, also if its handler fails.
      *
      * @param server the server
-     * @param path the beginning of the paths
-     * @param failedStatus the HTTP status of the answer if the handling fails; it must be true
-     *     whatever was done by then
+     * @param path the prefix of the paths
+     * @param failedStatus the HTTP status of the answer if the handler fails; it must be correct
+     *     whatever the handler had done by then
      * @param handler the handler, which need not close the exchange
      */
     public static void serve(
@@ -172,14 +170,14 @@
     }
 
     /**
-     * Handles all paths with a beginning as {@link #serve(HttpServer, String, int, HttpHandler)}
-     * does, and notes when requests are in progress, up to the last byte of their answers.
+     * Handles all paths with a prefix as {@link #serve(HttpServer, String, int, HttpHandler)} does,
+     * and tracks requests in progress up to the last byte of their answers.
      *
      * @param server the server
-     * @param path the beginning of the paths
-     * @param failedStatus the HTTP status of the answer if the handling fails
-     * @param drain tells when a planned stop cuts nobody
-     * @param arrivals tells which requests have reached the server
+     * @param path the prefix of the paths
+     * @param failedStatus the HTTP status of the answer if the handler fails
+     * @param drain tracks the requests in progress for a planned stop
+     * @param arrivals answers the probes of this process
      * @param handler the handler, which need not close the exchange
      */
     public static void serve(
@@ -220,7 +218,7 @@
     }
 
     /**
-     * Handles a path.
+     * Adds the handler of a path.
      *
      * @param method the HTTP method
      * @param path the exact path
@@ -233,7 +231,7 @@
     }
 
     /**
-     * Gets the port listened on.
+     * Gets the port that the server listens on.
      *
      * @return the port
      */
@@ -257,9 +255,9 @@
                         ? Answer.ofText(404, "nothing at " + path)
                         : answer(handler, new Request(query == null ? "" : query, body));
         exchange.getResponseHeaders().set("Content-Type", answer.contentType());
-        boolean none = answer.body().length == 0;
-        exchange.sendResponseHeaders(answer.status(), none ? -1 : answer.body().length);
-        if (!none) {
+        boolean empty = answer.body().length == 0;
+        exchange.sendResponseHeaders(answer.status(), empty ? -1 : answer.body().length);
+        if (!empty) {
             exchange.getResponseBody().write(answer.body());
         }
     }
@@ -267,10 +265,9 @@
     private static Answer answer(Handler handler, Request request) throws IOException {
         try {
             return handler.handle(request);
-        } catch (StandlinkException refused) {
-            Map<String, Object> body =
-                    Map.of("code", refused.getCode(), "reason", refused.getMessage());
-            return Answer.ofJson(statusOf(refused.getCode()), body);
+        } catch (StandlinkException e) {
+            Map<String, Object> body = Map.of("code", e.getCode(), "reason", e.getMessage());
+            return Answer.ofJson(statusOf(e.getCode()), body);
         }
     }
 
--- a/src/main/java/org/standlink/process/LogWriter.java
+++ b/src/main/java/org/standlink/process/LogWriter.java
@@ -21,40 +21,40 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes log lines on a thread of its own, so that a blocked standard output holds up nobody.
+ * Writes log lines on a thread of its own, so that a blocked standard output does not block the
+ * threads that log.
  *
- * <p>At most {@value #MAX_QUEUED_LINES} lines wait; what comes beyond is dropped and counted, and
- * the count is written when there is room again.
+ * <p>At most {@value #MAX_QUEUED_LINES} lines are queued; further ones are dropped and counted, and
+ * the count is written as soon as the output accepts lines again.
  *
  * <p>{@code LogWriter} is thread-safe.
  */
 public final class LogWriter {
 
-    /** The most lines that wait; about 1 MB, some seconds of the busiest process. */
+    /** The maximum number of queued lines: about 1 MB, a few seconds of the busiest process. */
     static final int MAX_QUEUED_LINES = 4096;
 
     /**
-     * The most lines written at once: without a limit, a thread that is handed lines as fast as it
-     * takes them gathers them for ever, and more of them wait than may.
+     * The maximum number of lines written at once. Without a limit, a batch would grow indefinitely
+     * if lines are added as fast as they are taken, and more lines would be held than the queue
+     * allows.
      */
-    private static final int MOST_AT_ONCE = 512;
+    private static final int MAX_BATCH_LINES = 512;
 
-    /** The one that the process uses. */
+    /** The writer to standard output. */
     private static final LogWriter INSTANCE = new LogWriter(System.out);
 
-    /** The lines that wait. */
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
 
-    /** How many lines were dropped since the last count was written. */
+    /** The number of lines dropped since the last count was written. */
     private final AtomicLong dropped = new AtomicLong();
 
-    /** Where lines go. */
     private final PrintStream output;
 
     /**
-     * Constructor, which starts the thread.
+     * Creates a writer and starts its thread.
      *
-     * @param output where lines go
+     * @param output the output of the lines
      */
     LogWriter(PrintStream output) {
         this.output = output;
@@ -73,25 +73,25 @@
     }
 
     /**
-     * Hands over a line; returns at once.
+     * Adds a line to the queue without blocking.
      *
      * @param line the line
      * @return false if it was dropped
      */
     public boolean offer(String line) {
-        boolean taken = lines.offer(line);
-        if (!taken) {
+        boolean accepted = lines.offer(line);
+        if (!accepted) {
             dropped.incrementAndGet();
         }
-        return taken;
+        return accepted;
     }
 
     // -----------------------------------------------------------------------
-    /** What a batch throws, such as for want of memory, costs that batch only. */
+    /** An exception or error, such as a lack of memory, loses only the current batch. */
     private void writeUntilStopped() {
         while (!Thread.currentThread().isInterrupted()) {
             try {
-                writeAll();
+                writeBatches();
             } catch (RuntimeException | Error thrown) {
                 dropped.incrementAndGet();
                 WorkFailures.record("log-writer", thrown);
@@ -99,26 +99,26 @@
         }
     }
 
-    private void writeAll() {
+    private void writeBatches() {
         StringBuilder batch = new StringBuilder();
         try {
             while (true) {
                 batch.setLength(0);
                 batch.append(lines.take()).append('\n');
-                String more = lines.poll();
-                for (int count = 1; more != null; count++) {
-                    batch.append(more).append('\n');
-                    more = count < MOST_AT_ONCE ? lines.poll() : null;
+                String next = lines.poll();
+                for (int count = 1; next != null; count++) {
+                    batch.append(next).append('\n');
+                    next = count < MAX_BATCH_LINES ? lines.poll() : null;
                 }
-                long lost = dropped.getAndSet(0);
-                if (lost > 0) {
+                long droppedCount = dropped.getAndSet(0);
+                if (droppedCount > 0) {
                     batch.append("{\"event\":\"log-lines-dropped\",\"count\":");
-                    batch.append(lost).append("}\n");
+                    batch.append(droppedCount).append("}\n");
                 }
                 output.print(batch);
                 output.flush();
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/org/standlink/process/PendingArrivals.java
+++ b/src/main/java/org/standlink/process/PendingArrivals.java
@@ -15,19 +15,19 @@
  */
 package org.standlink.process;
 
-/** Tells which requests have reached a server that no handler has seen yet. */
+/** The requests that have reached a server and are not answered yet. */
 public interface PendingArrivals {
 
     /**
-     * Waits until the server has read all requests that had arrived before this call.
+     * Waits until the server has read all requests that arrived before this call.
      *
-     * @param timeoutMillis how long it may take, in milliseconds
+     * @param timeoutMillis the timeout, in milliseconds
      * @throws InterruptedException if the thread is interrupted
      */
     void await(long timeoutMillis) throws InterruptedException;
 
     /**
-     * Gets how many requests the server has read and not answered.
+     * Gets the number of requests that the server has read and not answered.
      *
      * @return the number
      */
--- a/src/main/java/org/standlink/process/Polling.java
+++ b/src/main/java/org/standlink/process/Polling.java
@@ -20,30 +20,29 @@
 import org.standlink.lease.MonotonicClock;
 
 /**
- * Waits for conditions that give no notification.
+ * Waits for conditions by polling them.
  *
  * <p>{@code Polling} is thread-safe and immutable.
  */
 public final class Polling {
 
-    /** The time between two looks, in milliseconds. */
-    private static final long LOOK_MILLIS = 50;
+    /** The interval between two checks, in milliseconds. */
+    private static final long INTERVAL_MILLIS = 50;
 
-    /** No instances. */
     private Polling() {}
 
     /**
-     * Waits until a condition holds.
+     * Waits until a condition holds or the deadline has passed.
      *
      * @param condition the condition
      * @param clock the clock
-     * @param untilMillis the time on the clock at which the wait ends in any case
+     * @param deadlineMillis the time on the clock at which the wait ends at the latest
      * @throws InterruptedException if the thread is interrupted
      */
-    public static void await(BooleanSupplier condition, MonotonicClock clock, long untilMillis)
+    public static void await(BooleanSupplier condition, MonotonicClock clock, long deadlineMillis)
             throws InterruptedException {
-        while (clock.nowMillis() < untilMillis && !condition.getAsBoolean()) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+        while (clock.nowMillis() < deadlineMillis && !condition.getAsBoolean()) {
+            TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
         }
     }
 }
--- a/src/main/java/org/standlink/process/ProcessEnd.java
+++ b/src/main/java/org/standlink/process/ProcessEnd.java
@@ -19,10 +19,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends the process in order after an error, as if it had been asked to stop, with an exit code of
- * its own.
+ * Shuts the process down in order after an error, as if it had been asked to stop, with an exit
+ * code of its own.
  *
- * <p>Its threads are made beforehand, since an error may leave no room for new ones.
+ * <p>Its threads are created in advance, since it may be impossible to create new ones after an
+ * error.
  *
  * <p>{@code ProcessEnd} is thread-safe.
  */
@@ -31,30 +32,28 @@
     /** The exit code of a process that ended itself after an error. */
     public static final int EXIT_CODE = 7;
 
-    /** How long the log may take to write its last lines, in milliseconds. */
-    private static final long LAST_LINES_MILLIS = 50;
+    /** The time that the log has to write its last lines, in milliseconds. */
+    private static final long LOG_FLUSH_MILLIS = 50;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(ProcessEnd.class);
 
-    /** Whether the process ends after an error. */
-    private static final CountDownLatch BEGUN = new CountDownLatch(1);
+    /** Reaches 0 when the process ends after an error. */
+    private static final CountDownLatch TERMINATING = new CountDownLatch(1);
 
-    /** No instances. */
     private ProcessEnd() {}
 
     /**
-     * Lets errors end the process from now on.
+     * Makes errors end the process from now on.
      *
-     * @param mostMillis how long an orderly stop may take before the process is cut off, in
-     *     milliseconds
+     * @param timeoutMillis the time that an orderly shutdown may take before the process is halted,
+     *     in milliseconds
      */
-    public static void install(long mostMillis) {
-        start("end", ProcessEnd::end);
-        start("cut-off", () -> cutOff(mostMillis));
+    public static void install(long timeoutMillis) {
+        start("end", ProcessEnd::terminate);
+        start("cut-off", () -> haltAfterTimeout(timeoutMillis));
         Thread.setDefaultUncaughtExceptionHandler(
                 (thread, thrown) -> WorkFailures.record(thread.getName(), thrown));
-        WorkFailures.setTerminationHandler(thrown -> BEGUN.countDown());
+        WorkFailures.setTerminationHandler(thrown -> TERMINATING.countDown());
     }
 
     /**
@@ -63,7 +62,7 @@
      * @return 0 unless the process ends after an error
      */
     public static int getExitCode() {
-        return BEGUN.getCount() == 0 ? EXIT_CODE : 0;
+        return TERMINATING.getCount() == 0 ? EXIT_CODE : 0;
     }
 
     // -----------------------------------------------------------------------
@@ -73,8 +72,8 @@
         thread.start();
     }
 
-    private static void end() {
-        awaitBegin();
+    private static void terminate() {
+        awaitTermination();
         try {
             LOG.error("process-ends").with("exit-code", EXIT_CODE).write();
         } finally {
@@ -82,32 +81,32 @@
         }
     }
 
-    private static void cutOff(long mostMillis) {
-        awaitBegin();
-        pause(mostMillis);
+    private static void haltAfterTimeout(long timeoutMillis) {
+        awaitTermination();
+        pause(timeoutMillis);
         Runtime.getRuntime().halt(EXIT_CODE);
     }
 
-    private static void awaitBegin() {
-        boolean begun = false;
-        while (!begun) {
+    private static void awaitTermination() {
+        boolean terminating = false;
+        while (!terminating) {
             try {
-                BEGUN.await();
-                pause(LAST_LINES_MILLIS);
-                begun = true;
-            } catch (InterruptedException nobodyDoes) {
-                begun = false;
+                TERMINATING.await();
+                pause(LOG_FLUSH_MILLIS);
+                terminating = true;
+            } catch (InterruptedException ignored) {
+                terminating = false;
             }
         }
     }
 
     private static void pause(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (System.nanoTime() < deadline) {
             try {
-                TimeUnit.NANOSECONDS.sleep(Math.max(0, until - System.nanoTime()));
-            } catch (InterruptedException nobodyDoes) {
-                // The end must not be held up, nor come early.
+                TimeUnit.NANOSECONDS.sleep(Math.max(0, deadline - System.nanoTime()));
+            } catch (InterruptedException ignored) {
+                // An interrupt must neither prevent the termination nor cause it early.
                 continue;
             }
         }
--- a/src/main/java/org/standlink/process/ProcessThreads.java
+++ b/src/main/java/org/standlink/process/ProcessThreads.java
@@ -28,22 +28,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Makes the executors of a process, from the JDK's.
+ * Creates the executors of a process, which record the exceptions of their work.
  *
  * <p>{@code ProcessThreads} is thread-safe and immutable.
  */
 public final class ProcessThreads {
 
-    /** How long an idle thread is kept, in seconds. */
-    private static final long KEEP_SECONDS = 30;
+    /** The time that an idle thread is kept, in seconds. */
+    private static final long KEEP_ALIVE_SECONDS = 30;
 
-    /** No instances. */
     private ProcessThreads() {}
 
     /**
-     * Makes an executor that has a thread for each piece of work.
+     * Creates an executor that runs each task on a thread of its own.
      *
-     * @param name the start of the threads' names
+     * @param name the prefix of the thread names
      * @return the executor
      */
     public static ExecutorService newCached(String name) {
@@ -51,18 +50,18 @@
     }
 
     /**
-     * Makes an executor with a bounded number of threads, which lets more work wait.
+     * Creates an executor with a bounded number of threads, which queues further tasks.
      *
-     * @param name the start of the threads' names
-     * @param most the most threads
+     * @param name the prefix of the thread names
+     * @param maxThreads the maximum number of threads
      * @return the executor
      */
-    public static ExecutorService newBounded(String name, int most) {
+    public static ExecutorService newBounded(String name, int maxThreads) {
         ThreadPoolExecutor pool =
                 new ThreadPoolExecutor(
-                        most,
-                        most,
-                        KEEP_SECONDS,
+                        maxThreads,
+                        maxThreads,
+                        KEEP_ALIVE_SECONDS,
                         TimeUnit.SECONDS,
                         new LinkedBlockingQueue<>(),
                         factory(name));
@@ -71,14 +70,14 @@
     }
 
     /**
-     * Makes an executor for timers.
+     * Creates an executor for timers.
      *
-     * @param name the start of the threads' names
+     * @param name the prefix of the thread names
      * @param threads the number of threads
      * @return the executor
      */
     public static ScheduledExecutorService newScheduled(String name, int threads) {
-        ScheduledThreadPoolExecutor pool = new WatchedTimers(name, threads);
+        ScheduledThreadPoolExecutor pool = new MonitoredScheduler(name, threads);
         pool.setRemoveOnCancelPolicy(true);
         return pool;
     }
@@ -88,18 +87,18 @@
         return work -> {
             Thread thread = new Thread(work, name + "-" + number.incrementAndGet());
             thread.setDaemon(true);
-            thread.setUncaughtExceptionHandler((at, thrown) -> WorkFailures.record(name, thrown));
+            thread.setUncaughtExceptionHandler(
+                    (failedThread, thrown) -> WorkFailures.record(name, thrown));
             return thread;
         };
     }
 
-    /** Timers that tell what their work throws, which the JDK's keep in a future. */
-    private static final class WatchedTimers extends ScheduledThreadPoolExecutor {
+    /** Records the exceptions of its tasks, which the JDK's scheduler only stores in a future. */
+    private static final class MonitoredScheduler extends ScheduledThreadPoolExecutor {
 
-        /** The name of the threads. */
         private final String name;
 
-        WatchedTimers(String name, int threads) {
+        MonitoredScheduler(String name, int threads) {
             super(threads, factory(name));
             this.name = name;
         }
@@ -107,12 +106,12 @@
         @Override
         protected void afterExecute(Runnable work, Throwable thrown) {
             super.afterExecute(work, thrown);
-            if (work instanceof Future<?> ended && ended.isDone() && !ended.isCancelled()) {
+            if (work instanceof Future<?> future && future.isDone() && !future.isCancelled()) {
                 try {
-                    ended.get();
-                } catch (ExecutionException failed) {
-                    WorkFailures.record(name, failed.getCause());
-                } catch (InterruptedException stopped) {
+                    future.get();
+                } catch (ExecutionException e) {
+                    WorkFailures.record(name, e.getCause());
+                } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             }
--- a/src/main/java/org/standlink/process/ReloadSignal.java
+++ b/src/main/java/org/standlink/process/ReloadSignal.java
@@ -19,24 +19,22 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Has something done when the process is told by SIGHUP that its settings file has changed.
+ * Handles SIGHUP, which notifies the process that its settings file has changed.
  *
- * <p>Without a handler the JDK ends the process. The JDK's signal classes are reached by
- * reflection, since the compiler warns of them; they are exported by the module {@code
+ * <p>Without a handler, the JDK ends the process on this signal. The JDK's signal classes are used
+ * by reflection, since the compiler warns about them; they are exported by the module {@code
  * jdk.unsupported}.
  */
 public final class ReloadSignal {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(ReloadSignal.class);
 
-    /** No instances. */
     private ReloadSignal() {}
 
     /**
-     * Sets what is done.
+     * Sets the action for the signal.
      *
-     * @param action what is done, on a thread of its own
+     * @param action is run on a thread of its own at each signal
      */
     public static void handle(Runnable action) {
         try {
@@ -49,8 +47,8 @@
                             (proxy, method, arguments) -> invoke(method, arguments, action));
             Object signal = signalType.getConstructor(String.class).newInstance("HUP");
             signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handler);
-        } catch (ReflectiveOperationException | IllegalArgumentException missing) {
-            LOG.warning("reload-signal-not-handled").with("cause", missing).write();
+        } catch (ReflectiveOperationException | IllegalArgumentException e) {
+            LOG.warning("reload-signal-not-handled").with("cause", e).write();
         }
     }
 
--- a/src/main/java/org/standlink/process/RequestBody.java
+++ b/src/main/java/org/standlink/process/RequestBody.java
@@ -26,31 +26,30 @@
  */
 public final class RequestBody {
 
-    /** No instances. */
     private RequestBody() {}
 
     /**
-     * Reads a body. One that is announced as too long is not waited for.
+     * Reads a body. One whose Content-Length exceeds the limit is rejected without being read.
      *
      * @param exchange the request
-     * @param mostBytes the longest body taken, in bytes
-     * @return the body, empty if it is longer
-     * @throws IOException if the caller breaks off
+     * @param maxBytes the maximum length of the body, in bytes
+     * @return the body, empty if it exceeds the maximum length
+     * @throws IOException if the caller closes the connection
      */
-    public static Optional<byte[]> read(HttpExchange exchange, int mostBytes) throws IOException {
-        if (announcedBytes(exchange) > mostBytes) {
+    public static Optional<byte[]> read(HttpExchange exchange, int maxBytes) throws IOException {
+        if (parseContentLength(exchange) > maxBytes) {
             return Optional.empty();
         }
-        byte[] body = exchange.getRequestBody().readNBytes(mostBytes + 1);
-        return body.length > mostBytes ? Optional.empty() : Optional.of(body);
+        byte[] body = exchange.getRequestBody().readNBytes(maxBytes + 1);
+        return body.length > maxBytes ? Optional.empty() : Optional.of(body);
     }
 
-    private static long announcedBytes(HttpExchange exchange) {
+    private static long parseContentLength(HttpExchange exchange) {
         String length = exchange.getRequestHeaders().getFirst("Content-Length");
         try {
             return length == null ? 0 : Long.parseLong(length.trim());
-        } catch (NumberFormatException malformed) {
-            // The JDK's server answers 400 to such a request before it comes here.
+        } catch (NumberFormatException e) {
+            // The JDK's server answers such a request with 400 before it reaches this method.
             return 0;
         }
     }
--- a/src/main/java/org/standlink/process/Timers.java
+++ b/src/main/java/org/standlink/process/Timers.java
@@ -25,8 +25,8 @@
 import org.standlink.StandlinkException;
 
 /**
- * Runs work again and again; a failure is counted and the work goes on the next time. When
- * something that it depends on is lost or regained, one line says so.
+ * Runs repeating work. A failure is counted, and the work is run again at its next turn. The loss
+ * of a dependency and its recovery are each logged once.
  *
  * <p>{@code Timers} is thread-safe.
  */
@@ -35,26 +35,23 @@
     /** The log of defects. */
     private static final System.Logger LOGGER = System.getLogger(Timers.class.getName());
 
-    /** The code under which defects are counted. */
+    /** The value of the tag {@code code} for defects. */
     private static final String DEFECT = "DEFECT";
 
-    /** The work that failed the last time. */
+    /** The names of the work whose last run failed. */
     private final Set<String> failing = ConcurrentHashMap.newKeySet();
 
-    /** The threads. */
     private final ScheduledExecutorService scheduler;
 
-    /** Where failures are counted. */
     private final MeterRegistry registry;
 
-    /** The name of the counter of failures. */
     private final String counter;
 
     /**
-     * Constructor.
+     * Creates timers.
      *
-     * @param scheduler the threads
-     * @param registry where failures are counted
+     * @param scheduler runs the work
+     * @param registry the registry of the counter
      * @param counter the name of the counter of failures
      */
     public Timers(ScheduledExecutorService scheduler, MeterRegistry registry, String counter) {
@@ -64,14 +61,14 @@
     }
 
     /**
-     * Runs work again and again, the first time at once.
+     * Schedules repeating work, which starts at once.
      *
-     * @param name the name of the work in the counter
-     * @param pauseMillis the pause between two runs, in milliseconds
+     * @param name the name of the work, also in the counter
+     * @param delayMillis the delay between two runs, in milliseconds
      * @param work the work
      */
-    public void scheduleRepeating(String name, long pauseMillis, Runnable work) {
-        Guarded.scheduleRepeating(name, scheduler, pauseMillis, () -> run(name, work));
+    public void scheduleRepeating(String name, long delayMillis, Runnable work) {
+        Guarded.scheduleRepeating(name, scheduler, delayMillis, () -> run(name, work));
     }
 
     @Override
@@ -82,36 +79,36 @@
     private void run(String name, Runnable work) {
         try {
             work.run();
-            succeeded(name);
+            recordSuccess(name);
         } catch (StandlinkException failure) {
-            failed(name, failure.getCode().name(), failure);
-        } catch (CompletionException lost) {
-            failed(name, codeOf(lost), lost.getCause());
+            recordFailure(name, failure.getCode().name(), failure);
+        } catch (CompletionException failure) {
+            recordFailure(name, codeOf(failure), failure.getCause());
         } catch (RuntimeException defect) {
             count(name, DEFECT);
             LOGGER.log(System.Logger.Level.ERROR, "defect in " + name, defect);
         }
     }
 
-    /** Says so once when work that failed goes well again. */
-    private void succeeded(String name) {
+    /** Logs the recovery of work that had failed. */
+    private void recordSuccess(String name) {
         if (failing.remove(name)) {
-            LOGGER.log(System.Logger.Level.INFO, name + " goes well again");
+            LOGGER.log(System.Logger.Level.INFO, name + " succeeds again");
         }
     }
 
-    /** Counts a failure of something that this process depends on, and says so the first time. */
-    private void failed(String name, String code, Throwable cause) {
+    /** Counts a failure of a dependency of this process and logs the first one in a row. */
+    private void recordFailure(String name, String code, Throwable cause) {
         count(name, code);
         if (failing.add(name)) {
             LOGGER.log(
                     System.Logger.Level.INFO,
-                    name + " fails and is repeated: " + code + ", " + cause);
+                    name + " failed and will be retried: " + code + ", " + cause);
         }
     }
 
-    private static String codeOf(CompletionException lost) {
-        Throwable cause = lost.getCause();
+    private static String codeOf(CompletionException failure) {
+        Throwable cause = failure.getCause();
         if (cause instanceof StandlinkException known) {
             return known.getCode().name();
         }
--- a/src/main/java/org/standlink/process/WorkFailures.java
+++ b/src/main/java/org/standlink/process/WorkFailures.java
@@ -23,44 +23,41 @@
 import java.util.function.Consumer;
 
 /**
- * Takes note of what work of the process throws though nothing expected it: one line with the cause
- * for each, and a count. After an error the process is ended in order, since what it still does
- * cannot be relied on.
+ * Records the unexpected exceptions and errors of the work of a process: each is logged with its
+ * cause and counted. After an error the process is shut down in order, since it is no longer
+ * reliable.
  *
- * <p>All work that nobody waits for is to be handed over by {@link Guarded} or to run on threads of
- * {@link ProcessThreads}; both tell this class.
+ * <p>All work whose result is not awaited must be run by {@link Guarded} or on threads of {@link
+ * ProcessThreads}; both report to this class.
  *
  * <p>{@code WorkFailures} is thread-safe.
  */
 public final class WorkFailures {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(WorkFailures.class);
 
-    /** The most calls of a stack that a line tells: enough to reach this program's own code. */
-    private static final int MOST_FRAMES = 12;
+    /** The maximum number of logged stack frames; enough to reach the code of standlink. */
+    private static final int MAX_FRAMES = 12;
 
-    /** The longest message of a cause in a line, in characters. */
-    private static final int MOST_MESSAGE = 200;
+    /** The maximum length of a logged message, in characters. */
+    private static final int MAX_MESSAGE_CHARACTERS = 200;
 
-    /** The most causes of causes that a line tells. */
-    private static final int MOST_CAUSES = 3;
+    /** The maximum number of logged nested causes. */
+    private static final int MAX_CAUSES = 3;
 
-    /** How many failures there were. */
     private static final AtomicLong COUNT = new AtomicLong();
 
-    /** What ends the process; nothing by default, for programs that hold several. */
-    private static final AtomicReference<Consumer<Throwable>> ENDING =
+    /** Ends the process; does nothing by default, for programs that run several processes. */
+    private static final AtomicReference<Consumer<Throwable>> TERMINATION_HANDLER =
             new AtomicReference<>(thrown -> {});
 
-    /** No instances. */
     private WorkFailures() {}
 
     /**
-     * Takes note of a failure.
+     * Records a failure.
      *
-     * @param work what failed, in words joined by hyphens
-     * @param thrown what was thrown
+     * @param work the name of the work, in words joined by hyphens
+     * @param thrown the exception or error
      */
     public static void record(String work, Throwable thrown) {
         Throwable cause = unwrap(thrown);
@@ -69,13 +66,13 @@
             LOG.error("work-failed").with("work", work).with("cause", describe(cause)).write();
         } finally {
             if (isFatal(cause)) {
-                ENDING.get().accept(cause);
+                TERMINATION_HANDLER.get().accept(cause);
             }
         }
     }
 
     /**
-     * Gets how many failures were noted since the start of the process.
+     * Gets the number of failures since the start of the process.
      *
      * @return the number
      */
@@ -84,9 +81,9 @@
     }
 
     /**
-     * Shows the number of failures among the counters of a process.
+     * Registers the counter of failures.
      *
-     * @param registry the counters
+     * @param registry the metrics of the process
      */
     public static void registerCounter(MeterRegistry registry) {
         FunctionCounter.builder("standlink.work.failures", COUNT, AtomicLong::get)
@@ -95,31 +92,31 @@
     }
 
     /**
-     * Sets what ends the process after an error.
+     * Sets the handler that ends the process after an error.
      *
-     * @param ending is told the error; must return at once
+     * @param handler receives the error; must return at once
      */
-    public static void setTerminationHandler(Consumer<Throwable> ending) {
-        ENDING.set(ending);
+    public static void setTerminationHandler(Consumer<Throwable> handler) {
+        TERMINATION_HANDLER.set(handler);
     }
 
     /**
-     * Checks whether the process cannot be relied on after a failure. An overflow of the stack is
-     * over once the work has ended, and a caller's request may have caused it: if it ended the
-     * process, that request could end one process after the other.
+     * Checks whether the process is no longer reliable after a failure. A stack overflow has no
+     * effect beyond the work that caused it. It may also be caused by a caller's request: if it
+     * ended the process, that request could end one process after another.
      *
-     * @param thrown what was thrown
-     * @return true for errors but those
+     * @param thrown the exception or error
+     * @return true for all errors except stack overflows
      */
     static boolean isFatal(Throwable thrown) {
         return thrown instanceof Error && !(thrown instanceof StackOverflowError);
     }
 
     /**
-     * Strips what a future wraps a failure in.
+     * Unwraps a failure of a future.
      *
-     * @param failure the failure
-     * @return what was thrown
+     * @param failure the failure, possibly a {@link CompletionException}
+     * @return its cause if it is wrapped, otherwise the failure itself
      */
     public static Throwable unwrap(Throwable failure) {
         boolean wrapped = failure instanceof CompletionException && failure.getCause() != null;
@@ -128,21 +125,23 @@
 
     // -----------------------------------------------------------------------
     private static String describe(Throwable thrown) {
-        StringBuilder text = new StringBuilder(head(thrown));
+        StringBuilder text = new StringBuilder(summarise(thrown));
         StackTraceElement[] frames = thrown.getStackTrace();
-        for (int i = 0; i < Math.min(frames.length, MOST_FRAMES); i++) {
+        for (int i = 0; i < Math.min(frames.length, MAX_FRAMES); i++) {
             text.append(" at ").append(frames[i]);
         }
         Throwable cause = thrown.getCause();
-        for (int i = 0; i < MOST_CAUSES && cause != null; i++) {
-            text.append(" caused by ").append(head(cause));
+        for (int i = 0; i < MAX_CAUSES && cause != null; i++) {
+            text.append(" caused by ").append(summarise(cause));
             cause = cause.getCause();
         }
         return text.toString();
     }
 
-    private static String head(Throwable thrown) {
+    private static String summarise(Throwable thrown) {
         String text = thrown.toString();
-        return text.length() > MOST_MESSAGE ? text.substring(0, MOST_MESSAGE) : text;
+        return text.length() > MAX_MESSAGE_CHARACTERS
+                ? text.substring(0, MAX_MESSAGE_CHARACTERS)
+                : text;
     }
 }
--- a/src/main/java/org/standlink/process/package-info.java
+++ b/src/main/java/org/standlink/process/package-info.java
@@ -1,2 +1,2 @@
-/** What every long-running program of standlink needs: timers, threads and an HTTP server. */
+/** Infrastructure of long-running processes: timers, threads, logging and an HTTP server. */
 package org.standlink.process;
--- a/src/main/java/org/standlink/store/AppendCondition.java
+++ b/src/main/java/org/standlink/store/AppendCondition.java
@@ -18,17 +18,17 @@
 import org.standlink.Epoch;
 
 /**
- * Numbers the appends of one writer, so that a repeated one counts once and one of an older epoch
- * is refused.
+ * The condition under which an append takes effect. The sequence number ensures that a repeated
+ * append is executed once, and the epoch that an append of an earlier epoch is rejected.
  *
  * <p>{@code AppendCondition} is thread-safe and immutable.
  *
  * @param epoch the epoch of the writer
- * @param sequence the number of the append in the epoch, from 0
- * @param expectedEnd where the topic must end for the append to be done, or {@link #ANY_END}
+ * @param sequence the sequence number of the append in the epoch, from 0
+ * @param expectedEnd the offset at which the topic must end, or {@link #ANY_END}
  */
 public record AppendCondition(Epoch epoch, long sequence, long expectedEnd) {
 
-    /** Stands for an append that is done wherever the topic ends. */
+    /** The expected end of an append that does not depend on the end of the topic. */
     public static final long ANY_END = -1;
 }
--- a/src/main/java/org/standlink/store/KeyedRecord.java
+++ b/src/main/java/org/standlink/store/KeyedRecord.java
@@ -18,9 +18,9 @@
 import java.util.Arrays;
 
 /**
- * A record under a key.
+ * A record with a key.
  *
- * <p>{@code KeyedRecord} must not be changed after it was made.
+ * <p>{@code KeyedRecord} is treated as immutable: the value must not be modified.
  *
  * @param key the key, 1 to 255 bytes of ASCII
  * @param value the value; an empty one removes the key
--- a/src/main/java/org/standlink/store/KeyedStore.java
+++ b/src/main/java/org/standlink/store/KeyedStore.java
@@ -20,59 +20,62 @@
 import org.standlink.Epoch;
 
 /**
- * The platform's store.
+ * A client of the platform's store.
  *
  * <p>Each call fails with a {@link org.standlink.StandlinkException}: PLATFORM_UNAVAILABLE if it
- * surely had no effect, PLATFORM_OUTCOME_UNKNOWN if it may have, or later still.
+ * certainly has no effect, PLATFORM_OUTCOME_UNKNOWN if it may have had an effect or may still have
+ * one later.
  *
  * <p>Implementations must be thread-safe.
  */
 public interface KeyedStore {
 
     /**
-     * Appends records if the topic ends at an offset.
+     * Appends records if the topic ends at a given offset.
      *
      * @param topic the topic
      * @param records the records
      * @param expectedEnd the offset
-     * @return the new end; fails with CONDITION_FAILED if the topic ends elsewhere
+     * @return the new end offset; fails with CONDITION_FAILED if the topic ends elsewhere
      */
     CompletableFuture<Long> appendAt(Topic topic, List<KeyedRecord> records, long expectedEnd);
 
     /**
-     * Appends records as the writer of a topic.
+     * Appends records as the only writer of a topic.
      *
      * @param topic the topic
      * @param records the records
-     * @param writer numbers the append
-     * @return the new end; fails with EPOCH_FENCED if a newer epoch has written
+     * @param condition the epoch, number and expected position of the append
+     * @return the new end offset; fails with EPOCH_FENCED if there is a writer of a newer epoch and
+     *     with CONDITION_FAILED if the topic ends elsewhere than expected
      */
-    CompletableFuture<Long> append(Topic topic, List<KeyedRecord> records, AppendCondition writer);
+    CompletableFuture<Long> append(
+            Topic topic, List<KeyedRecord> records, AppendCondition condition);
 
     /**
-     * Raises the epoch of a topic's writer, so that appends of older epochs are refused.
+     * Raises the epoch of a topic's writer, so that appends of older epochs are rejected.
      *
      * @param topic the topic
      * @param epoch the epoch
-     * @return the end; fails with EPOCH_FENCED if a newer epoch has written
+     * @return the end offset; fails with EPOCH_FENCED if there is a writer of a newer epoch
      */
     CompletableFuture<Long> fence(Topic topic, Epoch epoch);
 
     /**
-     * Reads records, waiting for one if there is none yet.
+     * Reads records and waits for one if there is none yet.
      *
      * @param topic the topic
-     * @param from the offset of the first record wanted
-     * @param waitMillis how long to wait, in milliseconds; 0 for not at all
-     * @return the records; fails with LOG_GAP if they are no longer kept
+     * @param from the offset of the first record
+     * @param waitMillis the maximum wait, in milliseconds; 0 for none
+     * @return the records; fails with LOG_GAP if they are no longer retained
      */
     CompletableFuture<ReadResult> read(Topic topic, long from, long waitMillis);
 
     /**
-     * Reads the offset behind the last record of a topic.
+     * Reads the offset after the last record of a topic.
      *
      * @param topic the topic
-     * @return the end
+     * @return the end offset
      */
     CompletableFuture<Long> readEnd(Topic topic);
 
@@ -80,7 +83,7 @@
      * Reads the newest record of each key.
      *
      * @param topic the topic
-     * @return the records, and an offset from which reading on misses nothing
+     * @return the records, and an offset from which further reads miss no record
      */
     CompletableFuture<ReadResult> readNewest(Topic topic);
 }
--- a/src/main/java/org/standlink/store/MessagePackCodec.java
+++ b/src/main/java/org/standlink/store/MessagePackCodec.java
@@ -22,50 +22,53 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Writes and reads the values of records as MessagePack. */
+/** Encodes and decodes the values of records as MessagePack. */
 public final class MessagePackCodec {
 
-    /** The serializer; parts that a newer version added are passed over. */
+    /** The serialiser, which ignores components that a newer version added. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper(new MessagePackFactory())
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** No instances. */
     private MessagePackCodec() {}
 
     /**
-     * Writes a value.
+     * Encodes a value.
      *
      * @param value the value
-     * @return the bytes
+     * @return the encoded value
      */
     public static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
-        } catch (IOException impossible) {
+        } catch (IOException e) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "record not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL, "record could not be encoded", "report a defect", e);
         }
     }
 
     /**
-     * Reads a value.
+     * Decodes a value.
      *
-     * @param <T> its type
-     * @param bytes the bytes
-     * @param type its type
+     * @param <T> the type of the value
+     * @param bytes the encoded value
+     * @param type the class of the value
      * @return the value
-     * @throws StandlinkException with code INVALID_MESSAGE if the bytes are not such a value
+     * @throws StandlinkException with code INVALID_MESSAGE if the bytes are malformed or of another
+     *     type
      */
     public static <T> T decode(byte[] bytes, Class<T> type) {
         try {
             return MAPPER.readValue(bytes, type);
-        } catch (IOException malformed) {
+        } catch (IOException e) {
             throw new StandlinkException(
                     ErrorCode.INVALID_MESSAGE,
-                    "a record of " + bytes.length + " bytes is no " + type.getSimpleName(),
+                    "a record of "
+                            + bytes.length
+                            + " bytes cannot be decoded as "
+                            + type.getSimpleName(),
                     "check which version of standlink wrote it",
-                    malformed);
+                    e);
         }
     }
 }
--- a/src/main/java/org/standlink/store/ReadResult.java
+++ b/src/main/java/org/standlink/store/ReadResult.java
@@ -18,11 +18,11 @@
 import java.util.List;
 
 /**
- * What a read of a topic found.
+ * The result of a read of a topic.
  *
  * <p>{@code ReadResult} is thread-safe and immutable.
  *
- * @param nextOffset the offset to read on from
+ * @param nextOffset the offset of the next read
  * @param records the records, oldest first
  */
 public record ReadResult(long nextOffset, List<KeyedRecord> records) {}
--- a/src/main/java/org/standlink/store/Topic.java
+++ b/src/main/java/org/standlink/store/Topic.java
@@ -19,8 +19,8 @@
 public enum Topic {
     /** Claims of leadership. */
     CLAIMS,
-    /** The state of the cell; only its leader writes. */
+    /** The state of the cell, which only its leader writes. */
     CELL,
-    /** What the operator publishes; not standlink's to write. */
+    /** What the operator publishes; standlink only reads it. */
     OPERATOR
 }
--- a/src/main/java/org/standlink/store/TopicFollower.java
+++ b/src/main/java/org/standlink/store/TopicFollower.java
@@ -26,66 +26,59 @@
 import org.standlink.process.WorkFailures;
 
 /**
- * Reads a topic for as long as the process runs: first the newest record of each key, then each new
- * record as it comes.
+ * Follows a topic until it is closed: reads the newest record of each key first, then each new
+ * record.
  *
- * <p>A record may be delivered more than once, and an older one after a newer one when history was
- * dropped meanwhile; the receiver must bear that. After such a loss the newest records are read
- * again, since the removal of a key may have been among what was dropped.
+ * <p>A record may be delivered more than once. An older record may be delivered after a newer one
+ * if history was dropped in between; the receiver must tolerate both. After such a gap the newest
+ * records are read again, since the dropped records may include the removal of a key.
  *
  * <p>{@code TopicFollower} is thread-safe.
  */
 public final class TopicFollower implements AutoCloseable {
 
     /**
-     * How long a read waits for a record, in milliseconds. A connection may go silent for good, and
-     * operators expect a version to be in force within 2,000 ms on each machine that has had 3,000
-     * ms to recover; this, the time that a read may take longer, and a pause are 2,300. It costs
-     * two reads each 1,500 ms for each process.
+     * The time that a read waits for a record, in milliseconds. A connection may stop responding
+     * permanently, and operators expect a version to be in force within 2,000 ms on each machine
+     * that has had 3,000 ms to recover. This wait, the additional time that a read may take, and
+     * the retry delay add up to 2,300 ms. The cost is two reads per process every 1,500 ms.
      */
-    private static final long WAIT_MILLIS = 1500;
+    private static final long READ_TIMEOUT_MILLIS = 1500;
 
-    /** The pause after a failed read, in milliseconds; five tries fit in the second wanted. */
-    private static final long PAUSE_MILLIS = 200;
+    /** The delay after a failed read, in milliseconds; allows five attempts per second. */
+    private static final long RETRY_DELAY_MILLIS = 200;
 
-    /** The offset that says that nothing has been read. */
-    private static final long NOTHING_READ = -1;
+    /** The position before the first read. */
+    private static final long NO_POSITION = -1;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(TopicFollower.class);
 
-    /** The store. */
     private final KeyedStore store;
 
-    /** The topic. */
     private final Topic topic;
 
-    /** The timers. */
     private final ScheduledExecutorService timers;
 
-    /** Where records are handed on. */
     private final Executor executor;
 
-    /** What receives records. */
     private final TopicReceiver receiver;
 
-    /** The offset to read on from. */
-    private volatile long position = NOTHING_READ;
+    /** The offset of the next read. */
+    private volatile long position = NO_POSITION;
 
     /** Whether the last read failed. */
     private volatile boolean failing;
 
-    /** Whether this follower is closed. */
     private volatile boolean closed;
 
     /**
-     * Constructor.
+     * Creates a follower that is not started.
      *
      * @param store the store
      * @param topic the topic
-     * @param timers the timers
-     * @param executor where records are handed on, in order
-     * @param receiver what receives records
+     * @param timers schedules retries
+     * @param executor runs the receiver
+     * @param receiver receives the records
      */
     public TopicFollower(
             KeyedStore store,
@@ -100,15 +93,15 @@
         this.receiver = receiver;
     }
 
-    /** Starts to read. */
+    /** Starts reading. */
     public void start() {
-        readOn();
+        readNext();
     }
 
     /**
-     * Gets the offset to read on from.
+     * Gets the offset of the next read.
      *
-     * @return the offset, negative if nothing has been read
+     * @return the offset, negative before the first read has succeeded and after a gap
      */
     public long getPosition() {
         return position;
@@ -120,26 +113,26 @@
     }
 
     // -----------------------------------------------------------------------
-    private void readOn() {
+    private void readNext() {
         if (closed) {
             return;
         }
         CompletableFuture<ReadResult> result =
-                position == NOTHING_READ
+                position == NO_POSITION
                         ? store.readNewest(topic)
-                        : store.read(topic, position, WAIT_MILLIS);
+                        : store.read(topic, position, READ_TIMEOUT_MILLIS);
         Guarded.onCompletionInLoop(
                 result,
                 executor,
                 (read, failure) ->
-                        Guarded.work("follow", () -> handle(read, failure), this::readOnLater)
+                        Guarded.work("follow", () -> handle(read, failure), this::scheduleRetry)
                                 .run());
     }
 
-    private void readOnLater() {
+    private void scheduleRetry() {
         timers.schedule(
-                Guarded.work("follow", this::readOn, this::readOnLater),
-                PAUSE_MILLIS,
+                Guarded.work("follow", this::readNext, this::scheduleRetry),
+                RETRY_DELAY_MILLIS,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -152,13 +145,13 @@
             failing = false;
             LOG.info("store-read-regained").with("topic", topic).write();
         }
-        if (position == NOTHING_READ) {
+        if (position == NO_POSITION) {
             receiver.receiveNewest(result.records());
         } else {
             result.records().forEach(receiver::receive);
         }
         position = result.nextOffset();
-        readOn();
+        readNext();
     }
 
     private void handleFailure(Throwable failure) {
@@ -168,14 +161,14 @@
         }
         if (cause instanceof StandlinkException known && known.getCode() == ErrorCode.LOG_GAP) {
             LOG.info("history-dropped").with("topic", topic).with("offset", position).write();
-            position = NOTHING_READ;
-            readOn();
+            position = NO_POSITION;
+            readNext();
             return;
         }
         if (!failing) {
             failing = true;
             LOG.warning("store-read-lost").with("topic", topic).with("cause", cause).write();
         }
-        readOnLater();
+        scheduleRetry();
     }
 }
--- a/src/main/java/org/standlink/store/TopicReceiver.java
+++ b/src/main/java/org/standlink/store/TopicReceiver.java
@@ -26,15 +26,15 @@
 public interface TopicReceiver {
 
     /**
-     * Receives a record; an older one may come after a newer one of the same key.
+     * Receives a record; an older one may follow a newer one of the same key.
      *
      * @param record the record
      */
     void receive(KeyedRecord record);
 
     /**
-     * Receives the newest record of each key. Keys that are missing have been removed, perhaps
-     * since the last record was received.
+     * Receives the newest record of each key. Keys that are missing have been removed, possibly
+     * without a call of {@link #receive} for their removal.
      *
      * @param records the records
      */
--- a/src/main/java/org/standlink/store/package-info.java
+++ b/src/main/java/org/standlink/store/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The port to the platform's store, and what is built on it: following a topic.
+ * The interface of the platform's store, and a follower of its topics.
  *
- * <p>The store keeps records under keys in topics; the newest record of each key stays, older ones
- * go after a time.
+ * <p>The store keeps keyed records in topics. The newest record of each key is retained; older ones
+ * are dropped after a time.
  */
 package org.standlink.store;
--- a/src/test/java/org/standlink/process/TestConnectionDrain.java
+++ b/src/test/java/org/standlink/process/TestConnectionDrain.java
@@ -25,8 +25,8 @@
 /** Tests when a leaving server may end. */
 public class TestConnectionDrain {
 
-    /** A server that hands over at once whatever arrives. */
-    private static final PendingArrivals AT_ONCE =
+    /** A server that hands over each request at once. */
+    private static final PendingArrivals NONE_PENDING =
             new PendingArrivals() {
                 @Override
                 public void await(long timeoutMillis) {}
@@ -37,10 +37,8 @@
                 }
             };
 
-    /** The clock. */
     private final FakeClock clock = new FakeClock();
 
-    /** What is tested. */
     private final ConnectionDrain drain = new ConnectionDrain(clock);
 
     @Test
@@ -91,28 +89,31 @@
     public void answersARequestThatArrivesAtTheLastMoment() throws InterruptedException {
         drain.leave();
         boolean[] answered = new boolean[1];
-        long[] looks = new long[1];
+        long[] sleeps = new long[1];
         drain.awaitDrained(
                 6000,
                 millis -> {
                     clock.advance(millis);
-                    looks[0]++;
-                    if (drain.getInProgress() > 0 && looks[0] % 10 == 0) {
+                    sleeps[0]++;
+                    if (drain.getInProgress() > 0 && sleeps[0] % 10 == 0) {
                         answered[0] = true;
                         drain.requestAnswered("late");
                     }
                 },
-                AT_ONCE,
+                NONE_PENDING,
                 () -> drain.requestReceived("late"));
         assertTrue(answered[0]);
     }
 
-    /** Seen: a server whose own thread was held up took itself for idle and cut what had come. */
+    /**
+     * A server whose own thread was delayed considered itself idle and interrupted requests that
+     * had arrived but were not read.
+     */
     @Test
     public void waitsForAnUnreadRequest() throws InterruptedException {
         drain.leave();
         boolean[] read = new boolean[1];
-        PendingArrivals late =
+        PendingArrivals unread =
                 new PendingArrivals() {
                     @Override
                     public void await(long timeoutMillis) {
@@ -127,16 +128,16 @@
                         return 0;
                     }
                 };
-        drain.awaitDrained(6000, clock::advance, late, () -> {});
+        drain.awaitDrained(6000, clock::advance, unread, () -> {});
         assertTrue(read[0]);
-        assertTrue(drain.isDrained(), "quiet again after the last request");
+        assertTrue(drain.isDrained(), "drained after the last request");
     }
 
     @Test
     public void waitsForRequestsQueuedForAHandler() throws InterruptedException {
         drain.leave();
         int[] pending = {40};
-        PendingArrivals waiting =
+        PendingArrivals queued =
                 new PendingArrivals() {
                     @Override
                     public void await(long timeoutMillis) {}
@@ -146,7 +147,7 @@
                         return pending[0] = Math.max(0, pending[0] - 1);
                     }
                 };
-        drain.awaitDrained(60_000, clock::advance, waiting, () -> {});
+        drain.awaitDrained(60_000, clock::advance, queued, () -> {});
         assertEquals(0, pending[0]);
     }
 
@@ -155,16 +156,17 @@
         drain.leave();
         drain.requestReceived("stuck");
         long start = clock.nowMillis();
-        drain.awaitDrained(6000, clock::advance, AT_ONCE, () -> {});
-        long took = clock.nowMillis() - start;
+        drain.awaitDrained(6000, clock::advance, NONE_PENDING, () -> {});
+        long elapsedMillis = clock.nowMillis() - start;
         assertTrue(
-                took >= 6000 - ConnectionDrain.EXIT_RESERVE_MILLIS && took < 6000, "took " + took);
+                elapsedMillis >= 6000 - ConnectionDrain.EXIT_RESERVE_MILLIS && elapsedMillis < 6000,
+                "took " + elapsedMillis);
     }
 
     private boolean serve(String connection) {
         drain.requestReceived(connection);
-        boolean told = drain.closeIfLeaving(connection);
+        boolean closing = drain.closeIfLeaving(connection);
         drain.requestAnswered(connection);
-        return told;
+        return closing;
     }
 }
--- a/src/test/java/org/standlink/process/TestGuarded.java
+++ b/src/test/java/org/standlink/process/TestGuarded.java
@@ -36,36 +36,35 @@
 import org.standlink.FakeEventLoop;
 
 /**
- * Tests that work which nobody waits for never ends unseen.
+ * Tests that failures of work whose result is not awaited are recorded and do not end repetitions.
  *
- * <p>Seen: a leader's timer that never ran again for the last 24 s of a day, and threads that ended
- * while they answered callers, without a line in the log.
- *
- * <p>Cause: the JDK keeps what such work throws in a future that nobody looks at, and does not
- * repeat work that threw.
+ * <p>Without this, a leader's timer did not run for the last 24 s of a simulated day, and threads
+ * ended while they answered callers, without a log line: the JDK stores such an exception in a
+ * future that is never read, and does not run repeating work again after it has thrown.
  */
 public class TestGuarded {
 
-    private static final IllegalStateException DEFECT = new IllegalStateException("on purpose");
+    private static final IllegalStateException DEFECT =
+            new IllegalStateException("thrown by the test");
 
-    private final List<Throwable> ended = new ArrayList<>();
+    private final List<Throwable> fatalErrors = new ArrayList<>();
     private final FakeEventLoop loop = new FakeEventLoop(new FakeClock());
-    private long before;
+    private long initialCount;
     private int runs;
 
     @BeforeEach
-    public void begin() {
-        before = WorkFailures.getCount();
-        WorkFailures.setTerminationHandler(ended::add);
+    public void setUp() {
+        initialCount = WorkFailures.getCount();
+        WorkFailures.setTerminationHandler(fatalErrors::add);
     }
 
     @AfterEach
-    public void end() {
+    public void tearDown() {
         WorkFailures.setTerminationHandler(thrown -> {});
     }
 
-    private long noted() {
-        return WorkFailures.getCount() - before;
+    private long countRecorded() {
+        return WorkFailures.getCount() - initialCount;
     }
 
     private void fail() {
@@ -83,15 +82,15 @@
         Guarded.scheduleRepeating("test", loop, 10, this::fail);
         loop.advance(35);
         assertEquals(4, runs);
-        assertEquals(4, noted());
-        assertEquals(List.of(), ended);
+        assertEquals(4, countRecorded());
+        assertEquals(List.of(), fatalErrors);
     }
 
     @Test
     public void failureActionRunsAfterAnException() {
-        List<String> instead = new ArrayList<>();
-        Guarded.work("test", this::fail, () -> instead.add("again")).run();
-        assertEquals(List.of("again"), instead);
+        List<String> actions = new ArrayList<>();
+        Guarded.work("test", this::fail, () -> actions.add("failed")).run();
+        assertEquals(List.of("failed"), actions);
     }
 
     @Test
@@ -102,27 +101,27 @@
         value.complete("done");
         loop.runDue();
         assertEquals(2, runs);
-        assertEquals(2, noted());
+        assertEquals(2, countRecorded());
     }
 
     @Test
     public void anErrorTerminatesTheProcess() {
-        NoClassDefFoundError error = new NoClassDefFoundError("on purpose");
+        NoClassDefFoundError error = new NoClassDefFoundError("thrown by the test");
         Guarded.work(
                         "test",
                         () -> {
                             throw error;
                         })
                 .run();
-        assertEquals(List.of(error), ended);
+        assertEquals(List.of(error), fatalErrors);
     }
 
-    /** A caller's request may cause it, and would end one process after the other. */
+    /** A caller's request may cause a stack overflow and would end one process after another. */
     @Test
     public void aStackOverflowDoesNotTerminateTheProcess() {
         Guarded.work("test", () -> overflow(0)).run();
-        assertEquals(1, noted());
-        assertEquals(List.of(), ended);
+        assertEquals(1, countRecorded());
+        assertEquals(List.of(), fatalErrors);
     }
 
     @Test
@@ -130,12 +129,12 @@
         ScheduledExecutorService timers = ProcessThreads.newScheduled("timers", 1);
         timers.execute(this::fail);
         timers.submit(() -> {}).get();
-        assertEquals(1, noted());
+        assertEquals(1, countRecorded());
         ExecutorService threads = ProcessThreads.newBounded("threads", 1);
         threads.execute(this::fail);
-        // A thread that has ended is replaced, and its end was told before that.
+        // The thread that has ended is replaced; its failure is recorded before it ends.
         threads.submit(() -> {}).get();
-        while (noted() < 2) {
+        while (countRecorded() < 2) {
             Thread.onSpinWait();
         }
         timers.shutdownNow();
@@ -160,13 +159,13 @@
                 "/",
                 504,
                 exchange -> {
-                    throw new NoClassDefFoundError("on purpose");
+                    throw new NoClassDefFoundError("thrown by the test");
                 });
         server.start();
         assertEquals(504, statusOf(server));
         assertEquals(504, statusOf(server));
-        assertEquals(2, noted());
-        assertFalse(ended.isEmpty());
+        assertEquals(2, countRecorded());
+        assertFalse(fatalErrors.isEmpty());
         server.stop(0);
         threads.shutdownNow();
     }
--- a/src/test/java/org/standlink/process/TestHttpPendingArrivals.java
+++ b/src/test/java/org/standlink/process/TestHttpPendingArrivals.java
@@ -35,23 +35,23 @@
 import org.junit.jupiter.api.Test;
 import org.standlink.lease.MonotonicClock;
 
-/** Tests that a server knows of requests that have arrived and that its thread has not read. */
+/** Tests that requests which have arrived but are not read by the server's thread are tracked. */
 public class TestHttpPendingArrivals {
 
-    private static final long LONG_MILLIS = 20_000;
-    private static final long SHORT_MILLIS = 150;
+    private static final long TIMEOUT_MILLIS = 20_000;
+    private static final long SHORT_TIMEOUT_MILLIS = 150;
     private static final byte[] REQUEST =
             "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final CountDownLatch reading = new CountDownLatch(1);
-    private final CountDownLatch held = new CountDownLatch(1);
-    private final CountDownLatch answering = new CountDownLatch(1);
+    private final CountDownLatch handOverStarted = new CountDownLatch(1);
+    private final CountDownLatch handOverAllowed = new CountDownLatch(1);
+    private final CountDownLatch answerAllowed = new CountDownLatch(1);
     private final AtomicInteger handled = new AtomicInteger();
     private final HttpServer server =
             HttpService.newServer(new InetSocketAddress("127.0.0.1", 0), threads);
 
-    /** Starts a server whose own thread may be held up as it hands a request over. */
+    /** Starts a server whose own thread may be blocked by the executor while it hands over. */
     private HttpPendingArrivals start(Executor executor) {
         HttpPendingArrivals arrivals = HttpPendingArrivals.monitor(server, executor);
         HttpService.serve(
@@ -62,7 +62,7 @@
                 arrivals,
                 exchange -> {
                     handled.incrementAndGet();
-                    await(answering);
+                    await(answerAllowed);
                     exchange.sendResponseHeaders(200, -1);
                 });
         server.start();
@@ -71,16 +71,16 @@
 
     @AfterEach
     public void stop() {
-        held.countDown();
-        answering.countDown();
+        handOverAllowed.countDown();
+        answerAllowed.countDown();
         server.stop(0);
         threads.shutdownNow();
     }
 
     private static void await(CountDownLatch latch) {
         try {
-            latch.await(LONG_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException stopped) {
+            latch.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
@@ -92,7 +92,7 @@
     }
 
     private Void awaitArrivals(HttpPendingArrivals arrivals) throws InterruptedException {
-        arrivals.await(LONG_MILLIS);
+        arrivals.await(TIMEOUT_MILLIS);
         return null;
     }
 
@@ -101,18 +101,18 @@
         HttpPendingArrivals arrivals =
                 start(
                         task -> {
-                            reading.countDown();
-                            await(held);
+                            handOverStarted.countDown();
+                            await(handOverAllowed);
                             threads.execute(task);
                         });
         try (Socket first = send()) {
-            await(reading);
+            await(handOverStarted);
             try (Socket second = send()) {
                 Future<Void> waiting = threads.submit(() -> awaitArrivals(arrivals));
                 Thread.onSpinWait();
-                assertFalse(waiting.isDone(), "nothing is accepted, " + first + second);
-                held.countDown();
-                waiting.get(LONG_MILLIS, TimeUnit.MILLISECONDS);
+                assertFalse(waiting.isDone(), "no connection is accepted, " + first + second);
+                handOverAllowed.countDown();
+                waiting.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 assertTrue(arrivals.getPending() >= 2, "both are pending");
             }
         }
@@ -121,14 +121,14 @@
     @Test
     public void theProbeReachesNoHandler() throws Exception {
         HttpPendingArrivals arrivals = start(threads);
-        arrivals.await(LONG_MILLIS);
+        arrivals.await(TIMEOUT_MILLIS);
         assertEquals(0, handled.get());
     }
 
     @Test
     public void theWaitForAnUnresponsiveServerIsBounded() throws Exception {
-        HttpPendingArrivals arrivals = start(task -> await(held));
-        arrivals.await(SHORT_MILLIS);
+        HttpPendingArrivals arrivals = start(task -> await(handOverAllowed));
+        arrivals.await(SHORT_TIMEOUT_MILLIS);
         assertEquals(0, handled.get());
     }
 }
--- a/src/test/java/org/standlink/process/TestLogWriter.java
+++ b/src/test/java/org/standlink/process/TestLogWriter.java
@@ -27,33 +27,33 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Tests that a blocked standard output holds up nobody. */
+/** Tests that a blocked standard output does not block the threads that log. */
 public class TestLogWriter {
 
-    private static final String LAST = "last line";
+    private static final String LAST_LINE = "last line";
 
-    /** An output that takes nothing until it is opened. */
+    /** An output that blocks until it is unblocked. */
     private static final class BlockedOutput extends OutputStream {
 
-        private final CountDownLatch opened = new CountDownLatch(1);
-        private final CountDownLatch told = new CountDownLatch(1);
-        private final ByteArrayOutputStream taken = new ByteArrayOutputStream();
+        private final CountDownLatch unblocked = new CountDownLatch(1);
+        private final CountDownLatch lastLineWritten = new CountDownLatch(1);
+        private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
         @Override
-        public void write(int one) {
-            write(new byte[] {(byte) one}, 0, 1);
+        public void write(int value) {
+            write(new byte[] {(byte) value}, 0, 1);
         }
 
         @Override
         public void write(byte[] bytes, int offset, int length) {
             try {
-                opened.await();
-            } catch (InterruptedException stopped) {
+                unblocked.await();
+            } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            taken.write(bytes, offset, length);
-            if (taken.toString(StandardCharsets.UTF_8).contains(LAST)) {
-                told.countDown();
+            written.write(bytes, offset, length);
+            if (written.toString(StandardCharsets.UTF_8).contains(LAST_LINE)) {
+                lastLineWritten.countDown();
             }
         }
     }
@@ -67,20 +67,20 @@
             dropped += writer.offer("line " + i) ? 0 : 1;
         }
         assertTrue(dropped >= LogWriter.MAX_QUEUED_LINES);
-        output.opened.countDown();
-        while (!writer.offer(LAST)) {
+        output.unblocked.countDown();
+        while (!writer.offer(LAST_LINE)) {
             dropped++;
             Thread.onSpinWait();
         }
-        output.told.await();
-        String text = output.taken.toString(StandardCharsets.UTF_8);
-        long told =
+        output.lastLineWritten.await();
+        String text = output.written.toString(StandardCharsets.UTF_8);
+        long reported =
                 Pattern.compile("\"count\":(\\d+)")
                         .matcher(text)
                         .results()
                         .mapToLong(found -> Long.parseLong(found.group(1)))
                         .sum();
-        assertEquals(dropped, told);
+        assertEquals(dropped, reported);
     }
 
     @Test
@@ -94,6 +94,6 @@
                         .toString();
         assertTrue(line.endsWith("\"again\":true,\"count\":3,\"job\":\"a\\\"b\"}"), line);
         assertFalse(line.contains("\n"));
-        assertEquals(1, line.chars().filter(one -> one == '{').count());
+        assertEquals(1, line.chars().filter(character -> character == '{').count());
     }
 }
--- a/src/test/java/org/standlink/process/TestTimers.java
+++ b/src/test/java/org/standlink/process/TestTimers.java
@@ -33,7 +33,7 @@
 import org.standlink.FakeEventLoop;
 import org.standlink.StandlinkException;
 
-/** Tests what is told when repeated work fails. */
+/** Tests the logging and counting of failures of repeating work. */
 public class TestTimers {
 
     private static final Logger LOGGER = Logger.getLogger(Timers.class.getName());
@@ -59,7 +59,7 @@
             };
 
     @BeforeEach
-    public void listen() {
+    public void setUp() {
         LOGGER.addHandler(handler);
         timers.scheduleRepeating(
                 "heartbeat",
@@ -73,7 +73,7 @@
     }
 
     @AfterEach
-    public void stopListening() {
+    public void tearDown() {
         LOGGER.removeHandler(handler);
     }
 
--- a/src/test/java/org/standlink/store/FakeKeyedStore.java
+++ b/src/test/java/org/standlink/store/FakeKeyedStore.java
@@ -28,71 +28,73 @@
 import org.standlink.StandlinkException;
 
 /**
- * A store in memory that fails on demand. It behaves as the probe of the platform's store showed:
- * see the table in docs/PLATFORM.md's source, the starting design.
+ * A store in memory that fails on demand. It behaves as a test of the platform's store has shown:
+ * see the table in the source of docs/PLATFORM.md, the starting design.
  */
 public final class FakeKeyedStore implements KeyedStore {
 
-    /** How calls behave. */
+    /** The behaviour of calls. */
     public enum Mode {
-        /** Calls are done and answered. */
+        /** Calls are executed and answered. */
         UP,
-        /** Nothing is done, and calls are refused. */
+        /** Calls are refused and not executed. */
         DOWN,
-        /** Calls are done, but their answers are lost. */
+        /** Calls are executed, but fail because their answers are lost. */
         ANSWERS_LOST,
-        /** Calls are done, and nothing is heard of them. */
+        /** Calls are executed, but neither answered nor failed until they time out. */
         UNRESPONSIVE,
-        /** Appends get no answer, and are done when the late ones are. */
+        /** Appends are not answered, and are executed with the delayed appends. */
         DELAYED,
-        /** Appends are answered as if they were done, and are done when the late ones are. */
+        /**
+         * Appends are answered as if they were executed, and are executed with the delayed ones.
+         */
         ANSWERED_EARLY
     }
 
-    private int mostRead = 1_000_000;
+    private int maxRecordsPerRead = 1_000_000;
 
-    private final List<Runnable> late = new ArrayList<>();
+    private final List<Runnable> delayedAppends = new ArrayList<>();
 
     private final Map<Topic, List<KeyedRecord>> topics = new EnumMap<>(Topic.class);
     private final Map<Topic, Epoch> epochs = new EnumMap<>(Topic.class);
     private final Map<Topic, Long> sequences = new EnumMap<>(Topic.class);
     private Mode mode = Mode.UP;
-    private int appends;
+    private int appendCount;
     private boolean historyDropped;
     private ScheduledExecutorService timers;
-    private long silentMillis;
-    private long refusalMillis;
+    private long callTimeoutMillis;
+    private long refusalDelayMillis;
 
-    /** Sets how calls behave from now on. */
+    /** Sets the behaviour of calls from now on. */
     public void setMode(Mode next) {
         mode = next;
     }
 
-    /** Lets calls of which nothing is heard fail after a while, as those of a real client do. */
+    /** Sets the timeout after which unanswered calls fail, as those of a real client do. */
     public void failUnansweredCallsAfter(long millis, ScheduledExecutorService loop) {
-        silentMillis = millis;
+        callTimeoutMillis = millis;
         timers = loop;
     }
 
-    /** Lets refusals come after a while, as those of a real store do. */
+    /** Sets the delay of refusals, as a real store has one. */
     public void setRefusalDelay(long millis, ScheduledExecutorService loop) {
-        refusalMillis = millis;
+        refusalDelayMillis = millis;
         timers = loop;
     }
 
-    /** Sets how many records a read answers at most. */
+    /** Sets the maximum number of records that a read returns. */
     public void setMaxRecordsPerRead(int records) {
-        mostRead = records;
+        maxRecordsPerRead = records;
     }
 
-    /** Drops the history: only the newest record of each key can be read from now on. */
+    /** Drops the history: from now on only the newest record of each key can be read. */
     public void dropHistory() {
         historyDropped = true;
     }
 
-    /** Gets how many appends of a writer were tried. */
+    /** Gets the number of appends attempted under a condition of a writer. */
     public int getAppendCount() {
-        return appends;
+        return appendCount;
     }
 
     /** Gets all records of a topic. */
@@ -113,18 +115,18 @@
     }
 
     /**
-     * Does the appends that are late. Their epochs and numbers were looked at when they came, and
-     * are not again; where the topic ends is.
+     * Executes the delayed appends. The epochs and sequence numbers are not checked, as if that was
+     * done on arrival; the end of the topic is.
      */
     public void executeDelayedAppends() {
-        late.forEach(Runnable::run);
-        late.clear();
+        delayedAppends.forEach(Runnable::run);
+        delayedAppends.clear();
     }
 
-    private void doLater(Topic topic, List<KeyedRecord> added, AppendCondition writer) {
-        late.add(
+    private void delayAppend(Topic topic, List<KeyedRecord> added, AppendCondition condition) {
+        delayedAppends.add(
                 () -> {
-                    if (endsAt(topic, writer)) {
+                    if (matchesEnd(topic, condition)) {
                         getRecords(topic).addAll(added);
                     }
                 });
@@ -132,29 +134,29 @@
 
     @Override
     public CompletableFuture<Long> append(
-            Topic topic, List<KeyedRecord> added, AppendCondition writer) {
-        appends++;
+            Topic topic, List<KeyedRecord> added, AppendCondition condition) {
+        appendCount++;
         if (mode == Mode.DELAYED) {
-            doLater(topic, added, writer);
-            return silence();
+            delayAppend(topic, added, condition);
+            return newUnansweredCall();
         }
         if (mode == Mode.ANSWERED_EARLY) {
-            doLater(topic, added, writer);
+            delayAppend(topic, added, condition);
             return CompletableFuture.completedFuture(
                     (long) getRecords(topic).size() + added.size());
         }
         return call(
                 () -> {
-                    raise(topic, writer.epoch());
-                    long last = sequences.getOrDefault(topic, writer.sequence() - 1);
-                    if (writer.sequence() > last + 1) {
+                    raiseEpoch(topic, condition.epoch());
+                    long last = sequences.getOrDefault(topic, condition.sequence() - 1);
+                    if (condition.sequence() > last + 1) {
                         throw failure(ErrorCode.INTERNAL);
                     }
-                    if (writer.sequence() == last + 1) {
-                        if (!endsAt(topic, writer)) {
+                    if (condition.sequence() == last + 1) {
+                        if (!matchesEnd(topic, condition)) {
                             throw failure(ErrorCode.CONDITION_FAILED);
                         }
-                        sequences.put(topic, writer.sequence());
+                        sequences.put(topic, condition.sequence());
                         getRecords(topic).addAll(added);
                     }
                     return (long) getRecords(topic).size();
@@ -165,7 +167,7 @@
     public CompletableFuture<Long> fence(Topic topic, Epoch epoch) {
         return call(
                 () -> {
-                    raise(topic, epoch);
+                    raiseEpoch(topic, epoch);
                     return (long) getRecords(topic).size();
                 });
     }
@@ -179,7 +181,7 @@
                     }
                     List<KeyedRecord> all = getRecords(topic);
                     int start = (int) Math.min(from, all.size());
-                    int end = Math.min(all.size(), start + mostRead);
+                    int end = Math.min(all.size(), start + maxRecordsPerRead);
                     return new ReadResult(end, List.copyOf(all.subList(start, end)));
                 });
     }
@@ -205,62 +207,62 @@
                 });
     }
 
-    private boolean endsAt(Topic topic, AppendCondition writer) {
-        long expected = writer.expectedEnd();
+    private boolean matchesEnd(Topic topic, AppendCondition condition) {
+        long expected = condition.expectedEnd();
         return expected == AppendCondition.ANY_END || getRecords(topic).size() == expected;
     }
 
-    private void raise(Topic topic, Epoch epoch) {
-        Epoch present = epochs.getOrDefault(topic, Epoch.NONE);
-        if (epoch.compareTo(present) < 0) {
+    private void raiseEpoch(Topic topic, Epoch epoch) {
+        Epoch current = epochs.getOrDefault(topic, Epoch.NONE);
+        if (epoch.compareTo(current) < 0) {
             throw failure(ErrorCode.EPOCH_FENCED);
         }
-        if (epoch.compareTo(present) > 0) {
+        if (epoch.compareTo(current) > 0) {
             epochs.put(topic, epoch);
             sequences.remove(topic);
         }
     }
 
-    private <T> CompletableFuture<T> refusal() {
-        StandlinkException refused = failure(ErrorCode.PLATFORM_UNAVAILABLE);
-        if (refusalMillis == 0) {
-            return CompletableFuture.failedFuture(refused);
+    private <T> CompletableFuture<T> newRefusal() {
+        StandlinkException rejection = failure(ErrorCode.PLATFORM_UNAVAILABLE);
+        if (refusalDelayMillis == 0) {
+            return CompletableFuture.failedFuture(rejection);
         }
         CompletableFuture<T> answer = new CompletableFuture<>();
         timers.schedule(
                 () -> {
-                    answer.completeExceptionally(refused);
+                    answer.completeExceptionally(rejection);
                 },
-                refusalMillis,
+                refusalDelayMillis,
                 TimeUnit.MILLISECONDS);
         return answer;
     }
 
     private <T> CompletableFuture<T> call(java.util.function.Supplier<T> effect) {
         if (mode == Mode.DOWN) {
-            return refusal();
+            return newRefusal();
         }
         try {
             T value = effect.get();
             if (mode == Mode.UNRESPONSIVE) {
-                return silence();
+                return newUnansweredCall();
             }
             return mode == Mode.ANSWERS_LOST
                     ? CompletableFuture.failedFuture(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN))
                     : CompletableFuture.completedFuture(value);
-        } catch (StandlinkException refused) {
-            return CompletableFuture.failedFuture(refused);
+        } catch (StandlinkException rejection) {
+            return CompletableFuture.failedFuture(rejection);
         }
     }
 
-    private <T> CompletableFuture<T> silence() {
+    private <T> CompletableFuture<T> newUnansweredCall() {
         CompletableFuture<T> call = new CompletableFuture<>();
         if (timers != null) {
             timers.schedule(
                     () -> {
                         call.completeExceptionally(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN));
                     },
-                    silentMillis,
+                    callTimeoutMillis,
                     TimeUnit.MILLISECONDS);
         }
         return call;
--- a/src/test/java/org/standlink/store/TestTopicFollower.java
+++ b/src/test/java/org/standlink/store/TestTopicFollower.java
@@ -27,35 +27,35 @@
 import org.standlink.FakeClock;
 import org.standlink.FakeEventLoop;
 
-/** Tests what a receiver is told when history is dropped between two reads. */
+/** Tests the records that a receiver gets, also when history is dropped between two reads. */
 public class TestTopicFollower {
 
     private static final byte[] VALUE = {1};
     private static final byte[] REMOVED = {};
-    private static final long READ_MILLIS = 10;
+    private static final long READ_DELAY_MILLIS = 10;
 
     private final FakeEventLoop loop = new FakeEventLoop(new FakeClock());
     private final FakeKeyedStore store = new FakeKeyedStore();
-    private final SlowStore reads = new SlowStore();
-    private final List<String> seen = new ArrayList<>();
+    private final SlowStore slowStore = new SlowStore();
+    private final List<String> received = new ArrayList<>();
 
     private final TopicReceiver receiver =
             new TopicReceiver() {
                 @Override
                 public void receive(KeyedRecord record) {
-                    seen.add(record.key() + (record.value().length == 0 ? " removed" : ""));
+                    received.add(record.key() + (record.value().length == 0 ? " removed" : ""));
                 }
 
                 @Override
                 public void receiveNewest(List<KeyedRecord> records) {
-                    seen.add("newest " + records.stream().map(KeyedRecord::key).toList());
+                    received.add("newest " + records.stream().map(KeyedRecord::key).toList());
                 }
             };
 
-    /** The store, whose reads are answered after a while. */
+    /** The store with delayed reads. */
     private final class SlowStore implements KeyedStore {
 
-        private <T> CompletableFuture<T> later(Supplier<CompletableFuture<T>> call) {
+        private <T> CompletableFuture<T> delay(Supplier<CompletableFuture<T>> call) {
             CompletableFuture<T> answer = new CompletableFuture<>();
             loop.schedule(
                     () -> {
@@ -69,19 +69,19 @@
                                             }
                                         });
                     },
-                    READ_MILLIS,
+                    READ_DELAY_MILLIS,
                     TimeUnit.MILLISECONDS);
             return answer;
         }
 
         @Override
         public CompletableFuture<ReadResult> read(Topic topic, long from, long waitMillis) {
-            return later(() -> store.read(topic, from, waitMillis));
+            return delay(() -> store.read(topic, from, waitMillis));
         }
 
         @Override
         public CompletableFuture<ReadResult> readNewest(Topic topic) {
-            return later(() -> store.readNewest(topic));
+            return delay(() -> store.readNewest(topic));
         }
 
         @Override
@@ -91,8 +91,8 @@
 
         @Override
         public CompletableFuture<Long> append(
-                Topic topic, List<KeyedRecord> added, AppendCondition writer) {
-            return store.append(topic, added, writer);
+                Topic topic, List<KeyedRecord> added, AppendCondition condition) {
+            return store.append(topic, added, condition);
         }
 
         @Override
@@ -114,7 +114,7 @@
     public void newestRecordsAreReceivedBeforeFollowingRecords() {
         append("a", VALUE);
         try (TopicFollower follower =
-                new TopicFollower(reads, Topic.OPERATOR, loop, loop, receiver)) {
+                new TopicFollower(slowStore, Topic.OPERATOR, loop, loop, receiver)) {
             store.setMaxRecordsPerRead(1);
             follower.start();
             loop.advance(15);
@@ -122,17 +122,17 @@
             append("b", REMOVED);
             loop.advance(50);
         }
-        assertEquals(List.of("newest [a]", "b", "b removed"), seen.subList(0, 3));
+        assertEquals(List.of("newest [a]", "b", "b removed"), received.subList(0, 3));
     }
 
     /**
-     * A key is removed and the history dropped before the next read: no record of the removal is
-     * left, and only what is missing among the newest tells of it.
+     * A key is removed and the history is dropped before the next read. The removal then has no
+     * record and can only be detected by the absence of the key from the newest records.
      */
     @Test
     public void removalIsDetectedAfterItsRecordWasDropped() {
         append("a", VALUE);
-        TopicFollower follower = new TopicFollower(reads, Topic.OPERATOR, loop, loop, receiver);
+        TopicFollower follower = new TopicFollower(slowStore, Topic.OPERATOR, loop, loop, receiver);
         follower.start();
         loop.advance(15);
         store.setMode(FakeKeyedStore.Mode.DOWN);
@@ -143,7 +143,7 @@
         store.setMode(FakeKeyedStore.Mode.UP);
         loop.advance(300);
         follower.close();
-        assertEquals("newest [a]", seen.get(0));
-        assertEquals("newest [b]", seen.get(1));
+        assertEquals("newest [a]", received.get(0));
+        assertEquals("newest [b]", received.get(1));
     }
 }
