--- a/src/main/java/org/standlink/process/EventLog.java
+++ b/src/main/java/org/standlink/process/EventLog.java
@@ -24,8 +24,8 @@
 import java.util.TreeMap;
 
 /**
- * Writes structured log lines, one JSON object per line, for decisions and for changes in the state
- * that the process assumes.
+ * Writes structured log lines, one JSON object per line, for decisions and for changes in the view
+ * that the process has of the system.
  *
  * <p>Lines are passed to {@link LogWriter}, which never blocks and counts the lines it drops.
  *
--- a/src/main/java/org/standlink/process/Timers.java
+++ b/src/main/java/org/standlink/process/Timers.java
@@ -32,7 +32,6 @@
  */
 public final class Timers implements AutoCloseable {
 
-    /** The log of defects. */
     private static final System.Logger LOGGER = System.getLogger(Timers.class.getName());
 
     /** The value of the tag {@code code} for defects. */
--- a/src/main/java/org/standlink/store/TopicFollower.java
+++ b/src/main/java/org/standlink/store/TopicFollower.java
@@ -48,7 +48,7 @@
     /** The delay after a failed read, in milliseconds; allows five attempts per second. */
     private static final long RETRY_DELAY_MILLIS = 200;
 
-    /** The position before the first read. */
+    /** The position before the first read and after a gap. */
     private static final long NO_POSITION = -1;
 
     private static final EventLog LOG = EventLog.of(TopicFollower.class);
