--- a/src/main/java/org/standlink/admin/AdminApi.java
+++ b/src/main/java/org/standlink/admin/AdminApi.java
@@ -44,32 +44,29 @@
 import org.standlink.wire.StatusQuery;
 
 /**
- * What operators can read, and the one thing they can submit: a signed bundle.
+ * The HTTP API for operators, who can read the state of the system and submit signed bundles.
  *
- * <p>What is said of a cell comes from its leader; when the leader cannot be asked, the answer says
- * so and is otherwise complete.
+ * <p>The status of a cell comes from its leader. If the leader is unreachable, the answer contains
+ * an error for that cell and is otherwise complete.
  *
  * <p>{@code AdminApi} is thread-safe.
  */
 public final class AdminApi {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** How long a leader is waited for, in milliseconds. */
-    private static final long LEADER_MILLIS = 2000;
+    /** The timeout of a query to a leader, in milliseconds. */
+    private static final long LEADER_TIMEOUT_MILLIS = 2000;
 
-    /** The entry. */
     private final EntryProcess entry;
 
-    /** The histograms. */
     private final MeterRegistry registry;
 
     /**
-     * Constructor.
+     * Creates the API of an entry.
      *
      * @param entry the entry
-     * @param registry the histograms
+     * @param registry the registry of the histograms
      */
     public AdminApi(EntryProcess entry, MeterRegistry registry) {
         this.entry = entry;
@@ -77,7 +74,7 @@
     }
 
     /**
-     * Adds the paths to a service.
+     * Adds the paths of the API to an HTTP service.
      *
      * @param service the service
      */
@@ -110,25 +107,26 @@
     private JsonNode cell(CellSpecification cell) {
         CellId id = cell.id();
         VmId leader = entry.getFollower().read(fold -> fold.getCellState(id).getLeader());
-        ObjectNode failed = MAPPER.createObjectNode();
-        failed.put("cell", id.toString());
-        failed.put("leader", String.valueOf(leader));
+        ObjectNode error = MAPPER.createObjectNode();
+        error.put("cell", id.toString());
+        error.put("leader", String.valueOf(leader));
         if (leader == null) {
-            return failed.put("error", "no leader yet");
+            return error.put("error", "no leader yet");
         }
         try {
             Message answer =
                     entry.getDirectory()
                             .getPeer(leader)
-                            .call(new StatusQuery(id), LEADER_MILLIS)
+                            .call(new StatusQuery(id), LEADER_TIMEOUT_MILLIS)
                             .join();
             if (answer instanceof StatusAnswer status) {
                 return MAPPER.readTree(status.json());
             }
-            String reason = answer instanceof Refusal refusal ? refusal.reason() : "wrong answer";
-            return failed.put("error", reason);
+            String reason =
+                    answer instanceof Refusal refusal ? refusal.reason() : "unexpected answer";
+            return error.put("error", reason);
         } catch (CompletionException | StandlinkException | JsonProcessingException unreachable) {
-            return failed.put("error", "the leader cannot be asked: " + unreachable.getMessage());
+            return error.put("error", "the leader is unreachable: " + unreachable.getMessage());
         }
     }
 
@@ -197,9 +195,9 @@
             node.put("meanMillis", timer.mean(TimeUnit.MILLISECONDS));
             ArrayNode buckets = node.putArray("buckets");
             for (var bucket : timer.takeSnapshot().histogramCounts()) {
-                ObjectNode one = buckets.addObject();
-                one.put("atMostMillis", bucket.bucket(TimeUnit.MILLISECONDS));
-                one.put("count", bucket.count());
+                ObjectNode bucketNode = buckets.addObject();
+                bucketNode.put("atMostMillis", bucket.bucket(TimeUnit.MILLISECONDS));
+                bucketNode.put("count", bucket.count());
             }
         }
         return all;
--- a/src/main/java/org/standlink/admin/HealthApi.java
+++ b/src/main/java/org/standlink/admin/HealthApi.java
@@ -21,24 +21,23 @@
 import org.standlink.process.HttpService;
 
 /**
- * Health, readiness and metrics.
+ * The HTTP paths for liveness, readiness and metrics.
  *
  * <p>{@code HealthApi} is thread-safe and immutable.
  */
 public final class HealthApi {
 
-    /** The content type of Prometheus' text format. */
+    /** The content type of the Prometheus text format. */
     private static final String PROMETHEUS = "text/plain; version=0.0.4; charset=utf-8";
 
-    /** No instances. */
     private HealthApi() {}
 
     /**
-     * Adds the paths to a service.
+     * Adds the paths to an HTTP service.
      *
      * @param service the service
      * @param registry the metrics
-     * @param ready tells whether the process takes work
+     * @param ready returns whether the process accepts work
      */
     public static void addTo(
             HttpService service, PrometheusMeterRegistry registry, BooleanSupplier ready) {
--- a/src/main/java/org/standlink/command/AbstractServerCommand.java
+++ b/src/main/java/org/standlink/command/AbstractServerCommand.java
@@ -19,27 +19,26 @@
 import org.kohsuke.args4j.Option;
 import org.standlink.process.ProcessEnd;
 
-/** The part that every long-running command shares: the log and an ordered stop. */
+/** Base class of the commands that run a server: sets up the log and shuts down in order. */
 abstract class AbstractServerCommand implements Command {
 
     /**
-     * How long a stop after an error may take, in milliseconds: what an entry gives its callers to
-     * go elsewhere is less.
+     * The maximum duration of a shutdown after an error, in milliseconds: more than an entry gives
+     * its callers to connect elsewhere.
      */
-    private static final long LONGEST_STOP_MILLIS = 10_000;
+    private static final long MAX_SHUTDOWN_MILLIS = 10_000;
 
-    /** The form of log lines. */
-    @Option(name = "--log", usage = "form of log lines: TEXT or JSON")
-    private LogSetup.Format form = LogSetup.Format.TEXT;
+    @Option(name = "--log", usage = "format of log lines: TEXT or JSON")
+    private LogSetup.Format logFormat = LogSetup.Format.TEXT;
 
-    /** Stops in order. */
+    /** Shuts a server down in order. */
     @FunctionalInterface
     interface ShutdownAction {
 
         /**
-         * Stops.
+         * Shuts the server down.
          *
-         * @throws Exception if it cannot
+         * @throws Exception if it fails
          */
         void run() throws Exception;
     }
@@ -47,33 +46,34 @@
     /**
      * Sets up the log.
      *
-     * @param process names the process
+     * @param process the name of the process in log lines
      */
     protected final void setUpLog(String process) {
-        LogSetup.apply(form, process);
+        LogSetup.apply(logFormat, process);
     }
 
     /**
-     * Waits until the process is asked to stop, and stops in order.
+     * Serves until the process is asked to stop, then shuts down in order.
      *
-     * @param stop stops in order
+     * @param shutdown shuts the server down
      * @return the exit code
      * @throws InterruptedException if the thread is interrupted
      */
-    protected final int serveUntilStopped(ShutdownAction stop) throws InterruptedException {
-        CountDownLatch never = new CountDownLatch(1);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> runQuietly(stop), "stop"));
-        ProcessEnd.install(LONGEST_STOP_MILLIS);
+    protected final int serveUntilStopped(ShutdownAction shutdown) throws InterruptedException {
+        CountDownLatch neverReleased = new CountDownLatch(1);
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> runAndPrintFailure(shutdown), "stop"));
+        ProcessEnd.install(MAX_SHUTDOWN_MILLIS);
         ProgramClasses.keepJarOpen();
-        never.await();
+        neverReleased.await();
         return 0;
     }
 
-    private static void runQuietly(ShutdownAction stop) {
+    private static void runAndPrintFailure(ShutdownAction shutdown) {
         try {
-            stop.run();
+            shutdown.run();
         } catch (Exception | Error failure) {
-            System.err.println("standlink: the stop was not in order: " + failure);
+            System.err.println("standlink: the shutdown failed: " + failure);
         }
     }
 }
--- a/src/main/java/org/standlink/command/AgentCommand.java
+++ b/src/main/java/org/standlink/command/AgentCommand.java
@@ -29,13 +29,11 @@
 /** {@code standlink agent}: runs an agent. */
 final class AgentCommand extends AbstractServerCommand {
 
-    /** The threads for timers; one for each kind of work. */
+    /** The number of timer threads, one for each kind of work. */
     private static final int TIMER_THREADS = 5;
 
-    /** The threads of the health server. */
     private static final int HEALTH_THREADS = 2;
 
-    /** The settings file. */
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings, JSON")
     private Path settingsFile;
 
--- a/src/main/java/org/standlink/command/BenchCommand.java
+++ b/src/main/java/org/standlink/command/BenchCommand.java
@@ -30,28 +30,26 @@
 import org.standlink.policy.RoundRobinRouting;
 import org.standlink.policy.TwoChoicesRouting;
 
-/** {@code standlink bench}: repeats a measurement that the docs quote. */
+/** {@code standlink bench}: runs a benchmark whose results are quoted in the documentation. */
 final class BenchCommand implements Command {
 
-    /** The measurements. */
+    /** The benchmarks. */
     enum Kind {
-        /** Services, batch work and evictions under each strategy. */
+        /** The services, batch work and evictions under each strategy. */
         DECISIONS,
-        /** Routing with a slow and a failing upstream. */
+        /** The routing with a slow and a failing upstream. */
         ROUTING,
-        /** Placement decisions a second. */
+        /** The number of placement decisions per second. */
         PLACEMENT,
-        /** Bytes, processor time and memory of one more of each thing. */
+        /** The bytes, processor time and memory that one more task, worker, job or record takes. */
         SLOPES,
-        /** The path of a request against direct calls. */
+        /** The path of a request compared with direct calls. */
         PATH
     }
 
-    /** The measurement. */
-    @Argument(required = true, metaVar = "KIND", usage = "what to measure")
+    @Argument(required = true, metaVar = "KIND", usage = "the benchmark to run")
     private Kind kind;
 
-    /** The seed. */
     @Option(name = "--seed", metaVar = "N", usage = "seed of the traces (default: 1)")
     private long seed = 1;
 
--- a/src/main/java/org/standlink/command/BundleCheckCommand.java
+++ b/src/main/java/org/standlink/command/BundleCheckCommand.java
@@ -20,10 +20,9 @@
 import org.standlink.bundle.Bundle;
 import org.standlink.bundle.BundleReader;
 
-/** {@code standlink bundle check}: checks a bundle file with no system running. */
+/** {@code standlink bundle check}: checks a bundle file without a running system. */
 final class BundleCheckCommand implements Command {
 
-    /** The file. */
     @Argument(required = true, metaVar = "FILE", usage = "the bundle, JSON")
     private Path file;
 
--- a/src/main/java/org/standlink/command/BundleDiffCommand.java
+++ b/src/main/java/org/standlink/command/BundleDiffCommand.java
@@ -25,17 +25,15 @@
 import org.kohsuke.args4j.Argument;
 import org.standlink.bundle.BundleReader;
 
-/** {@code standlink bundle diff}: shows what differs between two bundle files. */
+/** {@code standlink bundle diff}: shows the differences between two bundle files. */
 final class BundleDiffCommand implements Command {
 
-    /** The exit code if they differ. */
-    private static final int DIFFERENT = 4;
+    /** The exit code if the bundles differ. */
+    private static final int DIFFERENT_EXIT_CODE = 4;
 
-    /** The old file. */
     @Argument(index = 0, required = true, metaVar = "OLD", usage = "a bundle")
     private Path oldFile;
 
-    /** The new file. */
     @Argument(index = 1, required = true, metaVar = "NEW", usage = "a bundle")
     private Path newFile;
 
@@ -47,23 +45,25 @@
         paths.addAll(after.keySet());
         int differences = 0;
         for (String path : paths) {
-            String old = before.get(path);
-            String now = after.get(path);
-            if (old != null && old.equals(now)) {
+            String oldValue = before.get(path);
+            String newValue = after.get(path);
+            if (oldValue != null && oldValue.equals(newValue)) {
                 continue;
             }
             differences++;
-            System.out.println(line(path, old, now));
+            System.out.println(formatDifference(path, oldValue, newValue));
         }
         System.out.println(differences + " differences");
-        return differences == 0 ? 0 : DIFFERENT;
+        return differences == 0 ? 0 : DIFFERENT_EXIT_CODE;
     }
 
-    private static String line(String path, String old, String now) {
-        if (old == null) {
-            return "+ " + path + " = " + now;
+    private static String formatDifference(String path, String oldValue, String newValue) {
+        if (oldValue == null) {
+            return "+ " + path + " = " + newValue;
         }
-        return now == null ? "- " + path + " = " + old : "~ " + path + " = " + old + " -> " + now;
+        return newValue == null
+                ? "- " + path + " = " + oldValue
+                : "~ " + path + " = " + oldValue + " -> " + newValue;
     }
 
     private static Map<String, String> flatten(String text) throws JsonProcessingException {
@@ -76,7 +76,8 @@
     private static void flatten(String path, JsonNode node, Map<String, String> flat) {
         if (node.isObject()) {
             node.fields()
-                    .forEachRemaining(f -> flatten(path + "/" + f.getKey(), f.getValue(), flat));
+                    .forEachRemaining(
+                            field -> flatten(path + "/" + field.getKey(), field.getValue(), flat));
         } else if (node.isArray()) {
             for (int i = 0; i < node.size(); i++) {
                 flatten(path + "[" + nameOf(node.get(i), i) + "]", node.get(i), flat);
--- a/src/main/java/org/standlink/command/BundlePublishCommand.java
+++ b/src/main/java/org/standlink/command/BundlePublishCommand.java
@@ -21,14 +21,12 @@
 import org.standlink.BundleVersion;
 import org.standlink.log.BundlePublisher;
 
-/** {@code standlink bundle publish}: publishes a signed bundle and waits until it is decided. */
+/** {@code standlink bundle publish}: publishes a signed bundle and waits for the decision. */
 final class BundlePublishCommand implements Command {
 
-    /** The file. */
     @Argument(required = true, metaVar = "FILE", usage = "the signed bundle")
     private Path file;
 
-    /** The platform. */
     @Option(name = "--platform", required = true, metaVar = "URL", usage = "http://host:port")
     private String platform;
 
--- a/src/main/java/org/standlink/command/BundleSignCommand.java
+++ b/src/main/java/org/standlink/command/BundleSignCommand.java
@@ -27,24 +27,20 @@
 import org.standlink.bundle.SignedBundle;
 
 /**
- * {@code standlink bundle sign}: the author signs a bundle file; another operator adds a signature
- * to the signed file.
+ * {@code standlink bundle sign}: signs a bundle file as its author, or adds another operator's
+ * signature to a signed file.
  */
 final class BundleSignCommand implements Command {
 
-    /** The file. */
-    @Argument(required = true, metaVar = "FILE", usage = "a bundle, or a bundle signed before")
+    @Argument(required = true, metaVar = "FILE", usage = "a bundle, or a signed bundle")
     private Path file;
 
-    /** The operator. */
-    @Option(name = "--operator", required = true, metaVar = "ID", usage = "who signs")
+    @Option(name = "--operator", required = true, metaVar = "ID", usage = "the operator who signs")
     private String operator;
 
-    /** The key. */
     @Option(name = "--key", required = true, metaVar = "FILE", usage = "the private key")
     private Path key;
 
-    /** The signed file. */
     @Option(name = "--out", required = true, metaVar = "FILE", usage = "the signed bundle")
     private Path out;
 
--- a/src/main/java/org/standlink/command/BundleStatusCommand.java
+++ b/src/main/java/org/standlink/command/BundleStatusCommand.java
@@ -22,27 +22,26 @@
 import org.standlink.bundle.SignedBundle;
 import org.standlink.log.LogFollower;
 
-/** {@code standlink bundle status}: shows the accepted bundle, as folded from the log. */
+/** {@code standlink bundle status}: shows the bundle in force, according to the log. */
 final class BundleStatusCommand implements Command {
 
-    /** The platform. */
     @Option(name = "--platform", required = true, metaVar = "URL", usage = "http://host:port")
     private String platform;
 
-    /** Where to write the bundle. */
-    @Option(name = "--out", metaVar = "FILE", usage = "write the bundle in force here")
+    @Option(name = "--out", metaVar = "FILE", usage = "write the bundle in force to this file")
     private Path out;
 
     @Override
     public int run() {
-        LogFollower follower = new LogFollower(PlatformAccess.openLog(platform), this::tell);
+        LogFollower follower =
+                new LogFollower(PlatformAccess.openLog(platform), this::printDecision);
         follower.poll();
         boolean known = follower.read(fold -> fold.isBundleKnown());
         if (!known) {
             throw new StandlinkException(
                     ErrorCode.LOG_GAP,
-                    "the log has dropped the bundle and holds no snapshot of it",
-                    "ask an entry's admin API at /v1/bundle");
+                    "the log no longer retains the bundle and contains no snapshot of it",
+                    "query /v1/bundle of an entry's admin API");
         }
         System.out.println(
                 "bundle " + follower.read(fold -> fold.getBundles().getVersion()) + " is in force");
@@ -53,7 +52,7 @@
         return 0;
     }
 
-    private void tell(String record, StandlinkException refusal) {
+    private void printDecision(String record, StandlinkException refusal) {
         String decision = refusal == null ? "accepted" : "refused: " + refusal.getMessage();
         System.out.println("record " + record + " " + decision);
     }
--- a/src/main/java/org/standlink/command/Command.java
+++ b/src/main/java/org/standlink/command/Command.java
@@ -15,14 +15,19 @@
  */
 package org.standlink.command;
 
-/** One subcommand; its options are filled in before it runs. */
+/**
+ * A subcommand, whose options are parsed into its fields before it runs.
+ *
+ * <p>Implementations are mutable and not thread-safe; each runs once.
+ */
 interface Command {
 
     /**
      * Runs the command.
      *
      * @return the exit code
-     * @throws Exception if it fails; a {@code StandlinkException} is told by its code and remedy
+     * @throws Exception if it fails; of a {@code StandlinkException}, the code, message and remedy
+     *     are printed
      */
     int run() throws Exception;
 }
--- a/src/main/java/org/standlink/command/EntryCommand.java
+++ b/src/main/java/org/standlink/command/EntryCommand.java
@@ -30,13 +30,11 @@
 /** {@code standlink entry}: runs an entry. */
 final class EntryCommand extends AbstractServerCommand {
 
-    /** The threads for timers; one for each kind of work. */
+    /** The number of timer threads, one for each kind of work. */
     private static final int TIMER_THREADS = 3;
 
-    /** The threads of the admin server. */
     private static final int ADMIN_THREADS = 4;
 
-    /** The settings file. */
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings, JSON")
     private Path settingsFile;
 
--- a/src/main/java/org/standlink/command/ExplainCommand.java
+++ b/src/main/java/org/standlink/command/ExplainCommand.java
@@ -32,28 +32,30 @@
 import org.standlink.StandlinkException;
 
 /**
- * {@code standlink explain}: shows what the processes decided about one job, in the order of time.
+ * {@code standlink explain}: shows the decisions of all processes about one job in chronological
+ * order.
  *
- * <p>It reads the log files of any number of processes. Lines before the JSON object, such as a
- * time or a machine's name, are shown as the place.
+ * <p>It reads the log files of any number of processes. Text before the JSON object of a line, such
+ * as a time or a machine's name, is shown as the place.
  */
 final class ExplainCommand implements Command {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The fields that are shown in columns of their own. */
-    private static final Set<String> COLUMNS = Set.of("time", "level", "source", "event");
+    /** The fields that are not listed behind the event. */
+    private static final Set<String> UNLISTED_FIELDS = Set.of("time", "level", "source", "event");
 
-    /** The job. */
     @Argument(index = 0, required = true, metaVar = "JOB", usage = "the job's identifier")
     private String job;
 
-    /** The files. */
-    @Option(name = "--log", required = true, metaVar = "FILE", usage = "a log; may be repeated")
+    @Option(
+            name = "--log",
+            required = true,
+            metaVar = "FILE",
+            usage = "a log file; may be repeated")
     private List<Path> files;
 
-    /** A line that concerns the job. */
+    /** A log line about the job. */
     private record Line(Instant time, String place, ObjectNode fields) {}
 
     @Override
@@ -65,8 +67,8 @@
         if (lines.isEmpty()) {
             throw new StandlinkException(
                     ErrorCode.FILE,
-                    "no line names " + job,
-                    "give the logs of all entries and agents of that time");
+                    "no log line mentions " + job,
+                    "pass the logs of all entries and agents of that time");
         }
         lines.sort(Comparator.comparing(Line::time));
         lines.forEach(line -> System.out.println(render(line, lines.get(0).time())));
@@ -85,8 +87,8 @@
                 Instant time = Instant.parse(fields.get("time").asText());
                 lines.add(new Line(time, text.substring(0, start).trim(), fields));
             }
-        } catch (JsonProcessingException cut) {
-            System.err.println("standlink: passed over a line that is not JSON: " + text);
+        } catch (JsonProcessingException malformed) {
+            System.err.println("standlink: ignored a line that is not valid JSON: " + text);
         }
     }
 
@@ -99,7 +101,7 @@
                 .fields()
                 .forEachRemaining(
                         field -> {
-                            if (!COLUMNS.contains(field.getKey())) {
+                            if (!UNLISTED_FIELDS.contains(field.getKey())) {
                                 text.append("  ").append(field.getKey()).append('=');
                                 text.append(field.getValue().asText());
                             }
--- a/src/main/java/org/standlink/command/KeysCommand.java
+++ b/src/main/java/org/standlink/command/KeysCommand.java
@@ -22,14 +22,12 @@
 import org.standlink.OperatorId;
 import org.standlink.bundle.BundleSigner;
 
-/** {@code standlink keys}: makes an operator's keys. */
+/** {@code standlink keys}: generates an operator's key pair. */
 final class KeysCommand implements Command {
 
-    /** The operator. */
     @Option(name = "--operator", required = true, metaVar = "ID", usage = "the operator's id")
     private String operator;
 
-    /** The folder for the files. */
     @Option(name = "--out", metaVar = "FOLDER", usage = "folder for the two files (default: .)")
     private Path folder = Path.of(".");
 
--- a/src/main/java/org/standlink/command/LogSetup.java
+++ b/src/main/java/org/standlink/command/LogSetup.java
@@ -27,31 +27,29 @@
 import java.util.logging.Logger;
 
 /**
- * Sets up the JDK's log: a line of text, or a JSON object a line.
+ * Sets up {@code java.util.logging}: each record is written as a line of text or of JSON.
  *
  * <p>{@code LogSetup} is thread-safe and immutable.
  */
 final class LogSetup {
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The forms of a line. */
+    /** The formats of a line. */
     enum Format {
-        /** Time, level and message. */
+        /** Time, level, process and message. */
         TEXT,
         /** One JSON object. */
         JSON
     }
 
-    /** No instances. */
     private LogSetup() {}
 
     /**
      * Sets up the log.
      *
-     * @param form the form of a line
-     * @param process names the process
+     * @param form the format of a line
+     * @param process the name of the process in log lines
      */
     static void apply(Format form, String process) {
         Logger root = Logger.getLogger("");
@@ -59,7 +57,8 @@
             root.removeHandler(handler);
         }
         ConsoleHandler handler = new ConsoleHandler();
-        handler.setFormatter(form == Format.JSON ? new JsonLine(process) : new TextLine(process));
+        handler.setFormatter(
+                form == Format.JSON ? new JsonFormatter(process) : new TextFormatter(process));
         root.addHandler(handler);
     }
 
@@ -72,13 +71,12 @@
         return MessageFormat.format(message, parameters);
     }
 
-    /** Formats a line of text. */
-    private static final class TextLine extends Formatter {
+    /** Formats a record as a line of text. */
+    private static final class TextFormatter extends Formatter {
 
-        /** Names the process. */
         private final String process;
 
-        private TextLine(String process) {
+        private TextFormatter(String process) {
             this.process = process;
         }
 
@@ -97,13 +95,12 @@
         }
     }
 
-    /** Formats a JSON object a line. */
-    private static final class JsonLine extends Formatter {
+    /** Formats a record as a JSON object on one line. */
+    private static final class JsonFormatter extends Formatter {
 
-        /** Names the process. */
         private final String process;
 
-        private JsonLine(String process) {
+        private JsonFormatter(String process) {
             this.process = process;
         }
 
--- a/src/main/java/org/standlink/command/Main.java
+++ b/src/main/java/org/standlink/command/Main.java
@@ -27,7 +27,7 @@
 import org.standlink.StandlinkException;
 
 /**
- * The entry point: finds the subcommand, fills in its options and runs it.
+ * The entry point: finds the subcommand, parses its options and runs it.
  *
  * <p>{@code Main} is thread-safe and immutable.
  */
@@ -36,17 +36,15 @@
     /** The width of help texts, in characters. */
     private static final int HELP_WIDTH = 100;
 
-    /** A subcommand. */
-    private record Entry(String summary, Supplier<Command> maker) {}
+    private record Subcommand(String summary, Supplier<Command> factory) {}
 
     /** The subcommands by name. */
-    private static final Map<String, Entry> COMMANDS = commands();
+    private static final Map<String, Subcommand> COMMANDS = commands();
 
-    /** No instances. */
     private Main() {}
 
     /**
-     * Runs standlink.
+     * Runs standlink and exits with its exit code.
      *
      * @param arguments the command line
      */
@@ -55,11 +53,11 @@
     }
 
     /**
-     * Runs standlink without ending the process.
+     * Runs standlink without exiting.
      *
      * @param arguments the command line
-     * @param output where help goes
-     * @param errors where errors go
+     * @param output where help is printed
+     * @param errors where errors are printed
      * @return the exit code; see {@link ErrorCode}
      */
     public static int run(List<String> arguments, PrintStream output, PrintStream errors) {
@@ -74,7 +72,7 @@
         }
         String name = nameOf(arguments);
         if (name == null) {
-            errors.println("standlink: USAGE: no such command; see 'standlink --help'");
+            errors.println("standlink: USAGE: unknown command; see 'standlink --help'");
             return ErrorCode.USAGE.getExitCode();
         }
         int words = name.split(" ").length;
@@ -84,7 +82,7 @@
     // -----------------------------------------------------------------------
     private static int run(
             String name, List<String> options, PrintStream output, PrintStream errors) {
-        Command command = COMMANDS.get(name).maker().get();
+        Command command = COMMANDS.get(name).factory().get();
         CmdLineParser parser =
                 new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(HELP_WIDTH));
         if (options.contains("--help")) {
@@ -98,15 +96,15 @@
         try {
             parser.parseArgument(options);
             return command.run();
-        } catch (CmdLineException wrong) {
-            errors.println("standlink: USAGE: " + wrong.getMessage());
+        } catch (CmdLineException invalid) {
+            errors.println("standlink: USAGE: " + invalid.getMessage());
             errors.println("see 'standlink " + name + " --help'");
             return ErrorCode.USAGE.getExitCode();
         } catch (StandlinkException failure) {
             errors.println("standlink: " + failure.getCode() + ": " + failure.getMessage());
             return failure.getCode().getExitCode();
         } catch (Exception defect) {
-            errors.println("standlink: INTERNAL: " + defect + "; report a defect");
+            errors.println("standlink: INTERNAL: " + defect + "; please report this defect");
             defect.printStackTrace(errors);
             return ErrorCode.INTERNAL.getExitCode();
         }
@@ -114,9 +112,9 @@
 
     private static String nameOf(List<String> arguments) {
         if (arguments.size() > 1) {
-            String two = arguments.get(0) + " " + arguments.get(1);
-            if (COMMANDS.containsKey(two)) {
-                return two;
+            String twoWords = arguments.get(0) + " " + arguments.get(1);
+            if (COMMANDS.containsKey(twoWords)) {
+                return twoWords;
             }
         }
         return COMMANDS.containsKey(arguments.get(0)) ? arguments.get(0) : null;
@@ -125,45 +123,54 @@
     private static void printCommands(PrintStream output) {
         output.println("standlink: a scheduler for colocated latency-critical and batch work");
         output.println("usage: standlink COMMAND [OPTIONS]; 'standlink COMMAND --help' for each");
-        COMMANDS.forEach((name, entry) -> output.printf("  %-20s %s%n", name, entry.summary()));
-        output.println("exit codes: 0 done, 1 internal, 2 usage, 3 invalid input, 4 refused,");
-        output.println("            5 not reachable, 6 outcome not known,");
-        output.println("            7 a program ended itself after an error");
+        COMMANDS.forEach(
+                (name, subcommand) -> output.printf("  %-20s %s%n", name, subcommand.summary()));
+        output.println(
+                "exit codes: 0 success, 1 internal error, 2 usage, 3 invalid input, 4 refused,");
+        output.println("            5 unreachable, 6 outcome unknown,");
+        output.println("            7 server ended itself after an internal error");
     }
 
-    private static Map<String, Entry> commands() {
-        Map<String, Entry> all = new LinkedHashMap<>();
-        all.put("entry", new Entry("run an entry", EntryCommand::new));
-        all.put("agent", new Entry("run an agent", AgentCommand::new));
+    private static Map<String, Subcommand> commands() {
+        Map<String, Subcommand> all = new LinkedHashMap<>();
+        all.put("entry", new Subcommand("run an entry", EntryCommand::new));
+        all.put("agent", new Subcommand("run an agent", AgentCommand::new));
         all.put(
                 "platform entry",
-                new Entry("run an entry on the users' platform", PlatformEntryCommand::new));
+                new Subcommand("run an entry on the users' platform", PlatformEntryCommand::new));
         all.put(
                 "platform agent",
-                new Entry("run an agent on the users' platform", PlatformAgentCommand::new));
+                new Subcommand("run an agent on the users' platform", PlatformAgentCommand::new));
         all.put(
                 "platform rehearse",
-                new Entry("load all classes, to archive them", PlatformRehearseCommand::new));
-        all.put("bundle check", new Entry("check a bundle file", BundleCheckCommand::new));
-        all.put("bundle sign", new Entry("sign a bundle", BundleSignCommand::new));
-        all.put("bundle publish", new Entry("publish a signed bundle", BundlePublishCommand::new));
-        all.put("bundle diff", new Entry("compare two bundles", BundleDiffCommand::new));
-        all.put("bundle status", new Entry("show the bundle in force", BundleStatusCommand::new));
-        all.put("status", new Entry("show cells, workers and tasks", StatusCommand::new));
-        all.put("explain", new Entry("show what was decided about a job", ExplainCommand::new));
-        all.put("keys", new Entry("make an operator's keys", KeysCommand::new));
+                new Subcommand(
+                        "load all classes for a class archive", PlatformRehearseCommand::new));
+        all.put("bundle check", new Subcommand("check a bundle file", BundleCheckCommand::new));
+        all.put("bundle sign", new Subcommand("sign a bundle", BundleSignCommand::new));
+        all.put(
+                "bundle publish",
+                new Subcommand("publish a signed bundle", BundlePublishCommand::new));
+        all.put("bundle diff", new Subcommand("compare two bundles", BundleDiffCommand::new));
+        all.put(
+                "bundle status",
+                new Subcommand("show the bundle in force", BundleStatusCommand::new));
+        all.put("status", new Subcommand("show cells, workers and tasks", StatusCommand::new));
+        all.put("explain", new Subcommand("show the decisions about a job", ExplainCommand::new));
+        all.put("keys", new Subcommand("generate an operator's key pair", KeysCommand::new));
         all.put(
                 "stand-in platform",
-                new Entry("run a stand-in of the platform", StandInPlatformCommand::new));
+                new Subcommand("run a stand-in of the platform", StandInPlatformCommand::new));
         all.put(
                 "stand-in worker",
-                new Entry("run a stand-in of a worker", StandInWorkerCommand::new));
+                new Subcommand("run a stand-in of a worker", StandInWorkerCommand::new));
         all.put(
                 "stand-in upstream",
-                new Entry("run a stand-in of an upstream", StandInUpstreamCommand::new));
-        all.put("stand-in load", new Entry("send and check requests", StandInLoadCommand::new));
-        all.put("stand-in ports", new Entry("print free ports", StandInPortsCommand::new));
-        all.put("bench", new Entry("repeat a measurement of the docs", BenchCommand::new));
+                new Subcommand("run a stand-in of an upstream", StandInUpstreamCommand::new));
+        all.put(
+                "stand-in load",
+                new Subcommand("send and check requests", StandInLoadCommand::new));
+        all.put("stand-in ports", new Subcommand("print free ports", StandInPortsCommand::new));
+        all.put("bench", new Subcommand("run a benchmark of the documentation", BenchCommand::new));
         return all;
     }
 }
--- a/src/main/java/org/standlink/command/OperatorTopicReceiver.java
+++ b/src/main/java/org/standlink/command/OperatorTopicReceiver.java
@@ -31,29 +31,26 @@
 import org.standlink.store.TopicReceiver;
 
 /**
- * What the operator has asked for: configurations, and halls to be evacuated.
+ * Receives the requests of the operator: configurations, and halls to be evacuated.
  *
  * <p>{@code OperatorTopicReceiver} is thread-safe.
  */
 final class OperatorTopicReceiver implements TopicReceiver {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(OperatorTopicReceiver.class);
 
-    /** Receives each configuration. */
-    private final Consumer<Configuration> configurations;
+    private final Consumer<Configuration> configurationReceiver;
 
-    /** The evacuated halls. */
-    private final AtomicReference<EvacuatedHalls> evacuated =
+    private final AtomicReference<EvacuatedHalls> evacuatedHalls =
             new AtomicReference<>(EvacuatedHalls.NONE);
 
     /**
-     * Constructor.
+     * Creates a receiver without any evacuated halls.
      *
-     * @param configurations receives each configuration
+     * @param configurationReceiver receives each configuration
      */
-    OperatorTopicReceiver(Consumer<Configuration> configurations) {
-        this.configurations = configurations;
+    OperatorTopicReceiver(Consumer<Configuration> configurationReceiver) {
+        this.configurationReceiver = configurationReceiver;
     }
 
     /**
@@ -62,47 +59,48 @@
      * @return the halls
      */
     EvacuatedHalls getEvacuatedHalls() {
-        return evacuated.get();
+        return evacuatedHalls.get();
     }
 
     // -----------------------------------------------------------------------
     @Override
     public void receive(KeyedRecord record) {
-        read(record, () -> ConfigurationFormat.decode(record)).ifPresent(configurations);
-        read(record, () -> EvacuationFormat.decode(record))
-                .ifPresent(change -> setEvacuated(evacuated.get().with(change)));
+        decode(record, () -> ConfigurationFormat.decode(record)).ifPresent(configurationReceiver);
+        decode(record, () -> EvacuationFormat.decode(record))
+                .ifPresent(change -> setEvacuatedHalls(evacuatedHalls.get().with(change)));
     }
 
     @Override
     public void receiveNewest(List<KeyedRecord> records) {
         for (KeyedRecord record : records) {
-            read(record, () -> ConfigurationFormat.decode(record)).ifPresent(configurations);
+            decode(record, () -> ConfigurationFormat.decode(record))
+                    .ifPresent(configurationReceiver);
         }
-        // A key that is missing here was removed, however many records of it were dropped.
+        // A key that is missing here was removed, even if the records of that were dropped.
         List<HallId> halls =
                 records.stream()
-                        .map(record -> read(record, () -> EvacuationFormat.decode(record)))
+                        .map(record -> decode(record, () -> EvacuationFormat.decode(record)))
                         .flatMap(Optional::stream)
                         .filter(EvacuationChange::evacuated)
                         .map(EvacuationChange::hall)
                         .toList();
-        setEvacuated(EvacuatedHalls.of(halls));
+        setEvacuatedHalls(EvacuatedHalls.of(halls));
     }
 
-    /** One record that cannot be read must not hide the others. */
-    private static <T> Optional<T> read(KeyedRecord record, Supplier<Optional<T>> format) {
+    /** Decodes a record; a malformed one is skipped, so that it does not hide the others. */
+    private static <T> Optional<T> decode(KeyedRecord record, Supplier<Optional<T>> decoder) {
         try {
-            return format.get();
+            return decoder.get();
         } catch (RuntimeException malformed) {
             LOG.error("record-not-read").with("key", record.key()).with("cause", malformed).write();
             return Optional.empty();
         }
     }
 
-    private void setEvacuated(EvacuatedHalls halls) {
-        EvacuatedHalls before = evacuated.getAndSet(halls);
-        if (!before.equals(halls)) {
-            LOG.info("halls-evacuated").with("halls", halls).with("before", before).write();
+    private void setEvacuatedHalls(EvacuatedHalls halls) {
+        EvacuatedHalls previous = evacuatedHalls.getAndSet(halls);
+        if (!previous.equals(halls)) {
+            LOG.info("halls-evacuated").with("halls", halls).with("before", previous).write();
         }
     }
 }
--- a/src/main/java/org/standlink/command/PlatformAccess.java
+++ b/src/main/java/org/standlink/command/PlatformAccess.java
@@ -22,17 +22,16 @@
 import org.standlink.process.ProcessThreads;
 
 /**
- * Reaches the platform from an operator's desk.
+ * Opens the platform's services for the commands of operators.
  *
  * <p>{@code PlatformAccess} is thread-safe and immutable.
  */
 final class PlatformAccess {
 
-    /** No instances. */
     private PlatformAccess() {}
 
     /**
-     * Reaches the log.
+     * Opens the log.
      *
      * @param platform the platform's address
      * @return the log
--- a/src/main/java/org/standlink/command/PlatformAgentCommand.java
+++ b/src/main/java/org/standlink/command/PlatformAgentCommand.java
@@ -46,128 +46,134 @@
 /** {@code standlink platform agent}: runs an agent on the users' platform. */
 final class PlatformAgentCommand extends AbstractServerCommand {
 
-    /** The threads of the heartbeats' and the metrics' servers. */
-    private static final int SIDE_THREADS = 2;
+    /** The number of threads of the heartbeat server, and of the metrics server. */
+    private static final int SERVER_THREADS = 2;
 
-    /** The time between two looks at the leader, in milliseconds. */
-    private static final long LOOK_MILLIS = 100;
+    /** The interval between two checks of the leader, in milliseconds. */
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
-    /** How long resigning may take, in milliseconds; a call to the store takes 10. */
-    private static final long RESIGN_MILLIS = 500;
+    /** The maximum duration of a resignation, in milliseconds; a call to the store takes 10 ms. */
+    private static final long RESIGN_TIMEOUT_MILLIS = 500;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(PlatformAgentCommand.class);
 
-    /** The settings file. */
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings, JSON")
     private Path settingsFile;
 
-    /** The run of this process. */
-    private final Incarnation self = Incarnation.ofRandom();
+    /** The incarnation of this process. */
+    private final Incarnation incarnation = Incarnation.ofRandom();
 
-    /** The agent. */
     private AgentNode agent;
 
-    /** What the operator has asked for. */
-    private OperatorTopicReceiver operator;
+    private OperatorTopicReceiver operatorTopic;
 
-    /** Follows claims. */
-    private TopicFollower claims;
+    private TopicFollower claimFollower;
 
-    /** Whether the others can reach this process, so that it may lead. */
+    /** Whether the other processes can connect to this one, so that it may lead. */
     private volatile boolean listening;
 
     @Override
     public int run() throws InterruptedException {
         PlatformSettings settings = PlatformSettings.readAgent(TextFiles.read(settingsFile));
         SettingsReload.install(settingsFile, settings, PlatformSettings::readAgent);
-        LOG.info("starting").with("node", settings.node()).with("incarnation", self).write();
-        PlatformContext base = new PlatformContext(settings.store());
+        LOG.info("starting").with("node", settings.node()).with("incarnation", incarnation).write();
+        PlatformContext context = new PlatformContext(settings.store());
         String address =
                 settings.listen().getAddress().getHostAddress() + ":" + settings.listen().getPort();
-        LeaderLink leader = new LeaderLink(base.getExecutor(), this::fromLeader, base.getClock());
+        LeaderLink leader =
+                new LeaderLink(
+                        context.getExecutor(), this::handleLeaderMessage, context.getClock());
         Candidate candidate =
                 new Candidate(
-                        base.getStore(),
-                        base.getClock(),
+                        context.getStore(),
+                        context.getClock(),
                         address,
-                        self,
-                        () -> claims == null ? -1 : claims.getPosition());
+                        incarnation,
+                        () -> claimFollower == null ? -1 : claimFollower.getPosition());
         agent =
                 new AgentNode(
                         settings.node(),
                         address,
-                        self,
+                        incarnation,
                         leader,
-                        new HttpWorkerClient(new PlatformHttpClient(base.getExecutor())),
-                        base.getClock(),
-                        base.getLoop(),
+                        new HttpWorkerClient(new PlatformHttpClient(context.getExecutor())),
+                        context.getClock(),
+                        context.getLoop(),
                         candidate,
-                        this::getEvacuated);
-        LeadershipManager seat =
+                        this::getEvacuatedHalls);
+        LeadershipManager leadership =
                 new LeadershipManager(
-                        base.getStore(),
+                        context.getStore(),
                         new CellTimes(
                                 Math.min(settings.leaseMillis(), CellTimes.MAX_LEASE_MILLIS),
                                 settings.statusMillis()),
-                        base.getClock(),
-                        base.getLoop(),
-                        self,
+                        context.getClock(),
+                        context.getLoop(),
+                        incarnation,
                         leader,
-                        this::getEvacuated);
-        operator = new OperatorTopicReceiver(seat::offerConfiguration);
-        // Reading begins before the servers are made, which takes about half of a start.
-        base.followOperatorTopic(operator);
-        claims = base.followClaims(claim -> claimed(claim, candidate, seat, base));
+                        this::getEvacuatedHalls);
+        operatorTopic = new OperatorTopicReceiver(leadership::offerConfiguration);
+        // Starts to read before the servers are created, which takes about half of the start-up.
+        context.followOperatorTopic(operatorTopic);
+        claimFollower =
+                context.followClaims(claim -> handleClaim(claim, candidate, leadership, context));
         new WireServer(
                 settings.listen(),
-                base.getExecutor(),
-                new Hello(VmId.parse(settings.node()), self),
-                seat::handle);
+                context.getExecutor(),
+                new Hello(VmId.parse(settings.node()), incarnation),
+                leadership::handle);
         new HeartbeatServer(
-                settings.heartbeats(), ProcessThreads.newBounded("heartbeat", SIDE_THREADS), agent);
+                settings.heartbeats(),
+                ProcessThreads.newBounded("heartbeat", SERVER_THREADS),
+                agent);
         listening = true;
         agent.start();
-        Guarded.scheduleRepeating("candidate", base.getLoop(), LOOK_MILLIS, candidate::tick);
-        serveMetrics(settings, base);
-        return serveUntilStopped(() -> stop(seat));
+        Guarded.scheduleRepeating(
+                "candidate", context.getLoop(), CHECK_INTERVAL_MILLIS, candidate::tick);
+        serveMetrics(settings, context);
+        return serveUntilStopped(() -> stop(leadership));
     }
 
     // -----------------------------------------------------------------------
-    private EvacuatedHalls getEvacuated() {
-        return operator.getEvacuatedHalls();
+    private EvacuatedHalls getEvacuatedHalls() {
+        return operatorTopic.getEvacuatedHalls();
     }
 
-    private void claimed(
-            Claim claim, Candidate candidate, LeadershipManager seat, PlatformContext base) {
+    private void handleClaim(
+            Claim claim,
+            Candidate candidate,
+            LeadershipManager leadership,
+            PlatformContext context) {
         candidate.observeClaim(claim);
-        seat.applyClaim(claim);
+        leadership.applyClaim(claim);
         if (listening) {
-            // Whoever sees that nobody leads need not wait for the next look.
-            base.getLoop().execute(candidate::tick);
+            // A vacant leadership is claimed at once, not only at the next check.
+            context.getLoop().execute(candidate::tick);
         }
     }
 
-    private static void serveMetrics(PlatformSettings settings, PlatformContext base) {
+    private static void serveMetrics(PlatformSettings settings, PlatformContext context) {
         HttpService metrics =
                 new HttpService(
-                        settings.metrics(), ProcessThreads.newBounded("metrics", SIDE_THREADS));
-        HealthApi.addTo(metrics, base.getRegistry(), () -> true);
+                        settings.metrics(), ProcessThreads.newBounded("metrics", SERVER_THREADS));
+        HealthApi.addTo(metrics, context.getRegistry(), () -> true);
     }
 
-    private void fromLeader(Connection connection, long call, Message message) {
+    private void handleLeaderMessage(Connection connection, long call, Message message) {
         agent.handle(connection, call, message);
     }
 
-    private static void stop(LeadershipManager seat) throws InterruptedException {
+    private static void stop(LeadershipManager leadership) throws InterruptedException {
         LOG.info("stopping").write();
         try {
-            seat.resign(RESIGN_MILLIS).get(RESIGN_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (ExecutionException | TimeoutException notResigned) {
-            // The others find out by the silence.
-            LOG.info("not-resigned").with("cause", notResigned).write();
+            leadership
+                    .resign(RESIGN_TIMEOUT_MILLIS)
+                    .get(RESIGN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException | TimeoutException failure) {
+            // The other agents notice that this leader no longer responds.
+            LOG.info("not-resigned").with("cause", failure).write();
         }
         LOG.info("stopped").write();
-        TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL_MILLIS);
     }
 }
--- a/src/main/java/org/standlink/command/PlatformContext.java
+++ b/src/main/java/org/standlink/command/PlatformContext.java
@@ -34,62 +34,58 @@
 import org.standlink.store.TopicReceiver;
 
 /**
- * What every process on the users' platform has: threads, the client, the store and counters.
+ * The resources of every process on the users' platform: threads, the store and the metrics.
  *
  * <p>{@code PlatformContext} is thread-safe.
  */
 final class PlatformContext implements AutoCloseable {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(PlatformContext.class);
 
-    /** Counters. */
+    /** The metrics. */
     private final PrometheusMeterRegistry registry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-    /** The clock. */
     private final MonotonicClock clock = MonotonicClock.ofSystem();
 
-    /** Threads for connections and calls. */
+    /** The threads for connections and calls. */
     private final ExecutorService executor = ProcessThreads.newCached("work");
 
-    /** The loop, on which all decisions of the process are made. */
+    /** The event loop, a single thread on which all decisions of the process are made. */
     private final ScheduledExecutorService loop = ProcessThreads.newScheduled("loop", 1);
 
-    /** The client of the store. */
-    private final PlatformHttpClient storeCaller = new PlatformHttpClient(executor);
+    private final PlatformHttpClient storeClient = new PlatformHttpClient(executor);
 
-    /** The store. */
     private final KeyedStore store;
 
     /**
-     * Constructor.
+     * Creates the resources.
      *
-     * @param storeAddress the store, host and port
+     * @param storeAddress the address of the store, host and port
      */
     PlatformContext(String storeAddress) {
-        store = new HttpStore(storeCaller, storeAddress);
+        store = new HttpStore(storeClient, storeAddress);
         WorkFailures.registerCounter(registry);
     }
 
     /**
-     * Follows what the operator asks for.
+     * Follows the topic of the operator.
      *
-     * @param operator what receives it
+     * @param operator receives the records
      */
     void followOperatorTopic(OperatorTopicReceiver operator) {
         follow(Topic.OPERATOR, operator);
     }
 
     /**
-     * Follows claims of leadership.
+     * Follows the claims of leadership.
      *
-     * @param receiver what receives each claim
+     * @param receiver receives each claim
      * @return the follower
      */
     TopicFollower followClaims(Consumer<Claim> receiver) {
         return follow(
-                Topic.CLAIMS, record -> hand(claim -> receiver.accept(Claim.of(claim)), record));
+                Topic.CLAIMS, record -> deliver(claim -> receiver.accept(Claim.of(claim)), record));
     }
 
     private TopicFollower follow(Topic topic, TopicReceiver receiver) {
@@ -98,17 +94,17 @@
         return follower;
     }
 
-    private static void hand(Consumer<KeyedRecord> receiver, KeyedRecord record) {
+    private static void deliver(Consumer<KeyedRecord> receiver, KeyedRecord record) {
         try {
             receiver.accept(record);
         } catch (RuntimeException malformed) {
-            // One record that cannot be read must not hide those behind it.
+            // A malformed record must not hide the ones after it.
             LOG.error("record-not-read").with("key", record.key()).with("cause", malformed).write();
         }
     }
 
     /**
-     * Gets the counters.
+     * Gets the metrics.
      *
      * @return the registry
      */
@@ -135,9 +131,9 @@
     }
 
     /**
-     * Gets the loop.
+     * Gets the event loop.
      *
-     * @return the loop, of one thread
+     * @return the loop, which has a single thread
      */
     ScheduledExecutorService getLoop() {
         return loop;
--- a/src/main/java/org/standlink/command/PlatformEntryCommand.java
+++ b/src/main/java/org/standlink/command/PlatformEntryCommand.java
@@ -35,20 +35,18 @@
 /** {@code standlink platform entry}: runs an entry on the users' platform. */
 final class PlatformEntryCommand extends AbstractServerCommand {
 
-    /** The most callers answered at once; each holds a thread. */
+    /** The maximum number of callers that are answered at once; each occupies a thread. */
     private static final int CALLER_THREADS = 64;
 
-    /** The threads of the balancer's and the metrics' servers. */
-    private static final int SIDE_THREADS = 2;
+    /** The number of threads of the readiness server, and of the metrics server. */
+    private static final int SERVER_THREADS = 2;
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(PlatformEntryCommand.class);
 
-    /** The settings file. */
     @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings, JSON")
     private Path settingsFile;
 
-    /** Whether a planned stop is under way. */
+    /** Whether a planned stop is in progress. */
     private volatile boolean leaving;
 
     @Override
@@ -56,15 +54,17 @@
         PlatformSettings settings = PlatformSettings.readEntry(TextFiles.read(settingsFile));
         SettingsReload.install(settingsFile, settings, PlatformSettings::readEntry);
         LOG.info("starting").with("node", settings.node()).with("hall", settings.hall()).write();
-        PlatformContext base = new PlatformContext(settings.store());
+        PlatformContext context = new PlatformContext(settings.store());
         LeaderLink leader =
                 new LeaderLink(
-                        base.getExecutor(), (connection, call, message) -> {}, base.getClock());
-        JobGateway gateway = new JobGateway(leader, base.getClock(), base.getRegistry());
-        // Reading begins before the servers are made, which takes about half of a start.
-        base.followOperatorTopic(new OperatorTopicReceiver(gateway::offer));
-        base.followClaims(claim -> noteClaim(leader, claim));
-        ConnectionDrain drain = new ConnectionDrain(base.getClock());
+                        context.getExecutor(),
+                        (connection, call, message) -> {},
+                        context.getClock());
+        JobGateway gateway = new JobGateway(leader, context.getClock(), context.getRegistry());
+        // Starts to read before the servers are created, which takes about half of the start-up.
+        context.followOperatorTopic(new OperatorTopicReceiver(gateway::offer));
+        context.followClaims(claim -> applyClaim(leader, claim));
+        ConnectionDrain drain = new ConnectionDrain(context.getClock());
         CallerHttpServer callers =
                 new CallerHttpServer(
                         settings.callers(),
@@ -73,17 +73,17 @@
                         drain);
         new ReadinessServer(
                 settings.ready(),
-                ProcessThreads.newBounded("ready", SIDE_THREADS),
+                ProcessThreads.newBounded("ready", SERVER_THREADS),
                 () -> gateway.isReady() && !leaving);
         HttpService metrics =
                 new HttpService(
-                        settings.metrics(), ProcessThreads.newBounded("metrics", SIDE_THREADS));
-        HealthApi.addTo(metrics, base.getRegistry(), gateway::isReady);
+                        settings.metrics(), ProcessThreads.newBounded("metrics", SERVER_THREADS));
+        HealthApi.addTo(metrics, context.getRegistry(), gateway::isReady);
         return serveUntilStopped(() -> drain(drain, callers.getPendingArrivals(), settings));
     }
 
     // -----------------------------------------------------------------------
-    private static void noteClaim(LeaderLink leader, Claim claim) {
+    private static void applyClaim(LeaderLink leader, Claim claim) {
         if (claim.isHeld()) {
             leader.offer(new LeaderNotice(claim.epoch(), claim.address()), "store");
         } else {
@@ -101,7 +101,7 @@
                 TimeUnit.MILLISECONDS::sleep,
                 arrivals,
                 () -> LOG.info("stopped").with("in-progress", drain.getInProgress()).write());
-        // Whatever the JDK does at an orderly exit would leave a request that comes now unanswered.
+        // A request that arrives during the JDK's orderly exit would be left unanswered.
         Runtime.getRuntime().halt(ProcessEnd.getExitCode());
     }
 }
--- a/src/main/java/org/standlink/command/PlatformRehearseCommand.java
+++ b/src/main/java/org/standlink/command/PlatformRehearseCommand.java
@@ -33,55 +33,56 @@
 import org.standlink.process.ProcessThreads;
 
 /**
- * {@code standlink platform rehearse}: runs an entry and an agent that leads against stand-ins for
- * some seconds, loads all other classes and ends, so that a class archive can be written.
+ * {@code standlink platform rehearse}: runs an entry and a leading agent against stand-ins for some
+ * seconds, loads all other classes and exits, so that the JVM can write a class archive.
  *
- * <p>What a process does here need not be read from the jar and verified when it starts again after
- * a loss of power; on half a core that takes longer than all else that it does until it serves.
+ * <p>Archived classes need not be read from the jar and verified when a process restarts after a
+ * loss of power. On half a core, that takes longer than the rest of the start-up.
  */
 final class PlatformRehearseCommand implements Command {
 
-    /** A free port of the loopback address. */
-    private static final InetSocketAddress FREE = new InetSocketAddress("127.0.0.1", 0);
+    /** Any free port of the loopback address. */
+    private static final InetSocketAddress ANY_FREE_PORT = new InetSocketAddress("127.0.0.1", 0);
 
-    /** How long a run works, in milliseconds. */
-    private static final long WORK_MILLIS = 400;
+    /** The duration of a run, in milliseconds. */
+    private static final long RUN_MILLIS = 400;
 
-    /** How long it may take until the entry accepts a job, in milliseconds. */
-    private static final long READY_MILLIS = 30_000;
+    /** The maximum time until the entry accepts a job, in milliseconds. */
+    private static final long READY_TIMEOUT_MILLIS = 30_000;
 
-    /** The pause between two tries, in milliseconds. */
+    /** The pause before each attempt or query, in milliseconds. */
     private static final long PAUSE_MILLIS = 100;
 
-    /** How often the jobs' states are asked for: for 4 s, so that all jobs end meanwhile. */
-    private static final int ROUNDS = 40;
+    /** The number of queries of the job states: for 4 s, in which all jobs end. */
+    private static final int STATE_QUERIES = 40;
 
-    /** The job that ends. */
+    /** A job that ends by itself. */
     private static final JobId BATCH_JOB = JobId.parse("00000000000000a1");
 
-    /** The job that lasts until it is cancelled. */
-    private static final JobId LASTING_JOB = JobId.parse("00000000000000a2");
+    /** A job that runs until it is cancelled. */
+    private static final JobId LONG_RUNNING_JOB = JobId.parse("00000000000000a2");
 
     /** The threads of the stand-ins and of the two processes. */
     private final ExecutorService threads = ProcessThreads.newCached("rehearsal");
 
-    /** Where the entry takes callers. */
-    private final String callers = freeAddress();
+    /** Where the entry serves callers. */
+    private final String callersAddress = findFreeAddress();
 
-    /** Where the entry tells whether it is ready. */
-    private final String ready = freeAddress();
+    /** Where the entry serves its readiness. */
+    private final String readyAddress = findFreeAddress();
 
-    /** Where the agent takes heartbeats. */
-    private final String heartbeats = freeAddress();
+    /** Where the agent receives heartbeats. */
+    private final String heartbeatsAddress = findFreeAddress();
 
-    /** Where the agent serves its counters. */
-    private final String metrics = freeAddress();
+    /** Where the agent serves its metrics. */
+    private final String metricsAddress = findFreeAddress();
 
     @Override
     public int run() throws IOException, InterruptedException {
-        StandInStore store = new StandInStore(FREE, threads);
+        StandInStore store = new StandInStore(ANY_FREE_PORT, threads);
         MonotonicClock clock = MonotonicClock.ofSystem();
-        StandInWorker worker = new StandInWorker(FREE, threads, clock::nowMillis, WORK_MILLIS);
+        StandInWorker worker =
+                new StandInWorker(ANY_FREE_PORT, threads, clock::nowMillis, RUN_MILLIS);
         StandInCaller.publishConfiguration(store);
         String common =
                 "{\"node\":\"rehearsal\",\"hall\":\"h\",\"graceMillis\":6000,\"store\":\"127.0.0.1:"
@@ -91,50 +92,53 @@
                 "agent",
                 common
                         + "\"leaseMillis\":6000,\"statusSeconds\":120,"
-                        + field("listen", freeAddress())
-                        + field("heartbeats", heartbeats)
+                        + field("listen", findFreeAddress())
+                        + field("heartbeats", heartbeatsAddress)
                         + "\"metrics\":\""
-                        + metrics
+                        + metricsAddress
                         + "\"}");
         launch(
                 "entry",
                 common
-                        + field("callers", callers)
-                        + field("ready", ready)
+                        + field("callers", callersAddress)
+                        + field("ready", readyAddress)
                         + "\"metrics\":\""
-                        + freeAddress()
+                        + findFreeAddress()
                         + "\"}");
-        boolean served = serve(worker);
+        boolean accepted = runWorkload(worker);
         System.out.println("classes loaded: " + ProgramClasses.loadAll());
-        System.out.println(served ? "rehearsed" : "not ready in time; rehearsed in part only");
+        System.out.println(
+                accepted ? "rehearsed" : "entry not ready in time; rehearsed only in part");
         return 0;
     }
 
     // -----------------------------------------------------------------------
-    private boolean serve(StandInWorker worker) throws InterruptedException {
-        StandInCaller caller = new StandInCaller(callers);
+    private boolean runWorkload(StandInWorker worker) throws InterruptedException {
+        StandInCaller caller = new StandInCaller(callersAddress);
         boolean accepted = false;
         long sequence = 0;
-        for (long left = READY_MILLIS; left > 0 && !accepted; left -= PAUSE_MILLIS) {
+        for (long remainingMillis = READY_TIMEOUT_MILLIS;
+                remainingMillis > 0 && !accepted;
+                remainingMillis -= PAUSE_MILLIS) {
             Thread.sleep(PAUSE_MILLIS);
-            caller.sendHeartbeat(heartbeats, worker, ++sequence);
+            caller.sendHeartbeat(heartbeatsAddress, worker, ++sequence);
             accepted = caller.submitBatch(BATCH_JOB) == HttpURLConnection.HTTP_OK;
         }
-        caller.submitLongRunning(LASTING_JOB);
-        caller.submitToUnknownQueue(LASTING_JOB);
-        for (int round = 0; round < ROUNDS; round++) {
+        caller.submitLongRunning(LONG_RUNNING_JOB);
+        caller.submitToUnknownQueue(LONG_RUNNING_JOB);
+        for (int round = 0; round < STATE_QUERIES; round++) {
             Thread.sleep(PAUSE_MILLIS);
-            if (round == ROUNDS / 2) {
+            if (round == STATE_QUERIES / 2) {
                 worker.restart();
                 sequence = 0;
             }
-            caller.sendHeartbeat(heartbeats, worker, ++sequence);
-            caller.queryReadiness(ready);
+            caller.sendHeartbeat(heartbeatsAddress, worker, ++sequence);
+            caller.queryReadiness(readyAddress);
             caller.queryState(BATCH_JOB);
             caller.queryCount();
         }
-        caller.cancel(LASTING_JOB);
-        caller.get(metrics, "/metrics");
+        caller.cancel(LONG_RUNNING_JOB);
+        caller.get(metricsAddress, "/metrics");
         return accepted;
     }
 
@@ -150,11 +154,11 @@
         return "\"" + name + "\":\"" + value + "\",";
     }
 
-    private static String freeAddress() {
+    private static String findFreeAddress() {
         try (ServerSocket socket = new ServerSocket(0)) {
             return "127.0.0.1:" + socket.getLocalPort();
-        } catch (IOException noPort) {
-            throw new UncheckedIOException("no free port", noPort);
+        } catch (IOException failure) {
+            throw new UncheckedIOException("no free port", failure);
         }
     }
 }
--- a/src/main/java/org/standlink/command/PlatformSettings.java
+++ b/src/main/java/org/standlink/command/PlatformSettings.java
@@ -22,21 +22,22 @@
 import org.standlink.json.ValidationErrors;
 
 /**
- * The settings of a process on the users' platform, as the templates under {@code deploy/} lay
- * them.
+ * The settings of a process on the users' platform, as in the templates under {@code deploy/}.
  *
  * <p>{@code PlatformSettings} is thread-safe and immutable.
  *
  * @param node the machine's name
  * @param hall the machine's hall
  * @param listen where other processes of standlink reach this one; null for an entry
- * @param metrics where counters are served
+ * @param metrics where metrics are served
  * @param store the platform's store, host and port
  * @param callers where callers connect; null for an agent
- * @param ready where the balancer asks; null for an agent
+ * @param ready where the balancer queries the readiness; null for an agent
  * @param heartbeats where the worker sends heartbeats; null for an entry
- * @param leaseMillis for how long workers keep their runs without word, in milliseconds
- * @param statusMillis for how long the state of a final job is kept, in milliseconds
+ * @param leaseMillis how long workers keep their runs without a message, in milliseconds; 0 for an
+ *     entry
+ * @param statusMillis how long the state of a final job is retained, in milliseconds; 0 for an
+ *     entry
  * @param graceMillis how long a planned stop may take, in milliseconds
  */
 record PlatformSettings(
@@ -57,11 +58,11 @@
      *
      * @param text the JSON text
      * @return the settings
-     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
+     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every error
      */
     static PlatformSettings readEntry(String text) {
-        ValidationErrors faults = new ValidationErrors();
-        JsonSection top = JsonSection.parse(text, faults);
+        ValidationErrors errors = new ValidationErrors();
+        JsonSection top = JsonSection.parse(text, errors);
         PlatformSettings settings =
                 new PlatformSettings(
                         top.requiredText("node"),
@@ -76,7 +77,7 @@
                         0,
                         top.requiredInteger("graceMillis", 100, 600_000));
         top.reportUnknownKeys();
-        faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
+        errors.throwIfAny(ErrorCode.INVALID_SETTINGS, "the entry's settings");
         return settings;
     }
 
@@ -85,11 +86,11 @@
      *
      * @param text the JSON text
      * @return the settings
-     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every fault
+     * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing every error
      */
     static PlatformSettings readAgent(String text) {
-        ValidationErrors faults = new ValidationErrors();
-        JsonSection top = JsonSection.parse(text, faults);
+        ValidationErrors errors = new ValidationErrors();
+        JsonSection top = JsonSection.parse(text, errors);
         PlatformSettings settings =
                 new PlatformSettings(
                         top.requiredText("node"),
@@ -104,7 +105,7 @@
                         1000 * top.requiredInteger("statusSeconds", 1, 86_400),
                         top.requiredInteger("graceMillis", 100, 600_000));
         top.reportUnknownKeys();
-        faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the agent's settings");
+        errors.throwIfAny(ErrorCode.INVALID_SETTINGS, "the agent's settings");
         return settings;
     }
 }
--- a/src/main/java/org/standlink/command/ProgramClasses.java
+++ b/src/main/java/org/standlink/command/ProgramClasses.java
@@ -26,43 +26,41 @@
 import org.standlink.process.EventLog;
 
 /**
- * Sees to it that a running program needs its jar no more, which an upgrade may replace and a disk
- * may lose: a class that is first needed then could not be read.
+ * Makes a running program independent of its jar, which an upgrade may replace and a disk failure
+ * may destroy: a class that is needed for the first time after that could not be read.
  *
- * <p>The class archive holds all classes of the jar, and the class loader keeps the jar open from
- * the start on, for what the archive may lack.
+ * <p>The class archive contains all classes of the jar. For classes that the archive may lack, the
+ * class loader keeps the jar open from the start on.
  *
  * <p>{@code ProgramClasses} is thread-safe and immutable.
  */
 final class ProgramClasses {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(ProgramClasses.class);
 
-    /** The ending of classes in the jar. */
-    private static final String ENDING = ".class";
+    /** The suffix of class files in the jar. */
+    private static final String CLASS_SUFFIX = ".class";
 
-    /** Any entry of the jar that is always there; looking it up has the loader open the jar. */
+    /** An entry that every jar contains; looking it up makes the class loader open the jar. */
     private static final String ANY_ENTRY = "META-INF/MANIFEST.MF";
 
-    /** The start of entries that are no classes of this program. */
-    private static final String META = "META-INF/";
+    /** The prefix of entries that are not classes of this program. */
+    private static final String META_PREFIX = "META-INF/";
 
-    /** No instances. */
     private ProgramClasses() {}
 
-    /** Has the class loader open the jar, which it keeps open as long as the process lives. */
+    /** Makes the class loader open the jar, which it then keeps open until the process ends. */
     static void keepJarOpen() {
         if (ProgramClasses.class.getClassLoader().getResource(ANY_ENTRY) == null) {
-            // Only the archive is left, which the rehearsal fills with all classes.
+            // Only the archive remains, which contains all classes after a rehearsal.
             LOG.warning("program-file-not-open").write();
         }
     }
 
     /**
-     * Loads all classes of the jar, so that a class archive written at the end holds them.
+     * Loads all classes of the jar, so that a class archive written at exit contains them.
      *
-     * @return how many were loaded; those that extend what is not there are passed over
+     * @return the number of loaded classes; those with a missing supertype are skipped
      * @throws StandlinkException with code FILE if the jar cannot be read
      */
     static int loadAll() {
@@ -71,20 +69,20 @@
             try {
                 Class.forName(name, false, ProgramClasses.class.getClassLoader());
                 loaded++;
-            } catch (ClassNotFoundException | LinkageError optional) {
-                LOG.info("class-left-out").with("name", name).with("cause", optional).write();
+            } catch (ClassNotFoundException | LinkageError notLoadable) {
+                LOG.info("class-left-out").with("name", name).with("cause", notLoadable).write();
             }
         }
         return loaded;
     }
 
     private static List<String> listClasses() {
-        try (JarFile jar = new JarFile(locate())) {
+        try (JarFile jar = new JarFile(locateJar())) {
             return jar.stream()
                     .map(JarEntry::getName)
-                    .filter(name -> name.endsWith(ENDING) && !name.startsWith(META))
-                    .filter(name -> !name.endsWith("-info" + ENDING))
-                    .map(name -> name.substring(0, name.length() - ENDING.length()))
+                    .filter(name -> name.endsWith(CLASS_SUFFIX) && !name.startsWith(META_PREFIX))
+                    .filter(name -> !name.endsWith("-info" + CLASS_SUFFIX))
+                    .map(name -> name.substring(0, name.length() - CLASS_SUFFIX.length()))
                     .map(name -> name.replace('/', '.'))
                     .toList();
         } catch (IOException | URISyntaxException unreadable) {
@@ -96,7 +94,7 @@
         }
     }
 
-    private static File locate() throws URISyntaxException {
+    private static File locateJar() throws URISyntaxException {
         return new File(
                 ProgramClasses.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     }
--- a/src/main/java/org/standlink/command/SettingsReload.java
+++ b/src/main/java/org/standlink/command/SettingsReload.java
@@ -21,40 +21,38 @@
 import org.standlink.process.EventLog;
 import org.standlink.process.ReloadSignal;
 
-/** Reads the settings again on SIGHUP and tells what has changed. */
+/** Rereads the settings on SIGHUP and logs whether they have changed. */
 final class SettingsReload {
 
-    /** The log. */
     private static final EventLog LOG = EventLog.of(SettingsReload.class);
 
-    /** No instances. */
     private SettingsReload() {}
 
     /**
-     * Begins to listen for the signal.
+     * Installs the handler of the signal.
      *
      * @param file the settings file
      * @param inForce the settings in force
-     * @param reader reads settings
+     * @param reader reads and checks settings
      */
     static void install(
             Path file, PlatformSettings inForce, Function<String, PlatformSettings> reader) {
-        ReloadSignal.handle(() -> compare(file, inForce, reader));
+        ReloadSignal.handle(() -> reload(file, inForce, reader));
     }
 
-    private static void compare(
+    private static void reload(
             Path file, PlatformSettings inForce, Function<String, PlatformSettings> reader) {
         try {
-            PlatformSettings read = reader.apply(TextFiles.read(file));
-            boolean same = read.equals(inForce);
+            PlatformSettings reloaded = reader.apply(TextFiles.read(file));
+            boolean unchanged = reloaded.equals(inForce);
             LOG.info("settings-reloaded")
-                    .with("changed", !same)
-                    .with("settings", read)
-                    .with("remedy", same ? "none" : "addresses and leases change at a restart")
+                    .with("changed", !unchanged)
+                    .with("settings", reloaded)
+                    .with("remedy", unchanged ? "none" : "restart to change addresses and leases")
                     .write();
-        } catch (StandlinkException faulty) {
-            // The settings in force stay.
-            LOG.warning("settings-not-reloaded").with("cause", faulty.getMessage()).write();
+        } catch (StandlinkException invalid) {
+            // The settings in force are kept.
+            LOG.warning("settings-not-reloaded").with("cause", invalid.getMessage()).write();
         }
     }
 }
--- a/src/main/java/org/standlink/command/StandInLoadCommand.java
+++ b/src/main/java/org/standlink/command/StandInLoadCommand.java
@@ -29,59 +29,54 @@
 final class StandInLoadCommand implements Command {
 
     /** The exit code if an answer was wrong or missing. */
-    private static final int WRONG = 4;
+    private static final int FAILED_EXIT_CODE = 4;
 
-    /** The entries. */
     @Option(name = "--entry", required = true, metaVar = "URL", usage = "an entry; may be repeated")
     private List<String> entries;
 
-    /** Where the entries tell whether they are ready. */
+    /** The readiness URLs of the entries, in the order of the entries. */
     @Option(
             name = "--ready",
             metaVar = "URL",
-            usage = "where each entry tells that it is ready, in order (default: not asked)")
-    private List<String> ready = new ArrayList<>();
+            usage = "readiness URL of each entry, in order (default: not queried)")
+    private List<String> readinessUrls = new ArrayList<>();
 
-    /** How many. */
-    @Option(name = "--requests", metaVar = "N", usage = "how many requests (default: 200)")
+    @Option(name = "--requests", metaVar = "N", usage = "number of requests (default: 200)")
     private int requests = 200;
 
-    /** How many at once. */
-    @Option(name = "--concurrency", metaVar = "N", usage = "how many at once (default: 8)")
+    @Option(name = "--concurrency", metaVar = "N", usage = "concurrent requests (default: 8)")
     private int concurrency = 8;
 
-    /** The path. */
     @Option(name = "--path", metaVar = "PATH", usage = "path of the requests (default: /)")
     private String path = "/";
 
-    /** The method. */
     @Option(name = "--method", metaVar = "NAME", usage = "HTTP method (default: POST)")
     private String method = "POST";
 
-    /** Whether to give each request a key. */
     @Option(name = "--keys", usage = "give each request an Idempotency-Key")
     private boolean keys;
 
-    /** A pause. */
     @Option(name = "--pause", metaVar = "MILLIS", usage = "pause after each request (default: 0)")
     private long pauseMillis;
 
-    /** Retries. */
-    @Option(name = "--retries", metaVar = "N", usage = "retries of what did not run (default: 0)")
+    @Option(
+            name = "--retries",
+            metaVar = "N",
+            usage = "retries of requests that did not run (default: 0)")
     private int retries;
 
     @Override
     public int run() throws InterruptedException {
-        if (!ready.isEmpty() && ready.size() != entries.size()) {
+        if (!readinessUrls.isEmpty() && readinessUrls.size() != entries.size()) {
             throw new StandlinkException(
                     ErrorCode.USAGE,
-                    "--ready is given " + ready.size() + " times",
-                    "give it once for each --entry, in the same order");
+                    "--ready is given " + readinessUrls.size() + " times",
+                    "pass it once for each --entry, in the same order");
         }
         RequestLoad load =
                 new RequestLoad(
                         entries.stream().map(Addresses::parseHttp).toList(),
-                        ready.stream().map(URI::create).toList(),
+                        readinessUrls.stream().map(URI::create).toList(),
                         method,
                         path,
                         keys,
@@ -89,6 +84,6 @@
                         retries);
         LoadReport report = load.run(requests, concurrency);
         System.out.println(report);
-        return report.isEveryAnswerCorrect() ? 0 : WRONG;
+        return report.isEveryAnswerCorrect() ? 0 : FAILED_EXIT_CODE;
     }
 }
--- a/src/main/java/org/standlink/command/StandInPlatformCommand.java
+++ b/src/main/java/org/standlink/command/StandInPlatformCommand.java
@@ -27,22 +27,20 @@
 /** {@code standlink stand-in platform}: runs a stand-in of the platform's log and VM list. */
 final class StandInPlatformCommand extends AbstractServerCommand {
 
-    /** The threads of the server. */
     private static final int THREADS = 16;
 
-    /** Where to listen. */
     @Option(name = "--listen", required = true, metaVar = "HOST:PORT", usage = "where to listen")
     private String listen;
 
-    /** The most appends a second. */
-    @Option(name = "--appends", metaVar = "N", usage = "most appends a second (default: 100)")
+    @Option(name = "--appends", metaVar = "N", usage = "maximum appends per second (default: 100)")
     private int appends = 100;
 
-    /** How long records are kept. */
-    @Option(name = "--retention", metaVar = "SECONDS", usage = "keeps records for (default: 3600)")
+    @Option(
+            name = "--retention",
+            metaVar = "SECONDS",
+            usage = "retention of records (default: 3600)")
     private long retentionSeconds = 3600;
 
-    /** The lag of the list. */
     @Option(name = "--lag", metaVar = "MILLIS", usage = "lag of the VM list (default: 1000)")
     private long lagMillis = 1000;
 
--- a/src/main/java/org/standlink/command/StandInPortsCommand.java
+++ b/src/main/java/org/standlink/command/StandInPortsCommand.java
@@ -21,11 +21,10 @@
 import java.util.List;
 import org.kohsuke.args4j.Option;
 
-/** {@code standlink stand-in ports}: prints ports that are free now. */
+/** {@code standlink stand-in ports}: prints ports that are currently free. */
 final class StandInPortsCommand implements Command {
 
-    /** How many. */
-    @Option(name = "--count", metaVar = "N", usage = "how many (default: 1)")
+    @Option(name = "--count", metaVar = "N", usage = "number of ports (default: 1)")
     private int count = 1;
 
     @Override
--- a/src/main/java/org/standlink/command/StandInUpstreamCommand.java
+++ b/src/main/java/org/standlink/command/StandInUpstreamCommand.java
@@ -23,17 +23,14 @@
 /** {@code standlink stand-in upstream}: runs a stand-in of an upstream. */
 final class StandInUpstreamCommand extends AbstractServerCommand {
 
-    /** The threads of the server. */
     private static final int THREADS = 32;
 
-    /** How long an ordered stop may take, in milliseconds; the platform's grace is as long. */
+    /** The maximum duration of a shutdown, in milliseconds: the grace period of the platform. */
     private static final long DRAIN_MILLIS = 6_000;
 
-    /** Where to listen. */
     @Option(name = "--listen", required = true, metaVar = "HOST:PORT", usage = "where to listen")
     private String listen;
 
-    /** The service time. */
     @Option(name = "--service", metaVar = "MILLIS", usage = "service time (default: 5)")
     private long serviceMillis = 5;
 
--- a/src/main/java/org/standlink/command/StandInWorkerCommand.java
+++ b/src/main/java/org/standlink/command/StandInWorkerCommand.java
@@ -27,38 +27,33 @@
 /** {@code standlink stand-in worker}: runs a stand-in of a worker. */
 final class StandInWorkerCommand extends AbstractServerCommand {
 
-    /** The threads of the server. */
     private static final int THREADS = 4;
 
-    /** Where to listen. */
     @Option(name = "--listen", required = true, metaVar = "HOST:PORT", usage = "where to listen")
     private String listen;
 
-    /** The processors. */
     @Option(name = "--cores", metaVar = "N", usage = "processors (default: 16)")
     private double cores = 16;
 
-    /** The memory. */
+    /** The memory, in megabytes. */
     @Option(name = "--memory", metaVar = "MEGABYTES", usage = "memory (default: 60000)")
     private long memory = 60_000;
 
-    /** The accelerators. */
     @Option(name = "--accelerators", metaVar = "N", usage = "accelerators (default: 0)")
     private long accelerators;
 
-    /** The length of a lease. */
     @Option(name = "--lease", metaVar = "MILLIS", usage = "length of a lease (default: 5000)")
     private long leaseMillis = 5000;
 
-    /** How long tasks really run. */
-    @Option(
-            name = "--run-factor",
-            metaVar = "X",
-            usage = "real over declared run time (default: 1)")
+    /** The ratio of the actual to the declared run time of tasks. */
+    @Option(name = "--run-factor", metaVar = "X", usage = "actual / declared run time (default: 1)")
     private double runFactor = 1;
 
-    /** What tasks really use. */
-    @Option(name = "--usage-factor", metaVar = "X", usage = "used over granted (default: 0.6)")
+    /** The ratio of the used to the granted resources of tasks. */
+    @Option(
+            name = "--usage-factor",
+            metaVar = "X",
+            usage = "used / granted resources (default: 0.6)")
     private double usageFactor = 0.6;
 
     @Override
--- a/src/main/java/org/standlink/command/StatusCommand.java
+++ b/src/main/java/org/standlink/command/StatusCommand.java
@@ -29,45 +29,40 @@
 import org.standlink.StandlinkException;
 import org.standlink.json.Addresses;
 
-/** {@code standlink status}: shows cells, workers and tasks, and can wait for them. */
+/** {@code standlink status}: shows cells, workers and tasks; waits for a state on request. */
 final class StatusCommand implements Command {
 
-    /** The time between two looks while waiting, in milliseconds. */
-    private static final long LOOK_MILLIS = 200;
+    /** The interval between two queries while waiting, in milliseconds. */
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
-    /** The entry. */
     @Option(name = "--entry", required = true, metaVar = "URL", usage = "an entry's admin address")
     private String entry;
 
-    /** Whether to wait for the bundle. */
+    /** The version of the bundle to wait for, 0 not to wait. */
     @Option(name = "--wait-bundle", metaVar = "V", usage = "wait until V is in force on every VM")
     private long waitBundle;
 
-    /** Whether to wait for the tasks. */
     @Option(name = "--wait-tasks", usage = "wait until every managed task is finished")
     private boolean waitTasks;
 
-    /** How long to wait. */
-    @Option(name = "--timeout", metaVar = "SECONDS", usage = "how long to wait (default: 30)")
+    @Option(name = "--timeout", metaVar = "SECONDS", usage = "maximum time to wait (default: 30)")
     private long timeoutSeconds = 30;
 
-    /** Whether to print one line only. */
     @Option(name = "--summary", usage = "print one line only")
     private boolean summary;
 
-    /** Whether to print JSON. */
-    @Option(name = "--json", usage = "print the answer of the admin API")
+    @Option(name = "--json", usage = "print the JSON of the admin API")
     private boolean json;
 
     @Override
     public int run() throws InterruptedException {
         HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeoutSeconds);
         JsonNode status = null;
         StatusView view = null;
-        while (view == null || !isReached(view) && System.nanoTime() < until) {
+        while (view == null || !isConditionMet(view) && System.nanoTime() < deadlineNanos) {
             if (view != null) {
-                TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
             }
             status = fetch(client);
             view = StatusView.of(status);
@@ -78,10 +73,10 @@
             view.print(System.out);
         }
         System.out.println(view.getSummary());
-        return isReached(view) ? 0 : ErrorCode.TIMEOUT.getExitCode();
+        return isConditionMet(view) ? 0 : ErrorCode.TIMEOUT.getExitCode();
     }
 
-    private boolean isReached(StatusView view) {
+    private boolean isConditionMet(StatusView view) {
         return (waitBundle == 0 || view.isBundleInForceOnAllVms(waitBundle))
                 && (!waitTasks || view.isEveryTaskFinished());
     }
@@ -97,8 +92,8 @@
         } catch (IOException unreachable) {
             throw new StandlinkException(
                     ErrorCode.PEER_UNREACHABLE,
-                    "the entry at " + entry + " cannot be reached",
-                    "check that it runs, or ask another entry",
+                    "the entry at " + entry + " is unreachable",
+                    "check that it is running, or query another entry",
                     unreachable);
         }
     }
--- a/src/main/java/org/standlink/command/StatusView.java
+++ b/src/main/java/org/standlink/command/StatusView.java
@@ -21,13 +21,12 @@
 import java.util.List;
 
 /**
- * The admin API's status, ready to be judged and printed.
+ * A status from the admin API, with the checks and the output of {@code standlink status}.
  *
  * <p>{@code StatusView} is thread-safe and immutable.
  */
 final class StatusView {
 
-    /** The cells. */
     private final List<JsonNode> cells = new ArrayList<>();
 
     /** The workers of all cells. */
@@ -36,11 +35,11 @@
     /** The tasks of all cells. */
     private final List<JsonNode> tasks = new ArrayList<>();
 
-    /** The version at the entry. */
-    private final long version;
+    /** The version of the bundle at the entry. */
+    private final long bundleVersion;
 
     private StatusView(JsonNode status) {
-        version = status.path("bundle").asLong();
+        bundleVersion = status.path("bundle").asLong();
         for (JsonNode cell : status.path("cells")) {
             cells.add(cell);
             cell.path("workers").forEach(workers::add);
@@ -49,7 +48,7 @@
     }
 
     /**
-     * Makes a view.
+     * Creates a view.
      *
      * @param status the answer of the admin API
      * @return the view
@@ -59,14 +58,14 @@
     }
 
     /**
-     * Checks whether a version is in force on every VM.
+     * Checks whether a version of the bundle is in force at the entry and on all VMs.
      *
      * @param wanted the version
-     * @return true if every worker has told of it
+     * @return true if there are workers and the entry and all workers report it or a newer one
      */
     boolean isBundleInForceOnAllVms(long wanted) {
         return !workers.isEmpty()
-                && version >= wanted
+                && bundleVersion >= wanted
                 && workers.stream().allMatch(worker -> worker.path("bundle").asLong() >= wanted);
     }
 
@@ -80,24 +79,24 @@
     }
 
     /**
-     * Gets the summary in one line.
+     * Gets a summary of one line.
      *
      * @return the line
      */
     String getSummary() {
         long inForce =
                 workers.stream()
-                        .filter(worker -> worker.path("bundle").asLong() == version)
+                        .filter(worker -> worker.path("bundle").asLong() == bundleVersion)
                         .count();
         return String.format(
                 "tasks %d of %d, bundle %d on %d of %d VMs",
-                countFinished(), tasks.size(), version, inForce, workers.size());
+                countFinished(), tasks.size(), bundleVersion, inForce, workers.size());
     }
 
     /**
-     * Prints tables.
+     * Prints tables of the cells, workers and tasks.
      *
-     * @param output where to
+     * @param output where to print
      */
     void print(PrintStream output) {
         output.printf("%-12s %-16s %6s  %s%n", "CELL", "LEADER", "EPOCH", "");
--- a/src/main/java/org/standlink/command/TextFiles.java
+++ b/src/main/java/org/standlink/command/TextFiles.java
@@ -21,13 +21,12 @@
 import org.standlink.StandlinkException;
 
 /**
- * Reads and writes small text files with typed errors.
+ * Reads and writes small text files; failures are {@link StandlinkException}s.
  *
  * <p>{@code TextFiles} is thread-safe and immutable.
  */
 final class TextFiles {
 
-    /** No instances. */
     private TextFiles() {}
 
     /**
@@ -63,7 +62,7 @@
             throw new StandlinkException(
                     ErrorCode.FILE,
                     "cannot write '" + path + "'",
-                    "check that the folder is there and may be written",
+                    "check that the folder exists and is writable",
                     failure);
         }
     }
--- a/src/test/java/org/standlink/command/TestMain.java
+++ b/src/test/java/org/standlink/command/TestMain.java
@@ -34,7 +34,7 @@
 import org.standlink.bundle.BundleReader;
 import org.standlink.entry.EntrySettings;
 
-/** Tests the command line, its exit codes, and the settings. */
+/** Tests the command line, its exit codes and the reading of settings files. */
 public class TestMain {
 
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
@@ -87,14 +87,15 @@
                 "http://10.0.1.11:8080 | nonsense | upstream: 'nonsense' is wrong; use http://host:port",
                 "\"nodeMillis\": 10000 | \"nodeMillis\": 2000 | leases.nodeMillis: 2000 is not above two heartbeats",
             })
-    void reportsEachSettingsError(String good, String bad, String expected) throws IOException {
+    void reportsEachSettingsError(String validText, String invalidText, String expected)
+            throws IOException {
         String text = Files.readString(Path.of("examples", "agent.json"));
-        assertTrue(text.contains(good), good);
-        StandlinkException faults =
+        assertTrue(text.contains(validText), validText);
+        StandlinkException failure =
                 assertThrows(
                         StandlinkException.class,
-                        () -> AgentSettings.read(text.replace(good, bad)));
-        assertEquals(ErrorCode.INVALID_SETTINGS, faults.getCode());
-        assertTrue(faults.getMessage().contains(expected), faults.getMessage());
+                        () -> AgentSettings.read(text.replace(validText, invalidText)));
+        assertEquals(ErrorCode.INVALID_SETTINGS, failure.getCode());
+        assertTrue(failure.getMessage().contains(expected), failure.getMessage());
     }
 }
--- a/src/test/java/org/standlink/command/TestOperatorTopicReceiver.java
+++ b/src/test/java/org/standlink/command/TestOperatorTopicReceiver.java
@@ -28,14 +28,14 @@
 import org.standlink.job.EvacuatedHalls;
 import org.standlink.store.KeyedRecord;
 
-/** Tests what becomes of the operator's records. */
+/** Tests that records of the operator's topic are applied, and malformed ones skipped. */
 public class TestOperatorTopicReceiver {
 
     private static final HallId NORTH = HallId.parse("north");
     private static final HallId SOUTH = HallId.parse("south");
 
     private final List<Configuration> configurations = new ArrayList<>();
-    private final OperatorTopicReceiver topic = new OperatorTopicReceiver(configurations::add);
+    private final OperatorTopicReceiver receiver = new OperatorTopicReceiver(configurations::add);
 
     private static KeyedRecord record(String key, String value) {
         return new KeyedRecord(key, value.getBytes(StandardCharsets.UTF_8));
@@ -43,50 +43,50 @@
 
     @Test
     public void aHallIsEvacuatedUntilItsKeyIsRemoved() {
-        topic.receive(record("evacuate/north", "{}"));
-        topic.receive(record("evacuate/south", "{}"));
-        assertEquals(EvacuatedHalls.of(List.of(NORTH, SOUTH)), topic.getEvacuatedHalls());
-        topic.receive(record("evacuate/north", ""));
-        assertFalse(topic.getEvacuatedHalls().contains(NORTH));
-        assertTrue(topic.getEvacuatedHalls().contains(SOUTH));
+        receiver.receive(record("evacuate/north", "{}"));
+        receiver.receive(record("evacuate/south", "{}"));
+        assertEquals(EvacuatedHalls.of(List.of(NORTH, SOUTH)), receiver.getEvacuatedHalls());
+        receiver.receive(record("evacuate/north", ""));
+        assertFalse(receiver.getEvacuatedHalls().contains(NORTH));
+        assertTrue(receiver.getEvacuatedHalls().contains(SOUTH));
     }
 
     @Test
     public void aHallRemovedTwiceOrNeverEvacuatedIsInUse() {
-        topic.receive(record("evacuate/north", ""));
-        topic.receive(record("evacuate/north", "{}"));
-        topic.receive(record("evacuate/north", ""));
-        topic.receive(record("evacuate/north", ""));
-        assertEquals(EvacuatedHalls.NONE, topic.getEvacuatedHalls());
+        receiver.receive(record("evacuate/north", ""));
+        receiver.receive(record("evacuate/north", "{}"));
+        receiver.receive(record("evacuate/north", ""));
+        receiver.receive(record("evacuate/north", ""));
+        assertEquals(EvacuatedHalls.NONE, receiver.getEvacuatedHalls());
     }
 
-    /** The record of the removal was dropped with the history, so nothing else tells of it. */
+    /** The record of the removal was dropped, so that only the missing key shows it. */
     @Test
     public void aHallMissingFromTheNewestRecordsIsInUse() {
-        topic.receive(record("evacuate/north", "{}"));
-        topic.receiveNewest(List.of(record("evacuate/south", "{}")));
-        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuatedHalls());
+        receiver.receive(record("evacuate/north", "{}"));
+        receiver.receiveNewest(List.of(record("evacuate/south", "{}")));
+        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), receiver.getEvacuatedHalls());
     }
 
     @Test
     public void malformedRecordsAreSkipped() {
-        topic.receiveNewest(
+        receiver.receiveNewest(
                 List.of(
                         record("evacuate/", "{}"),
                         record("config", "{\"version\":[oops"),
                         record("evacuate/North Hall", "{}"),
                         record("evacuate/south", "{}"),
                         record("config", "{\"version\":3}")));
-        topic.receive(record("evacuate/No Hall", "{}"));
-        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), topic.getEvacuatedHalls());
+        receiver.receive(record("evacuate/No Hall", "{}"));
+        assertEquals(EvacuatedHalls.of(List.of(SOUTH)), receiver.getEvacuatedHalls());
         assertEquals(List.of(3L), configurations.stream().map(Configuration::version).toList());
     }
 
     @Test
     public void recordsWithOtherKeysAreIgnored() {
-        topic.receive(record("wave/1", "{}"));
-        topic.receive(record("evacuated/north", "{}"));
-        assertEquals(EvacuatedHalls.NONE, topic.getEvacuatedHalls());
+        receiver.receive(record("wave/1", "{}"));
+        receiver.receive(record("evacuated/north", "{}"));
+        assertEquals(EvacuatedHalls.NONE, receiver.getEvacuatedHalls());
         assertEquals(List.of(), configurations);
     }
 }
