--- a/src/main/java/org/standlink/admin/AdminApi.java
+++ b/src/main/java/org/standlink/admin/AdminApi.java
@@ -46,8 +46,8 @@
 /**
  * The HTTP API for operators, who can read the state of the system and submit signed bundles.
  *
- * <p>The status of a cell comes from its leader. If the leader is unreachable, the answer contains
- * an error for that cell and is otherwise complete.
+ * <p>The status of a cell comes from its leader. If the leader cannot be queried, the answer
+ * contains an error for that cell and is otherwise complete.
  *
  * <p>{@code AdminApi} is thread-safe.
  */
@@ -126,7 +126,7 @@
                     answer instanceof Refusal refusal ? refusal.reason() : "unexpected answer";
             return error.put("error", reason);
         } catch (CompletionException | StandlinkException | JsonProcessingException unreachable) {
-            return error.put("error", "the leader is unreachable: " + unreachable.getMessage());
+            return error.put("error", "the leader cannot be queried: " + unreachable.getMessage());
         }
     }
 
--- a/src/main/java/org/standlink/command/AbstractServerCommand.java
+++ b/src/main/java/org/standlink/command/AbstractServerCommand.java
@@ -73,7 +73,7 @@
         try {
             shutdown.run();
         } catch (Exception | Error failure) {
-            System.err.println("standlink: the shutdown failed: " + failure);
+            System.err.println("standlink: shutdown failed: " + failure);
         }
     }
 }
--- a/src/main/java/org/standlink/command/BenchCommand.java
+++ b/src/main/java/org/standlink/command/BenchCommand.java
@@ -56,18 +56,18 @@
     @Override
     public int run() throws Exception {
         switch (kind) {
-            case DECISIONS -> decisions();
-            case ROUTING -> routing();
+            case DECISIONS -> runDecisions();
+            case ROUTING -> runRouting();
             case PLACEMENT ->
                     List.of(11, 32, 3100)
                             .forEach(workers -> System.out.println(PlacementCost.measure(workers)));
-            case SLOPES -> slopes();
+            case SLOPES -> runSlopes();
             default -> new PathBenchmark().run().forEach(System.out::println);
         }
         return 0;
     }
 
-    private void decisions() {
+    private void runDecisions() {
         for (Scenario scenario : List.of(Scenario.THROUGHPUT, Scenario.LATENCY, Scenario.NOISY)) {
             System.out.println(scenario.name() + ", seed " + seed);
             for (Strategy.Kind strategy : Strategy.Kind.values()) {
@@ -78,7 +78,7 @@
         }
     }
 
-    private void routing() {
+    private void runRouting() {
         System.out.println(new RoutingBenchmark(new RoundRobinRouting(), null).run("round robin"));
         System.out.println(
                 new RoutingBenchmark(new RoundRobinRouting(), new OutlierDetector())
@@ -91,7 +91,7 @@
                         .run("two choices, ejection"));
     }
 
-    private static void slopes() {
+    private static void runSlopes() {
         MarginalCost.measure().forEach(System.out::println);
         System.out.println(MarginalCost.measureLeader(11, 24));
         System.out.println(MarginalCost.measureLeader(32, 24));
--- a/src/main/java/org/standlink/command/ExplainCommand.java
+++ b/src/main/java/org/standlink/command/ExplainCommand.java
@@ -42,7 +42,7 @@
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The fields that are not listed behind the event. */
+    /** The fields that are not listed after the event. */
     private static final Set<String> UNLISTED_FIELDS = Set.of("time", "level", "source", "event");
 
     @Argument(index = 0, required = true, metaVar = "JOB", usage = "the job's identifier")
--- a/src/main/java/org/standlink/command/LogSetup.java
+++ b/src/main/java/org/standlink/command/LogSetup.java
@@ -48,17 +48,17 @@
     /**
      * Sets up the log.
      *
-     * @param form the format of a line
+     * @param format the format of a line
      * @param process the name of the process in log lines
      */
-    static void apply(Format form, String process) {
+    static void apply(Format format, String process) {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
             root.removeHandler(handler);
         }
         ConsoleHandler handler = new ConsoleHandler();
         handler.setFormatter(
-                form == Format.JSON ? new JsonFormatter(process) : new TextFormatter(process));
+                format == Format.JSON ? new JsonFormatter(process) : new TextFormatter(process));
         root.addHandler(handler);
     }
 
--- a/src/main/java/org/standlink/command/Main.java
+++ b/src/main/java/org/standlink/command/Main.java
@@ -170,7 +170,9 @@
                 "stand-in load",
                 new Subcommand("send and check requests", StandInLoadCommand::new));
         all.put("stand-in ports", new Subcommand("print free ports", StandInPortsCommand::new));
-        all.put("bench", new Subcommand("run a benchmark of the documentation", BenchCommand::new));
+        all.put(
+                "bench",
+                new Subcommand("run a benchmark quoted in the documentation", BenchCommand::new));
         return all;
     }
 }
--- a/src/main/java/org/standlink/command/OperatorTopicReceiver.java
+++ b/src/main/java/org/standlink/command/OperatorTopicReceiver.java
@@ -76,7 +76,7 @@
             decode(record, () -> ConfigurationFormat.decode(record))
                     .ifPresent(configurationReceiver);
         }
-        // A key that is missing here was removed, even if the records of that were dropped.
+        // A key that is missing here was removed, even if the record of its removal was dropped.
         List<HallId> halls =
                 records.stream()
                         .map(record -> decode(record, () -> EvacuationFormat.decode(record)))
--- a/src/main/java/org/standlink/command/PlatformAgentCommand.java
+++ b/src/main/java/org/standlink/command/PlatformAgentCommand.java
@@ -113,7 +113,7 @@
                         leader,
                         this::getEvacuatedHalls);
         operatorTopic = new OperatorTopicReceiver(leadership::offerConfiguration);
-        // Starts to read before the servers are created, which takes about half of the start-up.
+        // Reading starts first, since creating the servers takes about half of the start-up.
         context.followOperatorTopic(operatorTopic);
         claimFollower =
                 context.followClaims(claim -> handleClaim(claim, candidate, leadership, context));
--- a/src/main/java/org/standlink/command/PlatformContext.java
+++ b/src/main/java/org/standlink/command/PlatformContext.java
@@ -71,10 +71,10 @@
     /**
      * Follows the topic of the operator.
      *
-     * @param operator receives the records
+     * @param receiver receives the records
      */
-    void followOperatorTopic(OperatorTopicReceiver operator) {
-        follow(Topic.OPERATOR, operator);
+    void followOperatorTopic(OperatorTopicReceiver receiver) {
+        follow(Topic.OPERATOR, receiver);
     }
 
     /**
--- a/src/main/java/org/standlink/command/PlatformEntryCommand.java
+++ b/src/main/java/org/standlink/command/PlatformEntryCommand.java
@@ -61,7 +61,7 @@
                         (connection, call, message) -> {},
                         context.getClock());
         JobGateway gateway = new JobGateway(leader, context.getClock(), context.getRegistry());
-        // Starts to read before the servers are created, which takes about half of the start-up.
+        // Reading starts first, since creating the servers takes about half of the start-up.
         context.followOperatorTopic(new OperatorTopicReceiver(gateway::offer));
         context.followClaims(claim -> applyClaim(leader, claim));
         ConnectionDrain drain = new ConnectionDrain(context.getClock());
@@ -101,7 +101,7 @@
                 TimeUnit.MILLISECONDS::sleep,
                 arrivals,
                 () -> LOG.info("stopped").with("in-progress", drain.getInProgress()).write());
-        // A request that arrives during the JDK's orderly exit would be left unanswered.
+        // Halts, since a request that arrives during the JDK's orderly exit would stay unanswered.
         Runtime.getRuntime().halt(ProcessEnd.getExitCode());
     }
 }
--- a/src/main/java/org/standlink/command/PlatformRehearseCommand.java
+++ b/src/main/java/org/standlink/command/PlatformRehearseCommand.java
@@ -37,7 +37,8 @@
  * seconds, loads all other classes and exits, so that the JVM can write a class archive.
  *
  * <p>Archived classes need not be read from the jar and verified when a process restarts after a
- * loss of power. On half a core, that takes longer than the rest of the start-up.
+ * loss of power. On half a core, reading and verifying them takes longer than the rest of the
+ * start-up.
  */
 final class PlatformRehearseCommand implements Command {
 
@@ -53,7 +54,7 @@
     /** The pause before each attempt or query, in milliseconds. */
     private static final long PAUSE_MILLIS = 100;
 
-    /** The number of queries of the job states: for 4 s, in which all jobs end. */
+    /** The number of queries of the job states; they take 4 s, by which time all jobs end. */
     private static final int STATE_QUERIES = 40;
 
     /** A job that ends by itself. */
@@ -92,16 +93,16 @@
                 "agent",
                 common
                         + "\"leaseMillis\":6000,\"statusSeconds\":120,"
-                        + field("listen", findFreeAddress())
-                        + field("heartbeats", heartbeatsAddress)
+                        + jsonField("listen", findFreeAddress())
+                        + jsonField("heartbeats", heartbeatsAddress)
                         + "\"metrics\":\""
                         + metricsAddress
                         + "\"}");
         launch(
                 "entry",
                 common
-                        + field("callers", callersAddress)
-                        + field("ready", readyAddress)
+                        + jsonField("callers", callersAddress)
+                        + jsonField("ready", readyAddress)
                         + "\"metrics\":\""
                         + findFreeAddress()
                         + "\"}");
@@ -150,7 +151,7 @@
         threads.execute(() -> Main.run(arguments, System.out, System.err));
     }
 
-    private static String field(String name, String value) {
+    private static String jsonField(String name, String value) {
         return "\"" + name + "\":\"" + value + "\",";
     }
 
--- a/src/main/java/org/standlink/command/PlatformSettings.java
+++ b/src/main/java/org/standlink/command/PlatformSettings.java
@@ -34,8 +34,8 @@
  * @param callers where callers connect; null for an agent
  * @param ready where the balancer queries the readiness; null for an agent
  * @param heartbeats where the worker sends heartbeats; null for an entry
- * @param leaseMillis how long workers keep their runs without a message, in milliseconds; 0 for an
- *     entry
+ * @param leaseMillis how long workers keep their runs without a message from the leader, in
+ *     milliseconds; 0 for an entry
  * @param statusMillis how long the state of a final job is retained, in milliseconds; 0 for an
  *     entry
  * @param graceMillis how long a planned stop may take, in milliseconds
--- a/src/main/java/org/standlink/command/ProgramClasses.java
+++ b/src/main/java/org/standlink/command/ProgramClasses.java
@@ -30,7 +30,7 @@
  * may destroy: a class that is needed for the first time after that could not be read.
  *
  * <p>The class archive contains all classes of the jar. For classes that the archive may lack, the
- * class loader keeps the jar open from the start on.
+ * class loader keeps the jar open from the start.
  *
  * <p>{@code ProgramClasses} is thread-safe and immutable.
  */
--- a/src/main/java/org/standlink/command/StatusCommand.java
+++ b/src/main/java/org/standlink/command/StatusCommand.java
@@ -29,7 +29,10 @@
 import org.standlink.StandlinkException;
 import org.standlink.json.Addresses;
 
-/** {@code standlink status}: shows cells, workers and tasks; waits for a state on request. */
+/**
+ * {@code standlink status}: shows cells, workers and tasks; can wait for a version of the bundle to
+ * be in force or for the tasks to be finished.
+ */
 final class StatusCommand implements Command {
 
     /** The interval between two queries while waiting, in milliseconds. */
--- a/src/main/java/org/standlink/command/StatusView.java
+++ b/src/main/java/org/standlink/command/StatusView.java
@@ -21,7 +21,7 @@
 import java.util.List;
 
 /**
- * A status from the admin API, with the checks and the output of {@code standlink status}.
+ * Evaluates and prints a status that the admin API returned.
  *
  * <p>{@code StatusView} is thread-safe and immutable.
  */
--- a/src/test/java/org/standlink/command/TestOperatorTopicReceiver.java
+++ b/src/test/java/org/standlink/command/TestOperatorTopicReceiver.java
@@ -60,7 +60,7 @@
         assertEquals(EvacuatedHalls.NONE, receiver.getEvacuatedHalls());
     }
 
-    /** The record of the removal was dropped, so that only the missing key shows it. */
+    /** The record of the removal was dropped from the history; only the missing key shows it. */
     @Test
     public void aHallMissingFromTheNewestRecordsIsInUse() {
         receiver.receive(record("evacuate/north", "{}"));
