--- a/src/main/java/org/standlink/command/BenchCommand.java
+++ b/src/main/java/org/standlink/command/BenchCommand.java
@@ -30,46 +30,44 @@
 import org.standlink.policy.RoundRobinRouting;
 import org.standlink.policy.TwoChoicesRouting;
 
-/** {@code standlink bench}: repeats a measurement that the docs quote. */
+/** {@code standlink bench}: runs a benchmark whose results are quoted in the documentation. */
 final class BenchCommand implements Command {
 
-    /** The measurements. */
+    /** The benchmarks. */
     enum Kind {
-        /** Services, batch work and evictions under each strategy. */
+        /** The services, batch work and evictions under each strategy. */
         DECISIONS,
-        /** Routing with a slow and a failing upstream. */
+        /** The routing with a slow and a failing upstream. */
         ROUTING,
-        /** Placement decisions a second. */
+        /** The number of placement decisions per second. */
         PLACEMENT,
-        /** Bytes, processor time and memory of one more of each thing. */
+        /** The bytes, processor time and memory that one more task, worker, job or record takes. */
         SLOPES,
-        /** The path of a request against direct calls. */
+        /** The path of a request compared with direct calls. */
         PATH
     }
 
-    /** The measurement. */
-    @Argument(required = true, metaVar = "KIND", usage = "what to measure")
+    @Argument(required = true, metaVar = "KIND", usage = "the benchmark to run")
     private Kind kind;
 
-    /** The seed. */
     @Option(name = "--seed", metaVar = "N", usage = "seed of the traces (default: 1)")
     private long seed = 1;
 
     @Override
     public int run() throws Exception {
         switch (kind) {
-            case DECISIONS -> decisions();
-            case ROUTING -> routing();
+            case DECISIONS -> runDecisions();
+            case ROUTING -> runRouting();
             case PLACEMENT ->
                     List.of(11, 32, 3100)
                             .forEach(workers -> System.out.println(PlacementCost.measure(workers)));
-            case SLOPES -> slopes();
+            case SLOPES -> runSlopes();
             default -> new PathBenchmark().run().forEach(System.out::println);
         }
         return 0;
     }
 
-    private void decisions() {
+    private void runDecisions() {
         for (Scenario scenario : List.of(Scenario.THROUGHPUT, Scenario.LATENCY, Scenario.NOISY)) {
             System.out.println(scenario.name() + ", seed " + seed);
             for (Strategy.Kind strategy : Strategy.Kind.values()) {
@@ -80,7 +78,7 @@
         }
     }
 
-    private void routing() {
+    private void runRouting() {
         System.out.println(new RoutingBenchmark(new RoundRobinRouting(), null).run("round robin"));
         System.out.println(
                 new RoutingBenchmark(new RoundRobinRouting(), new OutlierDetector())
@@ -93,7 +91,7 @@
                         .run("two choices, ejection"));
     }
 
-    private static void slopes() {
+    private static void runSlopes() {
         MarginalCost.measure().forEach(System.out::println);
         System.out.println(MarginalCost.measureLeader(11, 24));
         System.out.println(MarginalCost.measureLeader(32, 24));
