--- a/src/main/java/org/standlink/bundle/Bundle.java
+++ b/src/main/java/org/standlink/bundle/Bundle.java
@@ -27,19 +27,19 @@
 import org.standlink.VmId;
 
 /**
- * Everything that operators say at one version.
+ * One version of the operators' configuration.
  *
  * <p>{@code Bundle} is thread-safe and immutable.
  *
- * @param version the version
- * @param base the version it was written against
+ * @param version the version of this bundle
+ * @param base the version that this bundle replaces
  * @param services the services
  * @param jobs the jobs
  * @param cells the cells with their workers
  * @param teams the teams
  * @param rules the placement rules
  * @param operators the operators
- * @param weights what is weighed in decisions
+ * @param weights the weights of the objectives in scheduling decisions
  * @param hallDistances the one-way latency between halls
  */
 public record Bundle(
@@ -132,9 +132,9 @@
     /**
      * Gets the one-way latency between two halls.
      *
-     * @param from a hall
-     * @param to a hall
-     * @return the latency in microseconds, 0 within a hall or if not given
+     * @param from one hall
+     * @param to the other hall
+     * @return the latency in microseconds, 0 within a hall or if the bundle does not give it
      */
     public long getDistanceMicros(HallId from, HallId to) {
         return hallDistances.stream()
--- a/src/main/java/org/standlink/bundle/BundleChecker.java
+++ b/src/main/java/org/standlink/bundle/BundleChecker.java
@@ -29,48 +29,41 @@
 import org.standlink.json.ValidationErrors;
 
 /**
- * Checks what the parts of a bundle say about each other.
+ * Checks the references and the constraints between the parts of a bundle.
  *
- * <p>{@code BundleChecker} is mutable and not thread-safe; use {@link #check} for each bundle.
+ * <p>{@code BundleChecker} is mutable and not thread-safe; {@link #check} creates one for each
+ * bundle.
  */
 final class BundleChecker {
 
-    /** The most workers of one cell, which bounds what its leader carries. */
+    /** The largest number of workers in a cell, which bounds the load of its leader. */
     static final int MAX_WORKERS_PER_CELL = 32;
 
-    /** The fewest operators: one writes, another signs off. */
-    private static final int FEWEST_OPERATORS = 2;
+    /** The smallest number of operators: one writes a bundle and another one signs it off. */
+    private static final int MIN_OPERATORS = 2;
 
-    /** Methods that HTTP libraries repeat on their own after a lost connection. */
-    private static final Set<String> REPEATED_BY_LIBRARIES = Set.of("GET", "HEAD");
+    /** Methods that HTTP client libraries retry on their own after a lost connection. */
+    private static final Set<String> METHODS_RETRIED_BY_CLIENTS = Set.of("GET", "HEAD");
 
-    /** The bundle. */
     private final Bundle bundle;
 
-    /** Where faults go. */
-    private final ValidationErrors faults;
+    private final ValidationErrors errors;
 
-    /**
-     * Constructor.
-     *
-     * @param bundle the bundle
-     * @param faults where faults go
-     */
-    private BundleChecker(Bundle bundle, ValidationErrors faults) {
+    private BundleChecker(Bundle bundle, ValidationErrors errors) {
         this.bundle = bundle;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     /**
-     * Checks a bundle.
+     * Checks a bundle and collects all errors.
      *
      * @param bundle the bundle
-     * @param faults where faults go
+     * @param errors receives the errors
      */
-    static void check(Bundle bundle, ValidationErrors faults) {
-        BundleChecker checker = new BundleChecker(bundle, faults);
+    static void check(Bundle bundle, ValidationErrors errors) {
+        BundleChecker checker = new BundleChecker(bundle, errors);
         checker.checkVersion();
-        checker.checkUnique();
+        checker.checkIds();
         checker.checkServices();
         checker.checkJobs();
         checker.checkCells();
@@ -80,41 +73,44 @@
     // -----------------------------------------------------------------------
     private void checkVersion() {
         if (!bundle.version().equals(bundle.base().next())) {
-            faults.add(
+            errors.add(
                     "version",
                     bundle.version() + " does not follow base " + bundle.base(),
                     "use " + bundle.base().next());
         }
-        if (bundle.operators().size() < FEWEST_OPERATORS) {
-            faults.add("operators", "fewer than two", "name one to write and one to sign off");
+        if (bundle.operators().size() < MIN_OPERATORS) {
+            errors.add(
+                    "operators",
+                    "fewer than two",
+                    "name one operator to write bundles and one to sign them off");
         }
         for (int i = 0; i < bundle.operators().size(); i++) {
             String key = bundle.operators().get(i).publicKey();
             if (!BundleSigner.isPublicKey(key)) {
-                faults.add(
+                errors.add(
                         "operators[" + i + "].publicKey",
                         "'" + key + "' is not an Ed25519 public key",
-                        "make one with 'standlink keys'");
+                        "create one with 'standlink keys'");
             }
         }
     }
 
-    private void checkUnique() {
-        unique("services", bundle.services(), ServiceSpecification::id);
-        unique("jobs", bundle.jobs(), JobSpecification::id);
-        unique("cells", bundle.cells(), CellSpecification::id);
-        unique("teams", bundle.teams(), TeamSpecification::id);
-        unique("operators", bundle.operators(), Operator::id);
+    private void checkIds() {
+        checkDistinct("services", bundle.services(), ServiceSpecification::id);
+        checkDistinct("jobs", bundle.jobs(), JobSpecification::id);
+        checkDistinct("cells", bundle.cells(), CellSpecification::id);
+        checkDistinct("teams", bundle.teams(), TeamSpecification::id);
+        checkDistinct("operators", bundle.operators(), Operator::id);
         List<WorkerSpecification> workers =
                 bundle.cells().stream().flatMap(cell -> cell.workers().stream()).toList();
-        unique("cells[].workers", workers, WorkerSpecification::vm);
+        checkDistinct("cells[].workers", workers, WorkerSpecification::vm);
     }
 
-    private <T> void unique(String path, List<T> values, Function<T, Object> id) {
-        Set<Object> seen = new HashSet<>();
+    private <T> void checkDistinct(String path, List<T> values, Function<T, Object> id) {
+        Set<Object> ids = new HashSet<>();
         for (T value : values) {
-            if (!seen.add(id.apply(value))) {
-                faults.add(path, "'" + id.apply(value) + "' stands twice", "remove one");
+            if (!ids.add(id.apply(value))) {
+                errors.add(path, "'" + id.apply(value) + "' is defined twice", "remove one");
             }
         }
     }
@@ -127,43 +123,43 @@
 
     private void checkService(String path, ServiceSpecification service) {
         if (service.upstreams().isEmpty()) {
-            faults.add(path + ".upstreams", "empty", "name at least one VM");
+            errors.add(path + ".upstreams", "empty", "name at least one VM");
         }
         for (VmId vm : service.upstreams()) {
             if (bundle.findWorker(vm).isEmpty()) {
-                faults.add(path + ".upstreams", "'" + vm + "' is in no cell", "add it to a cell");
+                errors.add(path + ".upstreams", "'" + vm + "' is in no cell", "add it to a cell");
             }
         }
         if (service.connections() < service.slots()) {
-            faults.add(
+            errors.add(
                     path + ".connections",
-                    service.connections() + " is below the slots",
+                    service.connections() + " is less than the number of slots",
                     "use at least " + service.slots());
         }
         if (service.classes().isEmpty()) {
-            faults.add(path + ".classes", "empty", "describe at least one class of requests");
+            errors.add(path + ".classes", "empty", "define at least one request class");
         }
         for (int i = 0; i < service.classes().size(); i++) {
             checkClass(path + ".classes[" + i + "]", service.classes().get(i));
         }
-        unique(path + ".classes", service.classes(), RequestClass::id);
+        checkDistinct(path + ".classes", service.classes(), RequestClass::id);
     }
 
     private void checkClass(String path, RequestClass requestClass) {
-        boolean repeated =
+        boolean retriedByClients =
                 requestClass.methods().isEmpty()
                         || requestClass.methods().stream()
-                                .anyMatch(REPEATED_BY_LIBRARIES::contains);
-        if (!requestClass.repeatable() && repeated) {
-            faults.add(
+                                .anyMatch(METHODS_RETRIED_BY_CLIENTS::contains);
+        if (!requestClass.repeatable() && retriedByClients) {
+            errors.add(
                     path + ".methods",
-                    "GET and HEAD are repeated by HTTP libraries, the class is not repeatable",
-                    "name other methods, or set repeatable to true");
+                    "HTTP client libraries retry GET and HEAD, but the class is not repeatable",
+                    "use other methods, or set repeatable to true");
         }
         if (requestClass.targetMillis() > requestClass.deadlineMillis()) {
-            faults.add(
+            errors.add(
                     path + ".targetMillis",
-                    requestClass.targetMillis() + " is above the deadline",
+                    requestClass.targetMillis() + " is greater than the deadline",
                     "use at most " + requestClass.deadlineMillis());
         }
     }
@@ -174,14 +170,16 @@
             String path = "jobs[" + i + "]";
             CellId cell = job.cell();
             if (bundle.findCell(cell).isEmpty()) {
-                faults.add(path + ".cell", "'" + cell + "' is not known", "name a cell");
+                errors.add(
+                        path + ".cell", "unknown cell '" + cell + "'", "name a cell of the bundle");
             }
             TeamId team = job.team();
             if (bundle.findTeam(team).isEmpty()) {
-                faults.add(path + ".team", "'" + team + "' is not known", "name a team");
+                errors.add(
+                        path + ".team", "unknown team '" + team + "'", "name a team of the bundle");
             }
             if (job.resources().equals(Resources.NONE)) {
-                faults.add(path + ".resources", "nothing", "declare cores or memory");
+                errors.add(path + ".resources", "empty", "declare cores or memory");
             }
         }
     }
@@ -191,7 +189,7 @@
             CellSpecification cell = bundle.cells().get(i);
             String path = "cells[" + i + "].workers";
             if (cell.workers().isEmpty() || cell.workers().size() > MAX_WORKERS_PER_CELL) {
-                faults.add(
+                errors.add(
                         path,
                         cell.workers().size() + " workers",
                         "use 1 to " + MAX_WORKERS_PER_CELL);
@@ -210,13 +208,13 @@
             }
         }
         if (!reserved.fitsIn(worker.capacity())) {
-            faults.add(
+            errors.add(
                     path,
-                    "services reserve more than '" + worker.vm() + "' has",
+                    "services reserve more than the capacity of '" + worker.vm() + "'",
                     "lower their reserved resources or move one");
         }
         if (!worker.address().matches("[^:]+:[0-9]{1,5}")) {
-            faults.add(path, "address '" + worker.address() + "' is wrong", "use host:port");
+            errors.add(path, "malformed address '" + worker.address() + "'", "use host:port");
         }
     }
 
@@ -228,19 +226,22 @@
             String path = "rules[" + i + "]";
             JobId job = rule.job();
             if (bundle.findJob(job).isEmpty()) {
-                faults.add(path + ".job", "'" + job + "' is not known", "name a job");
+                errors.add(path + ".job", "unknown job '" + job + "'", "name a job of the bundle");
             }
             for (HallId hall : rule.halls()) {
                 if (!halls.contains(hall)) {
-                    faults.add(path + ".halls", "'" + hall + "' is not known", "name a hall");
+                    errors.add(
+                            path + ".halls",
+                            "unknown hall '" + hall + "'",
+                            "name a hall of a worker");
                 }
             }
             for (ServiceId service : rule.avoidServices()) {
                 if (bundle.findService(service).isEmpty()) {
-                    faults.add(
+                    errors.add(
                             path + ".avoidServices",
-                            "'" + service + "' is not known",
-                            "name a service");
+                            "unknown service '" + service + "'",
+                            "name a service of the bundle");
                 }
             }
         }
--- a/src/main/java/org/standlink/bundle/BundleFold.java
+++ b/src/main/java/org/standlink/bundle/BundleFold.java
@@ -23,18 +23,18 @@
 import org.standlink.StandlinkException;
 
 /**
- * Decides which of the published bundles are accepted, in the order of the log.
+ * Applies published bundles in the order of the log and decides which of them are accepted.
  *
- * <p>A bundle is accepted only if its base is the version in force, every check holds, and it is
- * signed by its author and by another operator. The keys are those of the version in force; the
- * first bundle is checked against its own. A version never goes down.
+ * <p>A bundle is accepted only if its base is the version in force, it is valid, and it is signed
+ * by its author and by another operator. The signatures are verified with the keys of the version
+ * in force; those of the first bundle with its own keys. The version in force never decreases.
  *
- * <p>{@code BundleFold} is mutable and not thread-safe; its owner guards it.
+ * <p>{@code BundleFold} is mutable and not thread-safe; callers must synchronize access.
  */
 public final class BundleFold {
 
-    /** The fewest signatures: the author's and another's. */
-    private static final int FEWEST_SIGNATURES = 2;
+    /** The smallest number of valid signatures: the author's and another operator's. */
+    private static final int MIN_SIGNATURES = 2;
 
     /** The bundle in force, null if none. */
     private Bundle bundle;
@@ -47,7 +47,7 @@
      *
      * @param text the signed bundle's text
      * @throws StandlinkException if it is not accepted, with code STALE_BASE, INVALID_BUNDLE or
-     *     INVALID_SIGNATURE; the version in force stays
+     *     INVALID_SIGNATURE; the bundle in force is unchanged
      */
     public void apply(String text) {
         SignedBundle signed = SignedBundle.read(text);
@@ -56,14 +56,14 @@
             throw new StandlinkException(
                     ErrorCode.STALE_BASE,
                     "base " + next.base() + " is not in force; version " + getVersion() + " won",
-                    "fetch version " + getVersion() + ", make the change there and publish again");
+                    "fetch version " + getVersion() + ", apply the change to it and publish again");
         }
         checkSignatures(signed, bundle == null ? next : bundle);
         install(next, text);
     }
 
     /**
-     * Takes over a bundle that others have accepted, if it is newer.
+     * Installs a bundle that another process has accepted, if it is newer.
      *
      * @param text the signed bundle's text
      * @return true if it is newer and now in force
@@ -122,17 +122,17 @@
                     .ifPresent(key -> valid.add(key.id()));
         }
         if (!valid.contains(signed.author())) {
-            throw invalid("no valid signature by the author '" + signed.author() + "'");
+            throw invalidSignature("no valid signature by the author '" + signed.author() + "'");
         }
-        if (valid.size() < FEWEST_SIGNATURES) {
-            throw invalid("no valid sign-off by a second operator");
+        if (valid.size() < MIN_SIGNATURES) {
+            throw invalidSignature("no valid signature by a second operator");
         }
     }
 
-    private static StandlinkException invalid(String problem) {
+    private static StandlinkException invalidSignature(String problem) {
         return new StandlinkException(
                 ErrorCode.INVALID_SIGNATURE,
                 problem,
-                "sign with 'standlink bundle sign' by two operators named in the bundle in force");
+                "have two operators of the bundle in force sign it with 'standlink bundle sign'");
     }
 }
--- a/src/main/java/org/standlink/bundle/BundleHolder.java
+++ b/src/main/java/org/standlink/bundle/BundleHolder.java
@@ -18,27 +18,26 @@
 import org.standlink.BundleVersion;
 
 /**
- * The newest accepted bundle that a process has heard of, whether from the log or from a peer.
+ * Holds the newest accepted bundle that a process has received, from the log or from a peer.
  *
- * <p>It never goes below a version it has held. It is kept apart from the fold of the log, which
- * must see records only in the log's order.
+ * <p>The version never decreases. The holder is separate from the fold of the log, which must apply
+ * records in the order of the log only.
  *
  * <p>{@code BundleHolder} is thread-safe.
  */
 public final class BundleHolder {
 
-    /** The newest bundle. */
     private final BundleFold newest = new BundleFold();
 
-    /** The bundle in force, read without a lock. */
+    /** The bundle in force; volatile, so that it is read without a lock. */
     private volatile Bundle bundle;
 
     /**
-     * Offers an accepted bundle.
+     * Installs an accepted bundle if it is newer than the one in force.
      *
-     * @param signedText the signed bundle's text, null to offer nothing
+     * @param signedText the signed bundle's text, ignored if null
      * @param version its version
-     * @return true if it is newer and now in force here
+     * @return true if it is now in force
      */
     public synchronized boolean offer(String signedText, BundleVersion version) {
         if (signedText == null || !version.isAfter(newest.getVersion())) {
@@ -64,8 +63,8 @@
      * @return the version, NONE if none
      */
     public BundleVersion getVersion() {
-        Bundle present = bundle;
-        return present == null ? BundleVersion.NONE : present.version();
+        Bundle current = bundle;
+        return current == null ? BundleVersion.NONE : current.version();
     }
 
     /**
--- a/src/main/java/org/standlink/bundle/BundleReader.java
+++ b/src/main/java/org/standlink/bundle/BundleReader.java
@@ -33,172 +33,170 @@
 import org.standlink.json.ValidationErrors;
 
 /**
- * Reads a bundle from its JSON text and checks every key.
+ * Parses and validates the JSON text of a bundle.
  *
- * <p>{@code BundleReader} is mutable and not thread-safe; use {@link #read} for each text.
+ * <p>{@code BundleReader} is thread-safe and immutable.
  */
 public final class BundleReader {
 
-    /** The greatest count or size that a bundle may name. */
-    private static final long HIGH = 1_000_000_000L;
+    /** The largest count, size or duration that a bundle may contain. */
+    private static final long MAX_QUANTITY = 1_000_000_000L;
 
-    /** The most tasks of one job. */
-    private static final long MOST_TASKS = 100_000;
+    /** The largest number of tasks in a job. */
+    private static final long MAX_TASKS_PER_JOB = 100_000;
 
-    /** The greatest priority. */
-    private static final long HIGHEST_PRIORITY = 100;
+    private static final long MAX_PRIORITY = 100;
 
-    /** The class name for jobs that name none. */
-    private static final String DEFAULT_CLASS = "default";
+    /** The batch class of jobs that name none. */
+    private static final String DEFAULT_BATCH_CLASS = "default";
 
-    /** No instances. */
     private BundleReader() {}
 
     /**
-     * Reads and checks a bundle.
+     * Parses and validates a bundle.
      *
      * @param text the JSON text
      * @return the bundle
-     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every fault
+     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every error
      */
     public static Bundle read(String text) {
-        ValidationErrors faults = new ValidationErrors();
-        Bundle bundle = read(text, faults);
-        if (faults.getErrors().isEmpty()) {
-            BundleChecker.check(bundle, faults);
+        ValidationErrors errors = new ValidationErrors();
+        Bundle bundle = read(text, errors);
+        if (errors.getErrors().isEmpty()) {
+            BundleChecker.check(bundle, errors);
         }
-        faults.throwIfAny(ErrorCode.INVALID_BUNDLE, "the bundle");
+        errors.throwIfAny(ErrorCode.INVALID_BUNDLE, "the bundle");
         return bundle;
     }
 
     // -----------------------------------------------------------------------
-    private static Bundle read(String text, ValidationErrors faults) {
-        JsonSection top = JsonSection.parse(text, faults);
+    private static Bundle read(String text, ValidationErrors errors) {
+        JsonSection top = JsonSection.parse(text, errors);
         Bundle bundle =
                 new Bundle(
-                        BundleVersion.of(top.requiredInteger("version", 1, HIGH)),
-                        BundleVersion.of(top.requiredInteger("base", 0, HIGH)),
-                        all(top, "services", BundleReader::service),
-                        all(top, "jobs", BundleReader::job),
-                        all(top, "cells", BundleReader::cell),
-                        all(top, "teams", BundleReader::team),
-                        all(top, "rules", BundleReader::rule),
-                        all(top, "operators", BundleReader::operator),
-                        weights(top.section("weights")),
-                        all(top, "hallDistances", BundleReader::distance));
+                        BundleVersion.of(top.requiredInteger("version", 1, MAX_QUANTITY)),
+                        BundleVersion.of(top.requiredInteger("base", 0, MAX_QUANTITY)),
+                        readAll(top, "services", BundleReader::readService),
+                        readAll(top, "jobs", BundleReader::readJob),
+                        readAll(top, "cells", BundleReader::readCell),
+                        readAll(top, "teams", BundleReader::readTeam),
+                        readAll(top, "rules", BundleReader::readRule),
+                        readAll(top, "operators", BundleReader::readOperator),
+                        readWeights(top.section("weights")),
+                        readAll(top, "hallDistances", BundleReader::readDistance));
         top.reportUnknownKeys();
         return bundle;
     }
 
-    private static <T> List<T> all(
-            JsonSection from, String key, java.util.function.Function<JsonSection, T> reader) {
-        return from.sections(key).stream().map(section -> one(section, reader)).toList();
+    private static <T> List<T> readAll(
+            JsonSection parent, String key, java.util.function.Function<JsonSection, T> reader) {
+        return parent.sections(key).stream().map(section -> readSection(section, reader)).toList();
     }
 
-    private static <T> T one(
+    private static <T> T readSection(
             JsonSection section, java.util.function.Function<JsonSection, T> reader) {
         T value = reader.apply(section);
         section.reportUnknownKeys();
         return value;
     }
 
-    private static ServiceSpecification service(JsonSection from) {
+    private static ServiceSpecification readService(JsonSection section) {
         return new ServiceSpecification(
-                from.requiredValue("id", ServiceId::parse),
-                from.enumValue("mode", Mode.class, Mode.OBSERVE),
-                from.requiredText("pathPrefix"),
-                from.values("upstreams", VmId::parse),
-                (int) from.integer("slots", 8, 1, 10_000),
-                (int) from.integer("connections", 64, 1, 100_000),
-                (int) from.integer("queue", 16, 0, 100_000),
-                one(from.section("reserved"), BundleReader::resources),
-                from.integer("keyWindowSeconds", 60, 1, 86_400),
-                all(from, "classes", BundleReader::requestClass));
+                section.requiredValue("id", ServiceId::parse),
+                section.enumValue("mode", Mode.class, Mode.OBSERVE),
+                section.requiredText("pathPrefix"),
+                section.values("upstreams", VmId::parse),
+                (int) section.integer("slots", 8, 1, 10_000),
+                (int) section.integer("connections", 64, 1, 100_000),
+                (int) section.integer("queue", 16, 0, 100_000),
+                readSection(section.section("reserved"), BundleReader::readResources),
+                section.integer("keyWindowSeconds", 60, 1, 86_400),
+                readAll(section, "classes", BundleReader::readRequestClass));
     }
 
-    private static RequestClass requestClass(JsonSection from) {
+    private static RequestClass readRequestClass(JsonSection section) {
         return new RequestClass(
-                from.requiredValue("id", RequestClassId::parse),
-                from.text("pathPrefix", "/"),
-                Set.copyOf(from.values("methods", String::valueOf)),
-                from.flag("repeatable", false),
-                (int) from.integer("concurrency", 64, 1, 100_000),
-                from.integer("deadlineMillis", 5000, 1, 600_000),
-                from.integer("targetMillis", 100, 1, 600_000));
+                section.requiredValue("id", RequestClassId::parse),
+                section.text("pathPrefix", "/"),
+                Set.copyOf(section.values("methods", String::valueOf)),
+                section.flag("repeatable", false),
+                (int) section.integer("concurrency", 64, 1, 100_000),
+                section.integer("deadlineMillis", 5000, 1, 600_000),
+                section.integer("targetMillis", 100, 1, 600_000));
     }
 
-    private static JobSpecification job(JsonSection from) {
-        JobId id = from.requiredValue("id", JobId::parse);
+    private static JobSpecification readJob(JsonSection section) {
+        JobId id = section.requiredValue("id", JobId::parse);
         return new JobSpecification(
                 id,
-                from.enumValue("mode", Mode.class, Mode.OBSERVE),
-                from.requiredValue("team", TeamId::parse),
-                from.requiredValue("cell", CellId::parse),
-                from.text("batchClass", DEFAULT_CLASS),
-                (int) from.requiredInteger("tasks", 1, MOST_TASKS),
-                one(from.section("resources"), BundleReader::resources),
-                from.integer("runSeconds", 60, 1, HIGH),
-                from.enumValue("urgency", Urgency.class, Urgency.ORDINARY),
-                (int) from.integer("priority", 0, 0, HIGHEST_PRIORITY),
-                from.flag("checkpointable", false),
-                (int) from.integer("finishByHour", -1, 0, 23));
+                section.enumValue("mode", Mode.class, Mode.OBSERVE),
+                section.requiredValue("team", TeamId::parse),
+                section.requiredValue("cell", CellId::parse),
+                section.text("batchClass", DEFAULT_BATCH_CLASS),
+                (int) section.requiredInteger("tasks", 1, MAX_TASKS_PER_JOB),
+                readSection(section.section("resources"), BundleReader::readResources),
+                section.integer("runSeconds", 60, 1, MAX_QUANTITY),
+                section.enumValue("urgency", Urgency.class, Urgency.ORDINARY),
+                (int) section.integer("priority", 0, 0, MAX_PRIORITY),
+                section.flag("checkpointable", false),
+                (int) section.integer("finishByHour", -1, 0, 23));
     }
 
-    private static Resources resources(JsonSection from) {
+    private static Resources readResources(JsonSection section) {
         return Resources.ofCores(
-                from.decimal("cores", 0, 0, HIGH),
-                from.integer("memoryMegabytes", 0, 0, HIGH),
-                from.integer("accelerators", 0, 0, HIGH));
+                section.decimal("cores", 0, 0, MAX_QUANTITY),
+                section.integer("memoryMegabytes", 0, 0, MAX_QUANTITY),
+                section.integer("accelerators", 0, 0, MAX_QUANTITY));
     }
 
-    private static CellSpecification cell(JsonSection from) {
+    private static CellSpecification readCell(JsonSection section) {
         return new CellSpecification(
-                from.requiredValue("id", CellId::parse),
-                all(from, "workers", BundleReader::worker));
+                section.requiredValue("id", CellId::parse),
+                readAll(section, "workers", BundleReader::readWorker));
     }
 
-    private static WorkerSpecification worker(JsonSection from) {
+    private static WorkerSpecification readWorker(JsonSection section) {
         return new WorkerSpecification(
-                from.requiredValue("vm", VmId::parse),
-                from.requiredText("address"),
-                from.requiredValue("hall", HallId::parse),
-                from.requiredValue("rack", RackId::parse),
-                one(from.section("capacity"), BundleReader::resources));
+                section.requiredValue("vm", VmId::parse),
+                section.requiredText("address"),
+                section.requiredValue("hall", HallId::parse),
+                section.requiredValue("rack", RackId::parse),
+                readSection(section.section("capacity"), BundleReader::readResources));
     }
 
-    private static TeamSpecification team(JsonSection from) {
+    private static TeamSpecification readTeam(JsonSection section) {
         return new TeamSpecification(
-                from.requiredValue("id", TeamId::parse),
-                one(from.section("quota"), BundleReader::resources),
-                (int) from.integer("concurrency", 256, 1, 100_000));
+                section.requiredValue("id", TeamId::parse),
+                readSection(section.section("quota"), BundleReader::readResources),
+                (int) section.integer("concurrency", 256, 1, 100_000));
     }
 
-    private static PlacementRule rule(JsonSection from) {
+    private static PlacementRule readRule(JsonSection section) {
         return new PlacementRule(
-                from.requiredValue("job", JobId::parse),
-                from.values("halls", HallId::parse),
-                from.values("avoidServices", ServiceId::parse));
+                section.requiredValue("job", JobId::parse),
+                section.values("halls", HallId::parse),
+                section.values("avoidServices", ServiceId::parse));
     }
 
-    private static Operator operator(JsonSection from) {
+    private static Operator readOperator(JsonSection section) {
         return new Operator(
-                from.requiredValue("id", OperatorId::parse), from.requiredText("publicKey"));
+                section.requiredValue("id", OperatorId::parse), section.requiredText("publicKey"));
     }
 
-    private static Weights weights(JsonSection from) {
+    private static Weights readWeights(JsonSection section) {
         Weights weights =
                 new Weights(
-                        from.decimal("latency", 1, 0, 100),
-                        from.decimal("throughput", 1, 0, 100),
-                        from.decimal("eviction", 1, 0, 100));
-        from.reportUnknownKeys();
+                        section.decimal("latency", 1, 0, 100),
+                        section.decimal("throughput", 1, 0, 100),
+                        section.decimal("eviction", 1, 0, 100));
+        section.reportUnknownKeys();
         return weights;
     }
 
-    private static HallDistance distance(JsonSection from) {
+    private static HallDistance readDistance(JsonSection section) {
         return new HallDistance(
-                from.requiredValue("from", HallId::parse),
-                from.requiredValue("to", HallId::parse),
-                from.requiredInteger("micros", 0, HIGH));
+                section.requiredValue("from", HallId::parse),
+                section.requiredValue("to", HallId::parse),
+                section.requiredInteger("micros", 0, MAX_QUANTITY));
     }
 }
--- a/src/main/java/org/standlink/bundle/BundleSigner.java
+++ b/src/main/java/org/standlink/bundle/BundleSigner.java
@@ -31,29 +31,31 @@
 import org.standlink.StandlinkException;
 
 /**
- * Makes keys, signs bundles and checks signatures, with the JDK's Ed25519.
+ * Generates keys, signs bundles and verifies signatures with the JDK's Ed25519 implementation.
  *
  * <p>{@code BundleSigner} is thread-safe and immutable.
  */
 public final class BundleSigner {
 
-    /** The algorithm. */
     private static final String ALGORITHM = "Ed25519";
 
-    /** No instances. */
     private BundleSigner() {}
 
     /**
-     * Makes a pair of keys.
+     * Generates a key pair.
      *
-     * @return the keys
+     * @return the key pair
+     * @throws StandlinkException with code INTERNAL if the JDK does not provide Ed25519
      */
     public static KeyPair generateKeyPair() {
         try {
             return KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
-        } catch (GeneralSecurityException missing) {
+        } catch (GeneralSecurityException unavailable) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "no " + ALGORITHM, "use a full JDK 17", missing);
+                    ErrorCode.INTERNAL,
+                    ALGORITHM + " is not available",
+                    "use a full JDK 17",
+                    unavailable);
         }
     }
 
@@ -61,10 +63,10 @@
      * Signs a bundle's text.
      *
      * @param bundle the text
-     * @param operator who signs
+     * @param operator the operator who signs
      * @param privateKey the private key, PKCS#8, in Base64
      * @return the signature
-     * @throws StandlinkException with code INVALID_SIGNATURE if the key is not one
+     * @throws StandlinkException with code INVALID_SIGNATURE if the private key is malformed
      */
     public static SignedBundle.Signature sign(
             String bundle, OperatorId operator, String privateKey) {
@@ -78,51 +80,52 @@
             signature.update(bundle.getBytes(StandardCharsets.UTF_8));
             String value = Base64.getEncoder().encodeToString(signature.sign());
             return new SignedBundle.Signature(operator, value);
-        } catch (GeneralSecurityException | IllegalArgumentException wrong) {
+        } catch (GeneralSecurityException | IllegalArgumentException malformed) {
             throw new StandlinkException(
                     ErrorCode.INVALID_SIGNATURE,
                     "the private key of '" + operator + "' is not an Ed25519 key",
-                    "make one with 'standlink keys'",
-                    wrong);
+                    "create one with 'standlink keys'",
+                    malformed);
         }
     }
 
     /**
-     * Checks a signature.
+     * Verifies a signature.
      *
      * @param bundle the text
      * @param signature the signature
      * @param publicKey the public key, X.509, in Base64
-     * @return true if the signature is the key's over the text
+     * @return true if the signature is valid for the text and the key, false otherwise or if either
+     *     is malformed
      */
     public static boolean isValid(
             String bundle, SignedBundle.Signature signature, String publicKey) {
         try {
             Signature verifier = Signature.getInstance(ALGORITHM);
-            verifier.initVerify(publicKey(publicKey));
+            verifier.initVerify(decodePublicKey(publicKey));
             verifier.update(bundle.getBytes(StandardCharsets.UTF_8));
             return verifier.verify(Base64.getDecoder().decode(signature.value()));
-        } catch (GeneralSecurityException | IllegalArgumentException wrong) {
+        } catch (GeneralSecurityException | IllegalArgumentException malformed) {
             return false;
         }
     }
 
     /**
-     * Checks whether a text is a public key.
+     * Checks whether a text is a valid public key.
      *
      * @param text the text
      * @return true if it is an Ed25519 public key, X.509, in Base64
      */
     static boolean isPublicKey(String text) {
         try {
-            publicKey(text);
+            decodePublicKey(text);
             return true;
-        } catch (GeneralSecurityException | IllegalArgumentException wrong) {
+        } catch (GeneralSecurityException | IllegalArgumentException malformed) {
             return false;
         }
     }
 
-    private static PublicKey publicKey(String text) throws GeneralSecurityException {
+    private static PublicKey decodePublicKey(String text) throws GeneralSecurityException {
         byte[] encoded = Base64.getDecoder().decode(text);
         return KeyFactory.getInstance(ALGORITHM).generatePublic(new X509EncodedKeySpec(encoded));
     }
--- a/src/main/java/org/standlink/bundle/CellSpecification.java
+++ b/src/main/java/org/standlink/bundle/CellSpecification.java
@@ -19,7 +19,7 @@
 import org.standlink.CellId;
 
 /**
- * A cell: the workers that one leader looks after.
+ * A cell: a set of workers that one leader manages.
  *
  * <p>{@code CellSpecification} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/bundle/HallDistance.java
+++ b/src/main/java/org/standlink/bundle/HallDistance.java
@@ -22,17 +22,17 @@
  *
  * <p>{@code HallDistance} is thread-safe and immutable.
  *
- * @param from a hall
- * @param to another hall
+ * @param from one hall
+ * @param to the other hall
  * @param micros the latency, in microseconds
  */
 public record HallDistance(HallId from, HallId to, long micros) {
 
     /**
-     * Checks whether this is the distance between two halls, in either order.
+     * Checks whether this is the distance between two halls, in either direction.
      *
-     * @param first a hall
-     * @param second a hall
+     * @param first one hall
+     * @param second the other hall
      * @return true if it is
      */
     public boolean isBetween(HallId first, HallId second) {
--- a/src/main/java/org/standlink/bundle/JobSpecification.java
+++ b/src/main/java/org/standlink/bundle/JobSpecification.java
@@ -26,17 +26,17 @@
  * <p>{@code JobSpecification} is thread-safe and immutable.
  *
  * @param id the job
- * @param mode how far standlink goes with it
- * @param team whose quota it uses
- * @param cell where it runs
+ * @param mode whether standlink only observes the job or manages it
+ * @param team the team whose quota it uses
+ * @param cell the cell in which it runs
  * @param batchClass the name under which interference and sizes are learned
- * @param tasks how many tasks it has
- * @param resources the declared size of a task
+ * @param tasks the number of its tasks
+ * @param resources the declared resources of a task
  * @param runSeconds the declared run time of a task, in seconds
  * @param urgency how soon it must start
- * @param priority greater runs first among the same urgency, 0 to 100
+ * @param priority 0 to 100; a job of greater priority goes first among those of the same urgency
  * @param checkpointable whether a task can resume from a checkpoint
- * @param finishByHour the hour of the day, UTC, by which it must be done; -1 for none
+ * @param finishByHour the hour of the day, UTC, by which it must finish; -1 for none
  */
 public record JobSpecification(
         JobId id,
--- a/src/main/java/org/standlink/bundle/Mode.java
+++ b/src/main/java/org/standlink/bundle/Mode.java
@@ -15,10 +15,10 @@
  */
 package org.standlink.bundle;
 
-/** How far standlink goes with a service or job. */
+/** Whether standlink only observes a service or job or also manages it. */
 public enum Mode {
-    /** Measured, and decisions shown, but not carried out. */
+    /** Measurements are taken and decisions are shown, but not carried out. */
     OBSERVE,
-    /** Decided and carried out. */
+    /** Decisions are carried out. */
     MANAGE
 }
--- a/src/main/java/org/standlink/bundle/PlacementRule.java
+++ b/src/main/java/org/standlink/bundle/PlacementRule.java
@@ -21,12 +21,12 @@
 import org.standlink.ServiceId;
 
 /**
- * A rule on where a job may run.
+ * A constraint on the placement of a job.
  *
  * <p>{@code PlacementRule} is thread-safe and immutable.
  *
  * @param job the job
- * @param halls the only halls allowed, empty for all
+ * @param halls the permitted halls, empty for all
  * @param avoidServices services that the job must not share a VM with
  */
 public record PlacementRule(JobId job, List<HallId> halls, List<ServiceId> avoidServices) {}
--- a/src/main/java/org/standlink/bundle/RequestClass.java
+++ b/src/main/java/org/standlink/bundle/RequestClass.java
@@ -18,16 +18,16 @@
 import org.standlink.RequestClassId;
 
 /**
- * A class of requests within a service: which requests it has and how they are limited.
+ * A class of requests of a service: which requests belong to it and their limits.
  *
  * <p>{@code RequestClass} is thread-safe and immutable.
  *
  * @param id the class
- * @param pathPrefix requests whose path starts so belong to it; the longest prefix wins
+ * @param pathPrefix the prefix of the paths of its requests; the longest matching prefix wins
  * @param methods the HTTP methods that belong to it, empty for all
- * @param repeatable whether a request may run twice
- * @param concurrency how many may be in progress at one entry
- * @param deadlineMillis how long a caller waits at the most, in milliseconds
+ * @param repeatable whether a request may be run more than once
+ * @param concurrency the largest number of its requests in progress at one entry
+ * @param deadlineMillis the longest time that a caller waits, in milliseconds
  * @param targetMillis the latency target at the 99th percentile, in milliseconds
  */
 public record RequestClass(
--- a/src/main/java/org/standlink/bundle/ServiceSpecification.java
+++ b/src/main/java/org/standlink/bundle/ServiceSpecification.java
@@ -26,13 +26,13 @@
  * <p>{@code ServiceSpecification} is thread-safe and immutable.
  *
  * @param id the service
- * @param mode how far standlink goes with it
- * @param pathPrefix requests whose path starts so belong to it; the longest prefix wins
+ * @param mode whether standlink only observes the service or manages it
+ * @param pathPrefix the prefix of the paths of its requests; the longest matching prefix wins
  * @param upstreams the VMs that serve it
- * @param slots requests that one upstream runs at a time
- * @param connections connections that one upstream takes
- * @param queue requests that may wait at one upstream
- * @param reserved what the service takes of each of its VMs
+ * @param slots the number of requests that one upstream runs concurrently
+ * @param connections the number of connections that one upstream accepts
+ * @param queue the number of requests that may be queued at one upstream
+ * @param reserved the resources reserved for the service on each of its VMs
  * @param keyWindowSeconds how long answers to keyed requests are kept, in seconds
  * @param classes the classes of its requests
  */
@@ -49,7 +49,7 @@
         List<RequestClass> classes) {
 
     /**
-     * Gets a digest of the upstreams, by which an entry and an agent tell that they see the same.
+     * Gets a digest of the upstreams, by which an agent detects that an entry uses another roster.
      *
      * @return the digest, the same in every process
      */
--- a/src/main/java/org/standlink/bundle/SignedBundle.java
+++ b/src/main/java/org/standlink/bundle/SignedBundle.java
@@ -23,13 +23,13 @@
 import org.standlink.json.ValidationErrors;
 
 /**
- * A bundle's text with its author and the sign-offs.
+ * The text of a bundle with its author and its signatures.
  *
  * <p>{@code SignedBundle} is thread-safe and immutable.
  *
  * @param bundle the bundle's JSON text, exactly as signed
  * @param author the operator who wrote it
- * @param signatures the signatures, the author's among them
+ * @param signatures the signatures, including the author's
  */
 public record SignedBundle(String bundle, OperatorId author, List<Signature> signatures) {
 
@@ -42,15 +42,15 @@
     public record Signature(OperatorId operator, String value) {}
 
     /**
-     * Reads a signed bundle.
+     * Parses a signed bundle.
      *
      * @param text the JSON text
-     * @return the signed bundle, whose signatures are not checked yet
-     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every fault
+     * @return the signed bundle, whose signatures have not been verified
+     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every error
      */
     public static SignedBundle read(String text) {
-        ValidationErrors faults = new ValidationErrors();
-        JsonSection top = JsonSection.parse(text, faults);
+        ValidationErrors errors = new ValidationErrors();
+        JsonSection top = JsonSection.parse(text, errors);
         String bundle = top.requiredText("bundle");
         OperatorId author = top.requiredValue("author", OperatorId::parse);
         List<Signature> signatures = new ArrayList<>();
@@ -60,7 +60,7 @@
             section.reportUnknownKeys();
         }
         top.reportUnknownKeys();
-        faults.throwIfAny(ErrorCode.INVALID_BUNDLE, "the signed bundle");
+        errors.throwIfAny(ErrorCode.INVALID_BUNDLE, "the signed bundle");
         return new SignedBundle(bundle, author, List.copyOf(signatures));
     }
 
@@ -72,7 +72,7 @@
      */
     public SignedBundle withSignature(Signature signature) {
         List<Signature> all = new ArrayList<>(signatures);
-        all.removeIf(present -> present.operator().equals(signature.operator()));
+        all.removeIf(existing -> existing.operator().equals(signature.operator()));
         all.add(signature);
         return new SignedBundle(bundle, author, List.copyOf(all));
     }
--- a/src/main/java/org/standlink/bundle/TeamSpecification.java
+++ b/src/main/java/org/standlink/bundle/TeamSpecification.java
@@ -24,7 +24,7 @@
  * <p>{@code TeamSpecification} is thread-safe and immutable.
  *
  * @param id the team
- * @param quota what its tasks may hold in one cell
- * @param concurrency how many of its requests may be in progress at one entry
+ * @param quota the resources that its tasks may use in one cell
+ * @param concurrency the largest number of its requests in progress at one entry
  */
 public record TeamSpecification(TeamId id, Resources quota, int concurrency) {}
--- a/src/main/java/org/standlink/bundle/Urgency.java
+++ b/src/main/java/org/standlink/bundle/Urgency.java
@@ -17,8 +17,8 @@
 
 /** How soon a job must start. */
 public enum Urgency {
-    /** Goes before all others and may have ordinary work evicted. */
+    /** Takes precedence over all ordinary jobs and may evict their tasks. */
     URGENT,
-    /** Waits for room. */
+    /** Waits for free capacity. */
     ORDINARY
 }
--- a/src/main/java/org/standlink/bundle/Weights.java
+++ b/src/main/java/org/standlink/bundle/Weights.java
@@ -16,12 +16,12 @@
 package org.standlink.bundle;
 
 /**
- * What the operators weigh in decisions.
+ * The operators' weights of the objectives in scheduling decisions.
  *
  * <p>{@code Weights} is thread-safe and immutable.
  *
- * @param latency the weight of services' tail latency
- * @param throughput the weight of batch work done
- * @param eviction the weight of each eviction avoided
+ * @param latency the weight of the services' tail latency
+ * @param throughput the weight of the batch throughput
+ * @param eviction the weight of avoiding an eviction
  */
 public record Weights(double latency, double throughput, double eviction) {}
--- a/src/main/java/org/standlink/bundle/WorkerSpecification.java
+++ b/src/main/java/org/standlink/bundle/WorkerSpecification.java
@@ -29,7 +29,7 @@
  * @param address host and port of its agent
  * @param hall its hall
  * @param rack its rack
- * @param capacity what the VM has
+ * @param capacity the resources of the VM
  */
 public record WorkerSpecification(
         VmId vm, String address, HallId hall, RackId rack, Resources capacity) {}
--- a/src/main/java/org/standlink/bundle/package-info.java
+++ b/src/main/java/org/standlink/bundle/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The bundle by which operators drive standlink: its model, checks, signatures and fold.
+ * The bundle, which is the operators' configuration: its model, validation, signatures and
+ * acceptance.
  *
- * <p>A bundle is accepted by a pure fold over the log, so every process accepts the same versions.
+ * <p>Which bundles are accepted is a pure function (a fold) of the log, so every process accepts
+ * the same versions.
  */
 package org.standlink.bundle;
--- a/src/test/java/org/standlink/bundle/TestBundleFold.java
+++ b/src/test/java/org/standlink/bundle/TestBundleFold.java
@@ -28,7 +28,7 @@
 import org.standlink.ErrorCode;
 import org.standlink.StandlinkException;
 
-/** Tests which bundles are accepted. */
+/** Tests the validation and the acceptance of bundles. */
 public class TestBundleFold {
 
     @Test
@@ -43,9 +43,9 @@
     void rejectsAStaleBaseAndNamesTheVersionInForce() {
         BundleFold fold = new BundleFold();
         fold.apply(BundleFixtures.signed(BundleFixtures.bundle(1, "")));
-        String winner = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
-        fold.apply(winner);
-        StandlinkException lost =
+        String accepted = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
+        fold.apply(accepted);
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class,
                         () ->
@@ -53,9 +53,9 @@
                                         BundleFixtures.signed(
                                                 BundleFixtures.bundle(
                                                         2, BundleFixtures.SCAN_JOB))));
-        assertEquals(ErrorCode.STALE_BASE, lost.getCode());
-        assertTrue(lost.getMessage().contains("version 2 won"), lost.getMessage());
-        assertEquals(winner, fold.getSignedText());
+        assertEquals(ErrorCode.STALE_BASE, exception.getCode());
+        assertTrue(exception.getMessage().contains("version 2 won"), exception.getMessage());
+        assertEquals(accepted, fold.getSignedText());
     }
 
     @Test
@@ -70,25 +70,25 @@
     @Test
     void requiresASecondSignature() {
         BundleFold fold = new BundleFold();
-        StandlinkException refused =
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class,
                         () ->
                                 fold.apply(
                                         BundleFixtures.signedByAuthor(
                                                 BundleFixtures.bundle(1, ""))));
-        assertEquals(ErrorCode.INVALID_SIGNATURE, refused.getCode());
+        assertEquals(ErrorCode.INVALID_SIGNATURE, exception.getCode());
     }
 
     @Test
     void rejectsAModifiedBundle() {
         BundleFold fold = new BundleFold();
-        String changed =
+        String modified =
                 BundleFixtures.signed(BundleFixtures.bundle(1, ""))
                         .replace("\\\"queue\\\":2", "\\\"queue\\\":3");
-        StandlinkException refused =
-                assertThrows(StandlinkException.class, () -> fold.apply(changed));
-        assertEquals(ErrorCode.INVALID_SIGNATURE, refused.getCode());
+        StandlinkException exception =
+                assertThrows(StandlinkException.class, () -> fold.apply(modified));
+        assertEquals(ErrorCode.INVALID_SIGNATURE, exception.getCode());
     }
 
     @Test
@@ -116,16 +116,16 @@
                 "\"cores\":2,\"memoryMegabytes\":1000},\"keyW | \"cores\":9,\"memoryMegabytes\":1000},\"keyW | reserve more",
                 "\"base\":0 | \"base\":1 | version: 1 does not follow base 1",
                 "\"id\":\"one\" | \"id\":\"One\" | cells[0].id",
-                "\"id\":\"ivo\" | \"id\":\"ana\" | operators: 'ana' stands twice",
+                "\"id\":\"ivo\" | \"id\":\"ana\" | operators: 'ana' is defined twice",
             })
     void reportsPathAndProblemOfEachError(String good, String bad, String expected) {
         String text = BundleFixtures.bundle(1, "");
         assertTrue(text.contains(good), good);
-        StandlinkException faults =
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class, () -> BundleReader.read(text.replace(good, bad)));
-        assertEquals(ErrorCode.INVALID_BUNDLE, faults.getCode());
-        assertTrue(faults.getMessage().contains(expected), faults.getMessage());
+        assertEquals(ErrorCode.INVALID_BUNDLE, exception.getCode());
+        assertTrue(exception.getMessage().contains(expected), exception.getMessage());
     }
 
     @Test
@@ -134,8 +134,8 @@
                 BundleFixtures.bundle(1, "")
                         .replace("\"slots\":2", "\"slots\":0")
                         .replace("\"queue\":2", "\"queue\":-1");
-        StandlinkException faults =
+        StandlinkException exception =
                 assertThrows(StandlinkException.class, () -> BundleReader.read(text));
-        assertTrue(faults.getMessage().contains("2 fault(s)"), faults.getMessage());
+        assertTrue(exception.getMessage().contains("2 fault(s)"), exception.getMessage());
     }
 }
