--- a/src/main/java/org/standlink/benchmark/BenchmarkBundles.java
+++ b/src/main/java/org/standlink/benchmark/BenchmarkBundles.java
@@ -25,20 +25,19 @@
 import org.standlink.bundle.SignedBundle;
 
 /**
- * Makes signed bundles for measurements.
+ * Creates signed bundles for benchmarks.
  *
  * <p>{@code BenchmarkBundles} is thread-safe and immutable.
  */
 final class BenchmarkBundles {
 
-    /** No instances. */
     private BenchmarkBundles() {}
 
     /**
-     * Makes a bundle of one cell that is filled by one job of one-core tasks.
+     * Creates a bundle of one cell that is filled by one job of one-core tasks.
      *
-     * @param workers the workers
-     * @param tasks the tasks on each, and its processors
+     * @param workers the number of workers
+     * @param tasks the number of tasks on each worker, which is also its number of cores
      * @return the signed text
      */
     static String createFullCell(int workers, int tasks) {
@@ -48,27 +47,27 @@
                 .append(",\"resources\":{\"cores\":1,\"memoryMegabytes\":10}}],")
                 .append("\"cells\":[{\"id\":\"one\",\"workers\":[");
         for (int i = 0; i < workers; i++) {
-            text.append(i == 0 ? "" : ",").append(worker("vm-" + i, "10.0.0.1:7100", tasks));
+            text.append(i == 0 ? "" : ",").append(createWorker("vm-" + i, "10.0.0.1:7100", tasks));
         }
-        return signed(text.append("]}]").toString());
+        return createSigned(text.append("]}]").toString());
     }
 
     /**
-     * Makes a bundle of one worker with one service.
+     * Creates a bundle of one worker with one service.
      *
      * @param address the address of the agent
      * @return the signed text
      */
     static String createSingleService(String address) {
-        return signed(
+        return createSigned(
                 "\"services\":[{\"id\":\"s\",\"mode\":\"manage\",\"pathPrefix\":\"/\","
                         + "\"upstreams\":[\"vm-1\"],\"classes\":[{\"id\":\"push\","
                         + "\"methods\":[\"POST\"]}]}],\"cells\":[{\"id\":\"one\",\"workers\":["
-                        + worker("vm-1", address, 8)
+                        + createWorker("vm-1", address, 8)
                         + "]}]");
     }
 
-    private static String worker(String vm, String address, int cores) {
+    private static String createWorker(String vm, String address, int cores) {
         return "{\"vm\":\""
                 + vm
                 + "\",\"address\":\""
@@ -79,14 +78,14 @@
                 + ",\"memoryMegabytes\":125000}}";
     }
 
-    private static String signed(String parts) {
+    private static String createSigned(String parts) {
         KeyPair first = BundleSigner.generateKeyPair();
         KeyPair second = BundleSigner.generateKeyPair();
         String bundle =
                 "{\"version\":1,\"base\":0,\"teams\":[{\"id\":\"t\"}],\"operators\":["
-                        + operator("a", first)
+                        + createOperator("a", first)
                         + ","
-                        + operator("b", second)
+                        + createOperator("b", second)
                         + "],"
                         + parts
                         + "}";
@@ -101,20 +100,20 @@
         }
     }
 
-    private static String operator(String id, KeyPair keys) {
+    private static String createOperator(String id, KeyPair keys) {
         return "{\"id\":\""
                 + id
                 + "\",\"publicKey\":\""
-                + base64(keys.getPublic().getEncoded())
+                + encodeBase64(keys.getPublic().getEncoded())
                 + "\"}";
     }
 
     private static SignedBundle.Signature sign(String bundle, String operator, KeyPair keys) {
         return BundleSigner.sign(
-                bundle, OperatorId.parse(operator), base64(keys.getPrivate().getEncoded()));
+                bundle, OperatorId.parse(operator), encodeBase64(keys.getPrivate().getEncoded()));
     }
 
-    private static String base64(byte[] bytes) {
+    private static String encodeBase64(byte[] bytes) {
         return Base64.getEncoder().encodeToString(bytes);
     }
 }
--- a/src/main/java/org/standlink/benchmark/DecisionBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/DecisionBenchmark.java
@@ -44,33 +44,32 @@
 import org.standlink.policy.WorkerView;
 
 /**
- * Runs one strategy on one scenario: four hours of decisions, five seconds a step.
+ * Runs one strategy on one scenario: four hours of decisions in steps of five seconds.
  *
- * <p>What tasks really use, how long they run and how much they disturb is hidden from the
- * strategy, which sees only measurements that arrive late. It is no simulator of a cluster: nothing
- * fails and there are no messages; only the decisions are exercised.
+ * <p>The actual resource usage, run times and interference of tasks are hidden from the strategy,
+ * which sees only delayed measurements. This is not a cluster simulator: nothing fails and there
+ * are no messages; only the decisions are exercised.
  *
  * <p>{@code DecisionBenchmark} is mutable and not thread-safe; use one for each run.
  */
 public final class DecisionBenchmark {
 
-    /** The length of a step, in seconds. */
     private static final int STEP_SECONDS = 5;
 
-    /** The steps of a run: four hours. */
+    /** The number of steps in a run: four hours. */
     private static final int STEPS = 4 * 3600 / STEP_SECONDS;
 
-    /** How many steps late a measurement arrives. */
-    private static final int LAG = 3;
+    /** The delay of a measurement, in steps. */
+    private static final int MEASUREMENT_DELAY_STEPS = 3;
 
-    /** The tasks that wait at any time. */
-    private static final int WAITING = 60;
+    /** The number of tasks that are kept waiting at any time. */
+    private static final int WAITING_TASKS = 60;
 
-    /** The period of the load, in steps: one hour. */
-    private static final double PERIOD = 3600.0 / STEP_SECONDS;
+    /** The period of the service load, in steps: one hour. */
+    private static final double LOAD_PERIOD_STEPS = 3600.0 / STEP_SECONDS;
 
-    /** The load levels. */
-    private static final int LEVELS = 4;
+    /** The number of load levels. */
+    private static final int LOAD_LEVELS = 4;
 
     /** The team of all tasks. */
     private static final TeamId TEAM = TeamId.parse("team");
@@ -78,88 +77,89 @@
     /** The service on every worker. */
     private static final ServiceId SERVICE = ServiceId.parse("service");
 
-    /** What is hidden of a batch class. */
-    private record Hidden(
+    /** The actual behaviour of a batch class, which is hidden from the strategy. */
+    private record ActualBehaviour(
             String name,
             double declaredCores,
-            double realCores,
-            double seconds,
-            double[] disturbs) {}
+            double actualCores,
+            double meanRunSeconds,
+            double[] latencyIncreases) {}
 
-    /** A task that runs. */
-    private static final class Running {
+    /** A running task. */
+    private static final class ActiveTask {
 
         private final TaskDemand demand;
 
-        private final Hidden hidden;
+        private final ActualBehaviour behaviour;
 
         private final Resources granted;
 
         private final int worker;
 
-        private int throttle = 100;
+        private int throttlePercent = 100;
 
-        private double left;
+        private double remainingSeconds;
 
-        private Running(
-                TaskDemand demand, Hidden hidden, Resources granted, int worker, double left) {
+        private ActiveTask(
+                TaskDemand demand,
+                ActualBehaviour behaviour,
+                Resources granted,
+                int worker,
+                double remainingSeconds) {
             this.demand = demand;
-            this.hidden = hidden;
+            this.behaviour = behaviour;
             this.granted = granted;
             this.worker = worker;
-            this.left = left;
+            this.remainingSeconds = remainingSeconds;
         }
 
-        private double speed() {
-            double share = Math.min(1, granted.milliCores() / 1000.0 / hidden.realCores());
-            return share * throttle / 100.0;
+        private double getSpeed() {
+            double share = Math.min(1, granted.milliCores() / 1000.0 / behaviour.actualCores());
+            return share * throttlePercent / 100.0;
         }
     }
 
-    /** A measurement on its way. */
-    private record Late(int step, ServiceMeasurement measure, List<String> classes, int worker) {}
+    /** A measurement that the strategy receives at a later step. */
+    private record DelayedMeasurement(
+            int dueStep, ServiceMeasurement measurement, List<String> batchClasses, int worker) {}
 
-    /** The scenario. */
     private final Scenario scenario;
 
-    /** The strategy. */
     private final Strategy strategy;
 
-    /** Random numbers of the trace. */
+    /** The source of the random numbers of the trace. */
     private final Random random;
 
-    /** The batch classes. */
-    private final List<Hidden> classes = new ArrayList<>();
+    /** The behaviour of each batch class. */
+    private final List<ActualBehaviour> behaviours = new ArrayList<>();
 
-    /** The tasks that wait, with what is left of them, in seconds. */
+    /** The waiting tasks with their remaining run times at full speed, in seconds. */
     private final Map<TaskDemand, Double> waiting = new HashMap<>();
 
-    /** The class of each waiting task. */
-    private final Map<TaskDemand, Hidden> hiddenOf = new HashMap<>();
+    /** The behaviour of each waiting task. */
+    private final Map<TaskDemand, ActualBehaviour> waitingBehaviours = new HashMap<>();
 
-    /** The tasks that run. */
-    private final List<Running> running = new ArrayList<>();
+    private final List<ActiveTask> running = new ArrayList<>();
 
-    /** The measurements on their way. */
-    private final Deque<Late> late = new ArrayDeque<>();
+    /** The measurements that the strategy has not received, in the order of their steps. */
+    private final Deque<DelayedMeasurement> delayedMeasurements = new ArrayDeque<>();
 
-    /** All latencies, in percent of the target. */
+    /** The measured latencies, in percent of the target. */
     private final List<Double> latencies = new ArrayList<>();
 
-    /** The number of the last task. */
-    private int lastTask;
+    private int lastTaskNumber;
 
-    /** Batch work done, in core-seconds. */
-    private double work;
+    /** The batch work done, in core-seconds. */
+    private double coreSeconds;
 
-    /** Tasks stopped. */
+    /** The number of evicted tasks. */
     private int evictions;
 
-    /** Seconds over capacity. */
-    private int violations;
+    /** The time over capacity, summed over the workers, in seconds. */
+    private int overCapacitySeconds;
 
     /**
-     * Constructor.
+     * Creates a run.
      *
      * @param scenario the scenario
      * @param strategy the strategy, not used before
@@ -170,30 +170,36 @@
         this.strategy = strategy;
         this.random = new Random(seed);
         for (int i = 0; i < 8; i++) {
-            double real = 0.5 + random.nextDouble() * 3;
-            double[] disturbs = new double[LEVELS];
-            double loudness = i % 3 == 0 ? 18 : 2.5;
-            for (int level = 0; level < LEVELS; level++) {
-                disturbs[level] = loudness * random.nextDouble() * (level + 1) / LEVELS;
+            double actualCores = 0.5 + random.nextDouble() * 3;
+            double[] latencyIncreases = new double[LOAD_LEVELS];
+            double maxIncrease = i % 3 == 0 ? 18 : 2.5;
+            for (int level = 0; level < LOAD_LEVELS; level++) {
+                latencyIncreases[level] =
+                        maxIncrease * random.nextDouble() * (level + 1) / LOAD_LEVELS;
             }
-            double declared = Math.max(0.5, real * (0.4 + random.nextDouble() * 3));
-            classes.add(
-                    new Hidden("class-" + i, declared, real, 120 + random.nextInt(900), disturbs));
+            double declaredCores = Math.max(0.5, actualCores * (0.4 + random.nextDouble() * 3));
+            behaviours.add(
+                    new ActualBehaviour(
+                            "class-" + i,
+                            declaredCores,
+                            actualCores,
+                            120 + random.nextInt(900),
+                            latencyIncreases));
         }
     }
 
     /**
      * Runs the trace.
      *
-     * @return what the strategy achieved
+     * @return the result of the strategy
      */
     public DecisionResult run() {
         for (int step = 0; step < STEPS; step++) {
-            addWaiting();
+            fillQueue();
             plan(step);
-            advance();
+            advanceTasks();
             measure(step);
-            deliver(step);
+            deliverMeasurements(step);
         }
         double[] sorted = latencies.stream().mapToDouble(Double::doubleValue).sorted().toArray();
         long misses = Arrays.stream(sorted).filter(latency -> latency > 100).count();
@@ -201,51 +207,51 @@
                 strategy.name(),
                 100.0 * misses / sorted.length,
                 sorted[(int) (sorted.length * 0.99)],
-                work / 3600,
+                coreSeconds / 3600,
                 evictions,
-                violations);
+                overCapacitySeconds);
     }
 
     // -----------------------------------------------------------------------
-    private void addWaiting() {
-        while (waiting.size() < WAITING) {
-            Hidden hidden = classes.get(random.nextInt(classes.size()));
+    private void fillQueue() {
+        while (waiting.size() < WAITING_TASKS) {
+            ActualBehaviour behaviour = behaviours.get(random.nextInt(behaviours.size()));
             TaskDemand demand =
                     new TaskDemand(
-                            TaskId.of(JobId.parse("job-" + ++lastTask), 0),
+                            TaskId.of(JobId.parse("job-" + ++lastTaskNumber), 0),
                             TEAM,
-                            hidden.name(),
-                            Resources.ofCores(hidden.declaredCores(), 1000, 0),
+                            behaviour.name(),
+                            Resources.ofCores(behaviour.declaredCores(), 1000, 0),
                             false,
                             0,
                             -1,
                             Set.of(),
                             Set.of(),
                             Set.of());
-            waiting.put(demand, hidden.seconds() * (0.5 + random.nextDouble()));
-            hiddenOf.put(demand, hidden);
+            waiting.put(demand, behaviour.meanRunSeconds() * (0.5 + random.nextDouble()));
+            waitingBehaviours.put(demand, behaviour);
         }
     }
 
     private void plan(int step) {
         List<WorkerView> views = new ArrayList<>();
         for (int i = 0; i < scenario.workers(); i++) {
-            views.add(view(i, step));
+            views.add(createView(i, step));
         }
-        List<RunningTask> held = new ArrayList<>();
-        for (Running task : running) {
+        List<RunningTask> runningTasks = new ArrayList<>();
+        for (ActiveTask task : running) {
             views.get(task.worker).addTask(task.demand.batchClass(), task.granted);
-            held.add(asRunning(task));
+            runningTasks.add(toRunningTask(task));
         }
         for (WorkerView view : views) {
-            violations += Resources.NONE.fitsIn(view.getFree()) ? 0 : STEP_SECONDS;
+            overCapacitySeconds += Resources.NONE.fitsIn(view.getFree()) ? 0 : STEP_SECONDS;
         }
         PlanningResult plan =
                 new TaskPlanner(strategy.placement(), strategy.sizes(), 0)
                         .plan(
                                 new ArrayList<>(waiting.keySet()),
                                 views,
-                                held,
+                                runningTasks,
                                 new QuotaUsage(Map.of()));
         Map<TaskId, TaskDemand> byId = new HashMap<>();
         waiting.keySet().forEach(demand -> byId.put(demand.task(), demand));
@@ -254,33 +260,34 @@
 
     private void start(TaskDemand demand, PlacementDecision decision) {
         int worker = Integer.parseInt(decision.worker().toString().substring(3));
-        Hidden hidden = hiddenOf.remove(demand);
-        double left = waiting.remove(demand);
-        running.add(new Running(demand, hidden, decision.resources(), worker, left));
+        ActualBehaviour behaviour = waitingBehaviours.remove(demand);
+        double remainingSeconds = waiting.remove(demand);
+        running.add(
+                new ActiveTask(demand, behaviour, decision.resources(), worker, remainingSeconds));
     }
 
-    private WorkerView view(int worker, int step) {
+    private WorkerView createView(int worker, int step) {
         return new WorkerView(
                 VmId.parse("vm-" + worker),
                 HallId.parse("hall-" + worker % 3),
                 RackId.parse("rack-" + worker / 3),
                 Resources.ofCores(scenario.cores(), scenario.memoryMegabytes(), 0),
                 Resources.ofCores(scenario.serviceCores(), 1000, 0),
-                List.of(new ServiceLoad(SERVICE, level(step - LAG))),
+                List.of(new ServiceLoad(SERVICE, getLoadLevel(step - MEASUREMENT_DELAY_STEPS))),
                 true);
     }
 
-    private static int level(int step) {
-        double wave = 0.5 + 0.5 * Math.sin(2 * Math.PI * step / PERIOD);
-        return Math.min(LEVELS - 1, (int) (wave * LEVELS));
+    private static int getLoadLevel(int step) {
+        double wave = 0.5 + 0.5 * Math.sin(2 * Math.PI * step / LOAD_PERIOD_STEPS);
+        return Math.min(LOAD_LEVELS - 1, (int) (wave * LOAD_LEVELS));
     }
 
-    private void advance() {
-        for (Running task : List.copyOf(running)) {
-            double seconds = STEP_SECONDS * task.speed();
-            work += Math.min(seconds, task.left) * task.hidden.realCores();
-            task.left -= seconds;
-            if (task.left <= 0) {
+    private void advanceTasks() {
+        for (ActiveTask task : List.copyOf(running)) {
+            double seconds = STEP_SECONDS * task.getSpeed();
+            coreSeconds += Math.min(seconds, task.remainingSeconds) * task.behaviour.actualCores();
+            task.remainingSeconds -= seconds;
+            if (task.remainingSeconds <= 0) {
                 running.remove(task);
             }
         }
@@ -288,58 +295,68 @@
 
     private void measure(int step) {
         for (int worker = 0; worker < scenario.workers(); worker++) {
-            int level = level(step);
+            int level = getLoadLevel(step);
             double latency = 25 + 12 * level + 4 * random.nextGaussian();
-            List<String> beside = new ArrayList<>();
-            for (Running task : running) {
+            List<String> colocated = new ArrayList<>();
+            for (ActiveTask task : running) {
                 if (task.worker == worker) {
-                    latency += disturbance(task, level, step);
-                    beside.add(task.demand.batchClass());
-                    double used =
-                            Math.min(task.granted.milliCores(), task.hidden.realCores() * 1000);
-                    observeUsage(task, used);
+                    latency += computeInterference(task, level, step);
+                    colocated.add(task.demand.batchClass());
+                    double usedMilliCores =
+                            Math.min(
+                                    task.granted.milliCores(), task.behaviour.actualCores() * 1000);
+                    observeUsage(task, usedMilliCores);
                 }
             }
             latencies.add(latency);
-            ServiceMeasurement measure =
+            ServiceMeasurement measurement =
                     new ServiceMeasurement(
                             VmId.parse("vm-" + worker), new ServiceLoad(SERVICE, level), latency);
-            late.add(new Late(step + LAG, measure, beside, worker));
+            delayedMeasurements.add(
+                    new DelayedMeasurement(
+                            step + MEASUREMENT_DELAY_STEPS, measurement, colocated, worker));
         }
     }
 
-    private double disturbance(Running task, int level, int step) {
-        boolean wave = scenario.noisy() && (int) (step / (PERIOD / 6)) % 3 == 0;
-        boolean loud = task.hidden.name().equals("class-1");
-        double factor = wave && loud ? 6 : 1;
-        return factor * task.hidden.disturbs()[level] * task.throttle / 100.0;
+    private double computeInterference(ActiveTask task, int level, int step) {
+        boolean isNoisyPeriod = scenario.noisy() && (int) (step / (LOAD_PERIOD_STEPS / 6)) % 3 == 0;
+        boolean isNoisyClass = task.behaviour.name().equals("class-1");
+        double factor = isNoisyPeriod && isNoisyClass ? 6 : 1;
+        return factor * task.behaviour.latencyIncreases()[level] * task.throttlePercent / 100.0;
     }
 
-    private void observeUsage(Running task, double milliCores) {
-        // A task that is held at its grant wants more than can be seen.
-        boolean held = milliCores >= task.granted.milliCores() * 0.98 && task.throttle == 100;
-        double seen = held ? milliCores * 1.3 : milliCores;
-        if (task.throttle == 100) {
+    private void observeUsage(ActiveTask task, double milliCores) {
+        // The demand of a task that is limited by its grant exceeds its observed usage.
+        boolean limited =
+                milliCores >= task.granted.milliCores() * 0.98 && task.throttlePercent == 100;
+        double estimatedMilliCores = limited ? milliCores * 1.3 : milliCores;
+        if (task.throttlePercent == 100) {
             strategy.sizes()
-                    .observe(task.demand.batchClass(), new Resources(Math.round(seen), 800, 0));
+                    .observe(
+                            task.demand.batchClass(),
+                            new Resources(Math.round(estimatedMilliCores), 800, 0));
         }
     }
 
-    private void deliver(int step) {
-        while (!late.isEmpty() && late.peekFirst().step() <= step) {
-            Late one = late.removeFirst();
+    private void deliverMeasurements(int step) {
+        while (!delayedMeasurements.isEmpty()
+                && delayedMeasurements.peekFirst().dueStep() <= step) {
+            DelayedMeasurement delayed = delayedMeasurements.removeFirst();
             strategy.model()
-                    .observe(one.measure().load(), one.classes(), one.measure().latencyPercent());
-            List<RunningTask> beside =
+                    .observe(
+                            delayed.measurement().load(),
+                            delayed.batchClasses(),
+                            delayed.measurement().latencyPercent());
+            List<RunningTask> colocated =
                     running.stream()
-                            .filter(task -> task.worker == one.worker())
-                            .map(this::asRunning)
+                            .filter(task -> task.worker == delayed.worker())
+                            .map(this::toRunningTask)
                             .toList();
-            strategy.relief().relieve(one.measure(), beside).forEach(this::act);
+            strategy.relief().relieve(delayed.measurement(), colocated).forEach(this::applyAction);
         }
     }
 
-    private RunningTask asRunning(Running task) {
+    private RunningTask toRunningTask(ActiveTask task) {
         return new RunningTask(
                 task.demand.task(),
                 TEAM,
@@ -348,23 +365,23 @@
                 task.granted,
                 false,
                 true,
-                task.throttle,
+                task.throttlePercent,
                 false,
                 false);
     }
 
-    private void act(ReliefAction action) {
-        for (Running task : List.copyOf(running)) {
+    private void applyAction(ReliefAction action) {
+        for (ActiveTask task : List.copyOf(running)) {
             if (!task.demand.task().equals(action.task())) {
                 continue;
             }
             if (action.throttlePercent() > 0) {
-                task.throttle = action.throttlePercent();
+                task.throttlePercent = action.throttlePercent();
             } else {
                 running.remove(task);
                 evictions++;
-                waiting.put(task.demand, task.left);
-                hiddenOf.put(task.demand, task.hidden);
+                waiting.put(task.demand, task.remainingSeconds);
+                waitingBehaviours.put(task.demand, task.behaviour);
             }
         }
     }
--- a/src/main/java/org/standlink/benchmark/DecisionResult.java
+++ b/src/main/java/org/standlink/benchmark/DecisionResult.java
@@ -16,16 +16,17 @@
 package org.standlink.benchmark;
 
 /**
- * What a strategy achieved on a scenario.
+ * The result of one strategy on one scenario.
  *
  * <p>{@code DecisionResult} is thread-safe and immutable.
  *
- * @param strategy the strategy
- * @param missPercent the share of measurements above the target, in percent
+ * @param strategy the name of the strategy
+ * @param missPercent the share of latency measurements above the target, in percent
  * @param tailPercent the 99th percentile of latency, in percent of the target
- * @param coreHours batch work done, in core-hours
- * @param evictions tasks stopped
- * @param overCapacitySeconds seconds in which a worker had granted more than it has
+ * @param coreHours the batch work done, in core-hours
+ * @param evictions the number of evicted tasks
+ * @param overCapacitySeconds the time in which grants exceeded the capacity of a worker, summed
+ *     over the workers, in seconds
  */
 public record DecisionResult(
         String strategy,
--- a/src/main/java/org/standlink/benchmark/LeaderCost.java
+++ b/src/main/java/org/standlink/benchmark/LeaderCost.java
@@ -40,35 +40,33 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Measures what a leader spends on one second of a full cell.
+ * Measures the processor time and the traffic of the leader of a full cell.
  *
  * <p>{@code LeaderCost} is thread-safe and immutable.
  */
 final class LeaderCost {
 
-    /** Seconds before measuring. */
-    private static final int WARM_UP = 60;
+    /** The simulated time before the measurement, in seconds. */
+    private static final int WARM_UP_SECONDS = 60;
 
-    /** Seconds measured. */
-    private static final int SECONDS = 60;
+    /** The simulated time of the measurement, in seconds. */
+    private static final int MEASURED_SECONDS = 60;
 
-    /** The cell. */
     private static final CellId CELL = CellId.parse("one");
 
-    /** No instances. */
     private LeaderCost() {}
 
     /**
-     * Measures a cell.
+     * Measures the leader of one cell.
      *
-     * @param workers the workers
-     * @param tasks the tasks on each
-     * @param registry where counters go
+     * @param workers the number of workers
+     * @param tasks the number of tasks on each worker
+     * @param registry the registry of the leader's metrics
      * @return the result in one line
      */
     static String measure(int workers, int tasks, MeterRegistry registry) {
-        long[] now = {1_000_000};
-        MemoryLog log = new MemoryLog(() -> now[0], 1000, Long.MAX_VALUE / 4);
+        long[] nowMillis = {1_000_000};
+        MemoryLog log = new MemoryLog(() -> nowMillis[0], 1000, Long.MAX_VALUE / 4);
         log.append(
                 RecordCodec.encode(
                         new BundleRecord("b", BenchmarkBundles.createFullCell(workers, tasks))));
@@ -83,7 +81,7 @@
                         holder,
                         LeaseTimes.DEFAULT,
                         3_600_000,
-                        () -> now[0],
+                        () -> nowMillis[0],
                         () -> 12,
                         registry);
         service.claim();
@@ -93,57 +91,71 @@
             deltas.add(new ReportDelta());
         }
         long[] bytes = {0};
-        for (int i = 0; i < WARM_UP; i++) {
-            second(service, holder, workers, now, answers, deltas, bytes);
+        for (int i = 0; i < WARM_UP_SECONDS; i++) {
+            runSecond(service, holder, workers, nowMillis, answers, deltas, bytes);
         }
         bytes[0] = 0;
         long start = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        for (int i = 0; i < SECONDS; i++) {
-            second(service, holder, workers, now, answers, deltas, bytes);
+        for (int i = 0; i < MEASURED_SECONDS; i++) {
+            runSecond(service, holder, workers, nowMillis, answers, deltas, bytes);
         }
         long nanos = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - start;
         return String.format(
                 "leader of %2d workers with %2d tasks each: %.2f ms of processor a second"
                         + " (%.2f%% of a core), %d bytes a second in and out",
-                workers, tasks, nanos / 1e6 / SECONDS, nanos / 1e7 / SECONDS, bytes[0] / SECONDS);
+                workers,
+                tasks,
+                nanos / 1e6 / MEASURED_SECONDS,
+                nanos / 1e7 / MEASURED_SECONDS,
+                bytes[0] / MEASURED_SECONDS);
     }
 
-    private static void second(
+    private static void runSecond(
             LeaderService service,
             BundleHolder holder,
             int workers,
-            long[] now,
+            long[] nowMillis,
             List<HeartbeatAnswer> answers,
             List<ReportDelta> deltas,
             long[] bytes) {
-        now[0] += 1000;
+        nowMillis[0] += 1000;
         service.runOnce();
         for (int worker = 0; worker < workers; worker++) {
-            HeartbeatAnswer last = answers.size() > worker ? answers.get(worker) : null;
-            byte[] sent =
+            HeartbeatAnswer previous = answers.size() > worker ? answers.get(worker) : null;
+            byte[] encoded =
                     FrameCodec.encode(
                             new Frame(
                                     1,
                                     false,
-                                    heartbeat(worker, last, holder, deltas.get(worker), now[0])));
-            Heartbeat received = (Heartbeat) FrameCodec.decode(sent).message();
+                                    createHeartbeat(
+                                            worker,
+                                            previous,
+                                            holder,
+                                            deltas.get(worker),
+                                            nowMillis[0])));
+            Heartbeat received = (Heartbeat) FrameCodec.decode(encoded).message();
             HeartbeatAnswer answer = service.handleHeartbeat(received);
             deltas.get(worker).answerReceived(answer.epoch());
-            bytes[0] += sent.length + FrameCodec.encode(new Frame(1, true, answer)).length;
-            HeartbeatAnswer kept = answer.assignments() == null && last != null ? last : answer;
-            if (last == null) {
-                answers.add(kept);
+            bytes[0] += encoded.length + FrameCodec.encode(new Frame(1, true, answer)).length;
+            HeartbeatAnswer latest =
+                    answer.assignments() == null && previous != null ? previous : answer;
+            if (previous == null) {
+                answers.add(latest);
             } else {
-                answers.set(worker, kept);
+                answers.set(worker, latest);
             }
         }
     }
 
-    private static Heartbeat heartbeat(
-            int worker, HeartbeatAnswer last, BundleHolder holder, ReportDelta delta, long now) {
+    private static Heartbeat createHeartbeat(
+            int worker,
+            HeartbeatAnswer previous,
+            BundleHolder holder,
+            ReportDelta delta,
+            long nowMillis) {
         List<TaskReport> reports = new ArrayList<>();
-        if (last != null) {
-            last.assignments()
+        if (previous != null) {
+            previous.assignments()
                     .forEach(
                             assignment ->
                                     reports.add(
@@ -151,24 +163,24 @@
                                                     assignment.task(),
                                                     assignment.attempt(),
                                                     TaskReport.State.RUNNING,
-                                                    Long.toString(now),
+                                                    Long.toString(nowMillis),
                                                     assignment.resources())));
         }
-        Epoch epoch = last == null ? Epoch.NONE : last.epoch();
-        ReportDelta.Selection part = delta.selectNext(reports, epoch);
+        Epoch epoch = previous == null ? Epoch.NONE : previous.epoch();
+        ReportDelta.Selection selection = delta.selectNext(reports, epoch);
         return new Heartbeat(
                 VmId.parse("vm-" + worker),
                 Incarnation.of(worker + 1),
-                part.number(),
-                part.full(),
-                last == null ? Epoch.NONE : last.epoch(),
-                last == null ? LeaseGeneration.NONE : last.generation(),
-                last == null ? BundleVersion.NONE : holder.getVersion(),
-                last == null ? 0 : last.revision(),
+                selection.number(),
+                selection.full(),
+                previous == null ? Epoch.NONE : previous.epoch(),
+                previous == null ? LeaseGeneration.NONE : previous.generation(),
+                previous == null ? BundleVersion.NONE : holder.getVersion(),
+                previous == null ? 0 : previous.revision(),
                 false,
                 true,
-                part.tasks(),
-                part.gone(),
+                selection.tasks(),
+                selection.gone(),
                 List.of());
     }
 }
--- a/src/main/java/org/standlink/benchmark/MarginalCost.java
+++ b/src/main/java/org/standlink/benchmark/MarginalCost.java
@@ -44,51 +44,48 @@
 import org.standlink.wire.TaskReport;
 
 /**
- * Measures what one more task, worker, job or record costs in bytes, processor time and memory.
+ * Measures the marginal cost of a task, worker, job or record in bytes, processor time and memory.
  *
  * <p>{@code MarginalCost} is thread-safe and immutable.
  */
 public final class MarginalCost {
 
-    /** Rounds before measuring. */
-    private static final int WARM_UP = 3000;
+    /** The number of calls before the measurement. */
+    private static final int WARM_UP_ROUNDS = 3000;
 
-    /** Rounds measured. */
-    private static final int ROUNDS = 5000;
+    /** The number of calls in the measurement. */
+    private static final int MEASURED_ROUNDS = 5000;
 
-    /** The tasks held when memory is measured. */
-    private static final int HELD = 50_000;
+    /** The number of tasks in the state whose memory is measured. */
+    private static final int TASKS_IN_STATE = 50_000;
 
-    /** The cell. */
     private static final CellId CELL = CellId.parse("cell-01");
 
-    /** The size of a task. */
-    private static final Resources SIZE = Resources.ofCores(2, 4000, 0);
+    private static final Resources TASK_RESOURCES = Resources.ofCores(2, 4000, 0);
 
-    /** No instances. */
     private MarginalCost() {}
 
     /**
-     * Measures everything.
+     * Runs all measurements.
      *
-     * @return the results, one in a line
+     * @return the results, one per line
      */
     public static List<String> measure() {
         List<String> lines = new ArrayList<>();
-        heartbeats(lines);
-        records(lines);
-        memory(lines);
-        bundles(lines);
+        measureHeartbeats(lines);
+        measureRecords(lines);
+        measureMemory(lines);
+        measureBundles(lines);
         return lines;
     }
 
     // -----------------------------------------------------------------------
-    private static void heartbeats(List<String> lines) {
+    private static void measureHeartbeats(List<String> lines) {
         for (int tasks : new int[] {0, 24, 48}) {
-            Frame heartbeat = new Frame(1, false, heartbeat(tasks));
-            Frame answer = new Frame(1, true, answer(tasks));
-            Frame same = new Frame(1, true, answer(-1));
-            double micros = micros(() -> FrameCodec.decode(FrameCodec.encode(heartbeat)));
+            Frame heartbeat = new Frame(1, false, createHeartbeat(tasks));
+            Frame answer = new Frame(1, true, createAnswer(tasks));
+            Frame answerWithoutAssignments = new Frame(1, true, createAnswer(-1));
+            double micros = measureMicros(() -> FrameCodec.decode(FrameCodec.encode(heartbeat)));
             lines.add(
                     String.format(
                             "full heartbeat with %2d tasks: %d bytes, %.1f us to encode and decode;"
@@ -97,16 +94,20 @@
                             FrameCodec.encode(heartbeat).length,
                             micros,
                             FrameCodec.encode(answer).length,
-                            FrameCodec.encode(same).length));
+                            FrameCodec.encode(answerWithoutAssignments).length));
         }
     }
 
-    private static Heartbeat heartbeat(int tasks) {
+    private static Heartbeat createHeartbeat(int tasks) {
         List<TaskReport> reports = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
             reports.add(
                     new TaskReport(
-                            task(i), Attempt.of(1), TaskReport.State.RUNNING, "123456", SIZE));
+                            createTaskId(i),
+                            Attempt.of(1),
+                            TaskReport.State.RUNNING,
+                            "123456",
+                            TASK_RESOURCES));
         }
         return new Heartbeat(
                 VmId.parse("vm-0001"),
@@ -124,11 +125,19 @@
                 List.of(new ServiceReport(ServiceId.parse("registry"), 2, 80)));
     }
 
-    private static HeartbeatAnswer answer(int tasks) {
+    private static HeartbeatAnswer createAnswer(int tasks) {
         List<Assignment> assignments = new ArrayList<>();
         for (int i = 0; i < tasks; i++) {
             assignments.add(
-                    new Assignment(task(i), Attempt.of(1), SIZE, 10, 600, null, false, 100));
+                    new Assignment(
+                            createTaskId(i),
+                            Attempt.of(1),
+                            TASK_RESOURCES,
+                            10,
+                            600,
+                            null,
+                            false,
+                            100));
         }
         return new HeartbeatAnswer(
                 Epoch.of(1000),
@@ -141,10 +150,10 @@
                 500);
     }
 
-    private static void records(List<String> lines) {
-        byte[] one = RecordCodec.encode(record(1));
-        byte[] many = RecordCodec.encode(record(64));
-        double micros = micros(() -> RecordCodec.decode(many));
+    private static void measureRecords(List<String> lines) {
+        byte[] one = RecordCodec.encode(createTaskRecord(1));
+        byte[] many = RecordCodec.encode(createTaskRecord(64));
+        double micros = measureMicros(() -> RecordCodec.decode(many));
         lines.add(
                 String.format(
                         "record of task events: %d bytes for 1, %d for 64, so %d bytes an event;"
@@ -152,47 +161,54 @@
                         one.length, many.length, (many.length - one.length) / 63, micros));
     }
 
-    private static BundleTaskRecord record(int events) {
+    private static BundleTaskRecord createTaskRecord(int events) {
         List<TaskEvent> all = new ArrayList<>();
         for (int i = 0; i < events; i++) {
-            all.add(TaskEvent.ofAssign(task(i), Attempt.of(1), VmId.parse("vm-0001"), SIZE));
+            all.add(
+                    TaskEvent.ofAssign(
+                            createTaskId(i), Attempt.of(1), VmId.parse("vm-0001"), TASK_RESOURCES));
         }
         return new BundleTaskRecord(RecordCodec.newId(), CELL, Epoch.of(1), 1, all);
     }
 
-    private static void memory(List<String> lines) {
-        long before = usedBytes();
+    private static void measureMemory(List<String> lines) {
+        long before = getUsedHeapBytes();
         CellState state = new CellState(CELL);
         state.apply(
                 new ClaimRecord("id", CELL, Epoch.of(1), VmId.parse("vm-0001"), Incarnation.of(1)));
         List<TaskEvent> events = new ArrayList<>();
-        for (int i = 0; i < HELD; i++) {
+        for (int i = 0; i < TASKS_IN_STATE; i++) {
             events.add(
-                    TaskEvent.ofAssign(task(i), Attempt.of(1), VmId.parse("vm-" + i % 32), SIZE));
+                    TaskEvent.ofAssign(
+                            createTaskId(i),
+                            Attempt.of(1),
+                            VmId.parse("vm-" + i % 32),
+                            TASK_RESOURCES));
         }
         state.apply(new BundleTaskRecord("id", CELL, Epoch.of(1), 1, events));
         events = null;
-        long after = usedBytes();
+        long after = getUsedHeapBytes();
         byte[] snapshot = RecordCodec.encode(state.createSnapshot(1, null));
         lines.add(
                 String.format(
                         "task held by a leader: %d bytes of heap, %d bytes of a snapshot",
-                        (after - before) / HELD, snapshot.length / HELD));
+                        (after - before) / TASKS_IN_STATE, snapshot.length / TASKS_IN_STATE));
     }
 
-    private static void bundles(List<String> lines) {
-        String small = bundle(10, 11);
-        String jobs = bundle(1010, 11);
-        double base = micros(() -> BundleReader.read(small));
-        long before = usedBytes();
-        Object kept = BundleReader.read(jobs);
-        long after = usedBytes();
+    private static void measureBundles(List<String> lines) {
+        String small = createBundle(10, 11);
+        String jobs = createBundle(1010, 11);
+        double base = measureMicros(() -> BundleReader.read(small));
+        long before = getUsedHeapBytes();
+        // Used again below, so that it is not collected before the memory is measured.
+        Object retained = BundleReader.read(jobs);
+        long after = getUsedHeapBytes();
         int rounds = 50;
-        long start = threadNanos();
+        long start = getThreadCpuNanos();
         for (int i = 0; i < rounds; i++) {
             BundleReader.read(jobs);
         }
-        double micros = (threadNanos() - start) / 1000.0 / rounds;
+        double micros = (getThreadCpuNanos() - start) / 1000.0 / rounds;
         lines.add(
                 String.format(
                         "job in a bundle: %d bytes of text, %d bytes of heap, %.1f us to check;"
@@ -202,10 +218,10 @@
                         (micros - base) / 1000,
                         small.length(),
                         base,
-                        kept == null ? "!" : ""));
+                        retained == null ? "!" : ""));
     }
 
-    private static String bundle(int jobs, int workers) {
+    private static String createBundle(int jobs, int workers) {
         StringBuilder text =
                 new StringBuilder("{\"version\":1,\"base\":0,\"services\":[],\"jobs\":[");
         for (int i = 0; i < jobs; i++) {
@@ -242,26 +258,26 @@
     }
 
     // -----------------------------------------------------------------------
-    private static TaskId task(int index) {
+    private static TaskId createTaskId(int index) {
         return TaskId.parse("night-scan-2026-12-02#" + index);
     }
 
-    private static double micros(Runnable work) {
-        for (int i = 0; i < WARM_UP; i++) {
-            work.run();
+    private static double measureMicros(Runnable action) {
+        for (int i = 0; i < WARM_UP_ROUNDS; i++) {
+            action.run();
         }
-        long start = threadNanos();
-        for (int i = 0; i < ROUNDS; i++) {
-            work.run();
+        long start = getThreadCpuNanos();
+        for (int i = 0; i < MEASURED_ROUNDS; i++) {
+            action.run();
         }
-        return (threadNanos() - start) / 1000.0 / ROUNDS;
+        return (getThreadCpuNanos() - start) / 1000.0 / MEASURED_ROUNDS;
     }
 
-    private static long threadNanos() {
+    private static long getThreadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private static long usedBytes() {
+    private static long getUsedHeapBytes() {
         for (int i = 0; i < 3; i++) {
             System.gc();
         }
@@ -270,10 +286,10 @@
     }
 
     /**
-     * Measures a leader's round with a cell of workers and tasks.
+     * Measures the processor time and the traffic of the leader of a full cell.
      *
-     * @param workers the workers
-     * @param tasks the tasks on each
+     * @param workers the number of workers
+     * @param tasks the number of tasks on each worker
      * @return the result in one line
      */
     public static String measureLeader(int workers, int tasks) {
--- a/src/main/java/org/standlink/benchmark/PathBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/PathBenchmark.java
@@ -43,30 +43,29 @@
 import org.standlink.standin.UpstreamServer;
 
 /**
- * Measures the path entry, agent, upstream against direct calls to the upstream, in one process and
- * one run.
+ * Compares requests through an entry and an agent with direct calls to the upstream, in one process
+ * and one run.
  *
  * <p>{@code PathBenchmark} is mutable and not thread-safe; use one for each run.
  */
 public final class PathBenchmark {
 
-    /** Requests before measuring, and measured. */
+    /** The number of requests in the warm-up and in each measurement. */
     private static final int REQUESTS = 3000;
 
-    /** Requests at once. */
     private static final int CONCURRENCY = 4;
 
-    /** Where everything listens. */
+    /** The address on which all servers listen. */
     private static final String HOST = "127.0.0.1";
 
-    /** What must be closed. */
-    private final List<AutoCloseable> open = new ArrayList<>();
+    /** The servers and processes to close, the most recently started first. */
+    private final List<AutoCloseable> resources = new ArrayList<>();
 
     /**
-     * Measures.
+     * Runs the benchmark.
      *
-     * @return the results, one in a line
-     * @throws Exception if something cannot be started
+     * @return the results, one per line
+     * @throws Exception if a server or process cannot be started or closed
      */
     public List<String> run() throws Exception {
         ExecutorService executor = ProcessThreads.newCached("bench");
@@ -75,73 +74,75 @@
         MemoryLog log = new MemoryLog(clock, 100, 3_600_000);
         MemoryVmList vms = new MemoryVmList(clock, 0);
         HttpService platform =
-                keep(
+                closeAtEnd(
                         StandInHttpServices.servePlatform(
                                 new InetSocketAddress(HOST, 0), executor, log, vms));
         UpstreamServer upstream =
-                keep(new UpstreamServer(new InetSocketAddress(HOST, 0), executor, 1));
-        String platformUrl = url(platform.getPort());
+                closeAtEnd(new UpstreamServer(new InetSocketAddress(HOST, 0), executor, 1));
+        String platformUrl = toUrl(platform.getPort());
         AgentProcess agent =
-                keep(
+                closeAtEnd(
                         new AgentProcess(
                                 AgentSettings.read(
-                                        agentSettings(platformUrl, url(upstream.getPort()))),
+                                        createAgentSettings(
+                                                platformUrl, toUrl(upstream.getPort()))),
                                 executor,
                                 ProcessThreads.newScheduled("agent", 5),
                                 registry));
         String bundle = BenchmarkBundles.createSingleService(HOST + ":" + agent.getPort());
         log.append(RecordCodec.encode(new BundleRecord("b", bundle)));
         EntryProcess entry =
-                keep(
+                closeAtEnd(
                         new EntryProcess(
-                                EntrySettings.read(entrySettings(platformUrl)),
+                                EntrySettings.read(createEntrySettings(platformUrl)),
                                 executor,
                                 ProcessThreads.newBounded("caller", 64),
                                 ProcessThreads.newScheduled("entry", 3),
                                 registry));
-        awaitOpen(entry);
+        awaitUpstreamOpen(entry);
         List<String> lines = measure(upstream.getPort(), entry.getPort());
-        for (AutoCloseable one : open) {
-            one.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
         return lines;
     }
 
     // -----------------------------------------------------------------------
     private static List<String> measure(int upstream, int entry) throws InterruptedException {
-        load(upstream);
-        load(entry);
-        long start = processNanos();
-        LoadReport direct = load(upstream);
-        long between = processNanos();
-        LoadReport path = load(entry);
-        long end = processNanos();
-        double added = (end - between - (between - start)) / 1000.0 / REQUESTS;
+        runLoad(upstream);
+        runLoad(entry);
+        long start = getProcessCpuNanos();
+        LoadReport direct = runLoad(upstream);
+        long middle = getProcessCpuNanos();
+        LoadReport throughEntry = runLoad(entry);
+        long end = getProcessCpuNanos();
+        double addedMicros = (end - middle - (middle - start)) / 1000.0 / REQUESTS;
         return List.of(
                 "direct:  " + direct,
-                "by path: " + path,
+                "by path: " + throughEntry,
                 String.format(
                         "ratio p50 %.2f, p99 %.2f; added %d us at p50, %d us at p99",
-                        (double) path.medianMicros() / direct.medianMicros(),
-                        (double) path.p99Micros() / direct.p99Micros(),
-                        path.medianMicros() - direct.medianMicros(),
-                        path.p99Micros() - direct.p99Micros()),
+                        (double) throughEntry.medianMicros() / direct.medianMicros(),
+                        (double) throughEntry.p99Micros() / direct.p99Micros(),
+                        throughEntry.medianMicros() - direct.medianMicros(),
+                        throughEntry.p99Micros() - direct.p99Micros()),
                 String.format(
                         "entry and agent together: %.0f us of processor a request, %.0f requests/s per core",
-                        added, 1_000_000 / added));
+                        addedMicros, 1_000_000 / addedMicros));
     }
 
-    private static LoadReport load(int port) throws InterruptedException {
-        return new RequestLoad(List.of(URI.create(url(port))), List.of(), "POST", "/x", false, 0, 0)
+    private static LoadReport runLoad(int port) throws InterruptedException {
+        return new RequestLoad(
+                        List.of(URI.create(toUrl(port))), List.of(), "POST", "/x", false, 0, 0)
                 .run(REQUESTS, CONCURRENCY);
     }
 
-    private static long processNanos() {
+    private static long getProcessCpuNanos() {
         return ((OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
                 .getProcessCpuTime();
     }
 
-    private static void awaitOpen(EntryProcess entry) throws InterruptedException {
+    private static void awaitUpstreamOpen(EntryProcess entry) throws InterruptedException {
         VmId vm = VmId.parse("vm-1");
         while (entry.getBundleHolder().getBundle() == null
                 || !entry.getDirectory().getState(vm).equals("open")) {
@@ -150,16 +151,16 @@
         TimeUnit.SECONDS.sleep(1);
     }
 
-    private <T extends AutoCloseable> T keep(T one) {
-        open.add(0, one);
-        return one;
+    private <T extends AutoCloseable> T closeAtEnd(T resource) {
+        resources.add(0, resource);
+        return resource;
     }
 
-    private static String url(int port) {
+    private static String toUrl(int port) {
         return "http://" + HOST + ":" + port;
     }
 
-    private static String agentSettings(String platform, String upstream) {
+    private static String createAgentSettings(String platform, String upstream) {
         return "{\"vm\":\"vm-1\",\"listen\":\"127.0.0.1:0\",\"adminListen\":\"127.0.0.1:0\","
                 + "\"platform\":\""
                 + platform
@@ -171,7 +172,7 @@
                 + "\"}";
     }
 
-    private static String entrySettings(String platform) {
+    private static String createEntrySettings(String platform) {
         return "{\"name\":\"bench\",\"hall\":\"h\",\"listen\":\"127.0.0.1:0\","
                 + "\"adminListen\":\"127.0.0.1:0\",\"platform\":\""
                 + platform
--- a/src/main/java/org/standlink/benchmark/PlacementCost.java
+++ b/src/main/java/org/standlink/benchmark/PlacementCost.java
@@ -36,23 +36,22 @@
 import org.standlink.policy.WorkerView;
 
 /**
- * Measures placement decisions a second on one core, in a plain warm loop.
+ * Measures the rate of placement decisions on one core, in a loop after a warm-up.
  *
  * <p>{@code PlacementCost} is thread-safe and immutable.
  */
 public final class PlacementCost {
 
-    /** How long each loop runs, in nanoseconds. */
+    /** The duration of each loop, in nanoseconds. */
     private static final long LOOP_NANOS = 700_000_000L;
 
-    /** Tasks beside each service. */
-    private static final int BESIDE = 20;
+    /** The number of tasks on each worker, next to its service. */
+    private static final int TASKS_PER_WORKER = 20;
 
-    /** No instances. */
     private PlacementCost() {}
 
     /**
-     * Measures one size of a cell.
+     * Measures the rates for one size of a cell.
      *
      * @param count the number of workers
      * @return the result in one line
@@ -63,19 +62,20 @@
         for (int i = 0; i < 8; i++) {
             model.observe(load, List.of("class-" + i), 50 + i);
         }
-        PlacementPolicy aware = new InterferenceAwarePlacement(new LearnedSizes(), model, 1, 1);
-        PlacementPolicy first = new FirstFitPlacement(SizeEstimator.ofDeclared());
-        List<WorkerView> workers = workers(count, load);
-        loop(aware, workers);
-        loop(first, workers);
-        double awareRate = loop(aware, workers);
-        double firstRate = loop(first, workers);
+        PlacementPolicy interferenceAware =
+                new InterferenceAwarePlacement(new LearnedSizes(), model, 1, 1);
+        PlacementPolicy firstFit = new FirstFitPlacement(SizeEstimator.ofDeclared());
+        List<WorkerView> workers = createWorkers(count, load);
+        measureRate(interferenceAware, workers);
+        measureRate(firstFit, workers);
+        double interferenceAwareRate = measureRate(interferenceAware, workers);
+        double firstFitRate = measureRate(firstFit, workers);
         return String.format(
                 "%5d workers: %9.0f decisions/s, first fit %9.0f, ratio %.2f",
-                count, awareRate, firstRate, awareRate / firstRate);
+                count, interferenceAwareRate, firstFitRate, interferenceAwareRate / firstFitRate);
     }
 
-    private static List<WorkerView> workers(int count, ServiceLoad load) {
+    private static List<WorkerView> createWorkers(int count, ServiceLoad load) {
         List<WorkerView> workers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             WorkerView worker =
@@ -87,7 +87,7 @@
                             Resources.ofCores(8, 16_000, 0),
                             List.of(load),
                             true);
-            for (int n = 0; n < BESIDE; n++) {
+            for (int n = 0; n < TASKS_PER_WORKER; n++) {
                 worker.addTask("class-" + n % 8, Resources.ofCores(0.5, 1000, 0));
             }
             workers.add(worker);
@@ -95,7 +95,7 @@
         return workers;
     }
 
-    private static double loop(PlacementPolicy policy, List<WorkerView> workers) {
+    private static double measureRate(PlacementPolicy policy, List<WorkerView> workers) {
         TaskDemand demand =
                 new TaskDemand(
                         TaskId.parse("job#0"),
--- a/src/main/java/org/standlink/benchmark/RoutingBenchmark.java
+++ b/src/main/java/org/standlink/benchmark/RoutingBenchmark.java
@@ -27,91 +27,89 @@
 
 /**
  * Routes one seeded stream of requests to 11 upstreams of 8 slots, of which one is slow and one
- * fails, with a step in the load.
+ * fails. The load increases halfway through the stream.
  *
  * <p>{@code RoutingBenchmark} is mutable and not thread-safe; use one for each run.
  */
 public final class RoutingBenchmark {
 
-    /** The upstreams. */
+    /** The number of upstreams. */
     private static final int UPSTREAMS = 11;
 
-    /** The slots of each. */
-    private static final int SLOTS = 8;
+    private static final int SLOTS_PER_UPSTREAM = 8;
 
-    /** The requests. */
+    /** The number of requests. */
     private static final int REQUESTS = 60_000;
 
     /** The mean service time, in microseconds. */
-    private static final double SERVICE_MICROS = 10_000;
+    private static final double MEAN_SERVICE_MICROS = 10_000;
 
-    /** How many times slower the slow one is. */
-    private static final double SLOWNESS = 10;
+    /** The factor by which the slow upstream is slower than the others. */
+    private static final double SLOW_FACTOR = 10;
 
-    /** The slow upstream. */
-    private static final int SLOW = 3;
+    /** The index of the slow upstream. */
+    private static final int SLOW_UPSTREAM = 3;
 
-    /** The failing upstream. */
-    private static final int FAILING = 7;
+    /** The index of the failing upstream. */
+    private static final int FAILING_UPSTREAM = 7;
 
-    /** The share of all slots used before and after the step. */
-    private static final double[] LOADS = {0.4, 0.7};
+    /** The utilisation of the slots in the first and in the second half of the stream. */
+    private static final double[] UTILISATIONS = {0.4, 0.7};
 
-    /** An end of a request. */
-    private record End(long atMicros, int upstream, long sentMicros) {}
+    /** The completion of a request. */
+    private record Completion(long atMicros, int upstream, long sentMicros) {}
 
-    /** Chooses upstreams. */
     private final RoutingPolicy policy;
 
-    /** Takes bad upstreams out, null for none. */
-    private final OutlierDetector outliers;
+    /** Ejects failing and slow upstreams; null for no ejection. */
+    private final OutlierDetector outlierDetector;
 
-    /** Random numbers. */
     private final Random random = new Random(11);
 
-    /** When each slot of each upstream is free, in microseconds. */
-    private final long[][] free = new long[UPSTREAMS][SLOTS];
+    /** The time at which each slot of each upstream becomes free, in microseconds. */
+    private final long[][] slotFreeMicros = new long[UPSTREAMS][SLOTS_PER_UPSTREAM];
 
-    /** Requests at each upstream. */
+    /** The number of requests in progress at each upstream. */
     private final int[] outstanding = new int[UPSTREAMS];
 
-    /** The requests that have not ended. */
-    private final PriorityQueue<End> ends =
+    /** The completions of the requests in progress, earliest first. */
+    private final PriorityQueue<Completion> completions =
             new PriorityQueue<>((a, b) -> Long.compare(a.atMicros(), b.atMicros()));
 
-    /** Latencies of the answered ones, in microseconds. */
+    /** The latencies of the answered requests, in microseconds. */
     private final List<Long> latencies = new ArrayList<>();
 
-    /** Requests that failed. */
+    /** The number of failed requests. */
     private int failures;
 
     /**
-     * Constructor.
+     * Creates a benchmark.
      *
-     * @param policy chooses upstreams
-     * @param outliers takes bad upstreams out, null for none
+     * @param policy chooses the upstream of each request
+     * @param outlierDetector ejects failing and slow upstreams; null for no ejection
      */
-    public RoutingBenchmark(RoutingPolicy policy, OutlierDetector outliers) {
+    public RoutingBenchmark(RoutingPolicy policy, OutlierDetector outlierDetector) {
         this.policy = policy;
-        this.outliers = outliers;
+        this.outlierDetector = outlierDetector;
     }
 
     /**
-     * Runs the stream.
+     * Routes the stream of requests.
      *
      * @param name the name of the policy
      * @return the result in one line
      */
     public String run(String name) {
-        long now = 0;
+        long nowMicros = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            double load = LOADS[i < REQUESTS / 2 ? 0 : 1];
-            double gap = SERVICE_MICROS / (UPSTREAMS * SLOTS * load);
-            now += (long) (-Math.log(1 - random.nextDouble()) * gap);
-            endUntil(now);
-            send(now);
+            double utilisation = UTILISATIONS[i < REQUESTS / 2 ? 0 : 1];
+            double meanGapMicros =
+                    MEAN_SERVICE_MICROS / (UPSTREAMS * SLOTS_PER_UPSTREAM * utilisation);
+            nowMicros += (long) (-Math.log(1 - random.nextDouble()) * meanGapMicros);
+            completeUntil(nowMicros);
+            send(nowMicros);
         }
-        endUntil(Long.MAX_VALUE);
+        completeUntil(Long.MAX_VALUE);
         long[] sorted = latencies.stream().mapToLong(Long::longValue).sorted().toArray();
         return String.format(
                 "%-28s p50 %6.1f ms  p99 %7.1f ms  failures %5.2f%%",
@@ -122,45 +120,51 @@
     }
 
     // -----------------------------------------------------------------------
-    private void send(long now) {
+    private void send(long nowMicros) {
         List<UpstreamView> candidates = new ArrayList<>();
         for (int i = 0; i < UPSTREAMS; i++) {
             VmId vm = VmId.parse("vm-" + i);
-            if (outliers == null || outliers.isAllowed(vm, now / 1000)) {
-                long latency = outliers == null ? 0 : outliers.getLatencyMicros(vm);
-                candidates.add(new UpstreamView(vm, outstanding[i], SLOTS, 500, latency));
+            if (outlierDetector == null || outlierDetector.isAllowed(vm, nowMicros / 1000)) {
+                long latencyMicros =
+                        outlierDetector == null ? 0 : outlierDetector.getLatencyMicros(vm);
+                candidates.add(
+                        new UpstreamView(
+                                vm, outstanding[i], SLOTS_PER_UPSTREAM, 500, latencyMicros));
             }
         }
         VmId chosen = candidates.get(policy.choose(candidates)).vm();
         int upstream = Integer.parseInt(chosen.toString().substring(3));
-        if (outliers != null) {
-            outliers.recordSend(chosen, now / 1000);
+        if (outlierDetector != null) {
+            outlierDetector.recordSend(chosen, nowMicros / 1000);
         }
-        if (upstream == FAILING) {
+        if (upstream == FAILING_UPSTREAM) {
             failures++;
-            if (outliers != null) {
-                outliers.recordFailure(chosen, now / 1000);
+            if (outlierDetector != null) {
+                outlierDetector.recordFailure(chosen, nowMicros / 1000);
             }
             return;
         }
-        double mean = upstream == SLOW ? SERVICE_MICROS * SLOWNESS : SERVICE_MICROS;
-        long service = (long) (-Math.log(1 - random.nextDouble()) * mean);
-        Arrays.sort(free[upstream]);
-        long start = Math.max(now, free[upstream][0]);
-        free[upstream][0] = start + service;
+        double meanMicros =
+                upstream == SLOW_UPSTREAM ? MEAN_SERVICE_MICROS * SLOW_FACTOR : MEAN_SERVICE_MICROS;
+        long serviceMicros = (long) (-Math.log(1 - random.nextDouble()) * meanMicros);
+        Arrays.sort(slotFreeMicros[upstream]);
+        long startMicros = Math.max(nowMicros, slotFreeMicros[upstream][0]);
+        slotFreeMicros[upstream][0] = startMicros + serviceMicros;
         outstanding[upstream]++;
-        ends.add(new End(start + service, upstream, now));
+        completions.add(new Completion(startMicros + serviceMicros, upstream, nowMicros));
     }
 
-    private void endUntil(long now) {
-        while (!ends.isEmpty() && ends.peek().atMicros() <= now) {
-            End end = ends.remove();
-            outstanding[end.upstream()]--;
-            long latency = end.atMicros() - end.sentMicros();
-            latencies.add(latency);
-            if (outliers != null) {
-                outliers.recordAnswer(
-                        VmId.parse("vm-" + end.upstream()), latency, end.atMicros() / 1000);
+    private void completeUntil(long nowMicros) {
+        while (!completions.isEmpty() && completions.peek().atMicros() <= nowMicros) {
+            Completion completion = completions.remove();
+            outstanding[completion.upstream()]--;
+            long latencyMicros = completion.atMicros() - completion.sentMicros();
+            latencies.add(latencyMicros);
+            if (outlierDetector != null) {
+                outlierDetector.recordAnswer(
+                        VmId.parse("vm-" + completion.upstream()),
+                        latencyMicros,
+                        completion.atMicros() / 1000);
             }
         }
     }
--- a/src/main/java/org/standlink/benchmark/Scenario.java
+++ b/src/main/java/org/standlink/benchmark/Scenario.java
@@ -16,18 +16,18 @@
 package org.standlink.benchmark;
 
 /**
- * A seeded trace to decide on: workers, services, batch classes and hidden interference.
+ * The parameters of a decision benchmark: the workers, their service, the weights and the noise.
  *
  * <p>{@code Scenario} is thread-safe and immutable.
  *
- * @param name the name
+ * @param name the name that is printed
  * @param workers the number of workers
- * @param cores processors of each worker
- * @param memoryMegabytes memory of each worker, in megabytes
- * @param serviceCores processors that the service takes of each worker
+ * @param cores the cores of each worker
+ * @param memoryMegabytes the memory of each worker, in megabytes
+ * @param serviceCores the cores reserved for the service on each worker
  * @param latencyWeight the operators' weight of tail latency
  * @param throughputWeight the operators' weight of batch throughput
- * @param noisy whether one class disturbs three times as much in waves
+ * @param noisy whether one batch class interferes six times as much for 10 minutes of every 30
  */
 public record Scenario(
         String name,
@@ -46,6 +46,6 @@
     /** Smaller workers; tail latency weighs more. */
     public static final Scenario LATENCY = new Scenario("latency", 11, 16, 60_000, 4, 3, 1, false);
 
-    /** Large workers and a wave of noisy tasks. */
+    /** Large workers and recurring periods with noisy tasks. */
     public static final Scenario NOISY = new Scenario("noisy-wave", 11, 32, 125_000, 8, 1, 2, true);
 }
--- a/src/main/java/org/standlink/benchmark/Strategy.java
+++ b/src/main/java/org/standlink/benchmark/Strategy.java
@@ -28,15 +28,15 @@
 import org.standlink.policy.ThresholdRelief;
 
 /**
- * A set of policies to be measured together.
+ * A combination of policies that are benchmarked together.
  *
- * <p>{@code Strategy} is immutable, but the policies in it learn; make a new one for each run.
+ * <p>{@code Strategy} is immutable, but its policies learn; create a new one for each run.
  *
- * @param name the name
- * @param sizes estimates what tasks take
- * @param model learns interference
+ * @param name the name that is printed
+ * @param sizes estimates the resources that tasks need
+ * @param model estimates the interference of tasks with services
  * @param placement chooses workers
- * @param relief protects services
+ * @param relief throttles or evicts tasks to protect services
  */
 public record Strategy(
         String name,
@@ -47,38 +47,39 @@
 
     /** The strategies measured. */
     public enum Kind {
-        /** The baseline of the aim: first fit on declared sizes, threshold relief. */
+        /** The baseline of the comparison: first fit on declared sizes, threshold relief. */
         FIRST_FIT_DECLARED,
         /** The least loaded worker on declared sizes, threshold relief. */
         LEAST_LOADED_DECLARED,
-        /** Everything but learning. */
+        /** The leader's policies with declared sizes and without an interference model. */
         NO_LEARNING,
-        /** What the leader uses. */
+        /** The leader's policies. */
         STANDLINK,
         /** The leader's policies with declared sizes. */
         WITHOUT_LEARNED_SIZES,
-        /** The leader's policies with placement blind to interference. */
+        /** The leader's policies without an interference model. */
         WITHOUT_INTERFERENCE,
         /** The leader's policies with threshold relief. */
         WITHOUT_GRADUAL_RELIEF
     }
 
     /**
-     * Makes a strategy.
+     * Creates a strategy.
      *
      * @param kind the kind
-     * @param scenario gives the weights
+     * @param scenario the scenario, whose weights are used
      * @return the strategy
      */
     public static Strategy of(Kind kind, Scenario scenario) {
-        boolean declared =
+        boolean usesDeclaredSizes =
                 kind == Kind.FIRST_FIT_DECLARED
                         || kind == Kind.LEAST_LOADED_DECLARED
                         || kind == Kind.NO_LEARNING
                         || kind == Kind.WITHOUT_LEARNED_SIZES;
-        SizeEstimator sizes = declared ? SizeEstimator.ofDeclared() : new LearnedSizes();
-        boolean blind = kind == Kind.NO_LEARNING || kind == Kind.WITHOUT_INTERFERENCE;
-        InterferenceModel model = blind ? InterferenceModel.ofNone() : new LearnedInterference();
+        SizeEstimator sizes = usesDeclaredSizes ? SizeEstimator.ofDeclared() : new LearnedSizes();
+        boolean ignoresInterference = kind == Kind.NO_LEARNING || kind == Kind.WITHOUT_INTERFERENCE;
+        InterferenceModel model =
+                ignoresInterference ? InterferenceModel.ofNone() : new LearnedInterference();
         PlacementPolicy placement =
                 switch (kind) {
                     case FIRST_FIT_DECLARED -> new FirstFitPlacement(sizes);
@@ -90,11 +91,12 @@
                                     scenario.latencyWeight(),
                                     scenario.throughputWeight());
                 };
-        boolean threshold =
+        boolean usesThresholdRelief =
                 kind == Kind.FIRST_FIT_DECLARED
                         || kind == Kind.LEAST_LOADED_DECLARED
                         || kind == Kind.WITHOUT_GRADUAL_RELIEF;
-        ReliefPolicy relief = threshold ? new ThresholdRelief() : new GradualRelief(model);
+        ReliefPolicy relief =
+                usesThresholdRelief ? new ThresholdRelief() : new GradualRelief(model);
         return new Strategy(
                 kind.name().toLowerCase(java.util.Locale.ROOT), sizes, model, placement, relief);
     }
--- a/src/main/java/org/standlink/benchmark/package-info.java
+++ b/src/main/java/org/standlink/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements that anyone can repeat with {@code standlink bench}: decisions on seeded traces,
- * routing, cost of decisions, slopes for the capacity page, and the path of a request.
+ * Benchmarks, run with {@code standlink bench}: decisions on seeded traces, routing, the cost of
+ * placement decisions, marginal costs for capacity planning, and the path of a request.
  */
 package org.standlink.benchmark;
