--- a/src/main/java/org/standlink/port/AttemptStatus.java
+++ b/src/main/java/org/standlink/port/AttemptStatus.java
@@ -20,16 +20,16 @@
 import org.standlink.TaskId;
 
 /**
- * What a worker says about an attempt.
+ * The state and the resource usage of an attempt, as reported by its worker.
  *
  * <p>{@code AttemptStatus} is thread-safe and immutable.
  *
  * @param task the task
  * @param attempt the attempt
- * @param state where it stands
+ * @param state the state of the attempt
  * @param checkpoint the last checkpoint, null if none
- * @param reserved what it was started with
- * @param usage the measured usage, which lags; null if none yet
+ * @param reserved the resources that were granted at its start
+ * @param usage the measured usage, reported with a delay; null if not measured yet
  */
 public record AttemptStatus(
         TaskId task,
@@ -39,15 +39,15 @@
         Resources reserved,
         Resources usage) {
 
-    /** Where an attempt stands at its worker. */
+    /** The state of an attempt at its worker. */
     public enum State {
-        /** Running. */
+        /** The attempt is running. */
         RUNNING,
-        /** Done. */
+        /** The attempt has completed. */
         FINISHED,
-        /** Ended without being done. */
+        /** The attempt ended before completion. */
         FAILED,
-        /** Stopped by request or because the lease lapsed. */
+        /** The attempt was stopped on request or because the lease expired. */
         STOPPED
     }
 }
--- a/src/main/java/org/standlink/port/HttpLog.java
+++ b/src/main/java/org/standlink/port/HttpLog.java
@@ -18,19 +18,18 @@
 import com.fasterxml.jackson.core.type.TypeReference;
 
 /**
- * The platform's log over HTTP.
+ * HTTP adapter of the platform's log.
  *
  * <p>{@code HttpLog} is thread-safe and immutable.
  */
 public final class HttpLog implements LogPort {
 
-    /** The calls. */
     private final JsonHttpClient http;
 
     /**
-     * Constructor.
+     * Creates an adapter.
      *
-     * @param http the calls
+     * @param http the HTTP client
      */
     public HttpLog(JsonHttpClient http) {
         this.http = http;
@@ -42,7 +41,8 @@
     }
 
     @Override
-    public LogBatch read(long from, int most) {
-        return http.get("/log?from=" + from + "&most=" + most, new TypeReference<LogBatch>() {});
+    public LogBatch read(long from, int maxRecords) {
+        return http.get(
+                "/log?from=" + from + "&most=" + maxRecords, new TypeReference<LogBatch>() {});
     }
 }
--- a/src/main/java/org/standlink/port/HttpVmList.java
+++ b/src/main/java/org/standlink/port/HttpVmList.java
@@ -19,19 +19,18 @@
 import java.util.List;
 
 /**
- * The platform's VM list over HTTP.
+ * HTTP adapter of the platform's VM list.
  *
  * <p>{@code HttpVmList} is thread-safe and immutable.
  */
 public final class HttpVmList implements VmListPort {
 
-    /** The calls. */
     private final JsonHttpClient http;
 
     /**
-     * Constructor.
+     * Creates an adapter.
      *
-     * @param http the calls
+     * @param http the HTTP client
      */
     public HttpVmList(JsonHttpClient http) {
         this.http = http;
--- a/src/main/java/org/standlink/port/HttpWorker.java
+++ b/src/main/java/org/standlink/port/HttpWorker.java
@@ -21,19 +21,18 @@
 import org.standlink.TaskId;
 
 /**
- * The local worker over HTTP.
+ * HTTP adapter of the local worker.
  *
  * <p>{@code HttpWorker} is thread-safe and immutable.
  */
 public final class HttpWorker implements WorkerPort {
 
-    /** The calls. */
     private final JsonHttpClient http;
 
     /**
-     * Constructor.
+     * Creates an adapter.
      *
-     * @param http the calls
+     * @param http the HTTP client
      */
     public HttpWorker(JsonHttpClient http) {
         this.http = http;
--- a/src/main/java/org/standlink/port/JsonHttpClient.java
+++ b/src/main/java/org/standlink/port/JsonHttpClient.java
@@ -31,67 +31,64 @@
 import org.standlink.StandlinkException;
 
 /**
- * Calls to the platform over HTTP and JSON, with typed errors.
+ * Client for calls to the platform over HTTP with JSON, which maps failures to error codes.
  *
- * <p>A call that was surely not taken fails with PLATFORM_UNAVAILABLE. One that may have been taken
- * fails with PLATFORM_OUTCOME_UNKNOWN. A refusal names its own code in the answer.
+ * <p>A call that certainly had no effect fails with PLATFORM_UNAVAILABLE, and one that may have had
+ * an effect with PLATFORM_OUTCOME_UNKNOWN. A call that the platform rejects fails with the error
+ * code in the answer.
  *
  * <p>{@code JsonHttpClient} is thread-safe and immutable.
  */
 public final class JsonHttpClient {
 
-    /** How long a call may take if nothing else is said. */
-    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    /** The timeout of a call, unless another is specified. */
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(3);
 
-    /** The first HTTP status that means failure. */
-    private static final int FIRST_FAILURE = 400;
+    /** The lowest HTTP status that indicates a failure. */
+    private static final int MIN_FAILURE_STATUS = 400;
 
-    /** The HTTP status of a platform that did not take the call. */
-    private static final int UNAVAILABLE = 503;
+    /** The HTTP status of a call that the platform did not accept. */
+    private static final int UNAVAILABLE_STATUS = 503;
 
-    /** The HTTP status of a refusal with a code. */
-    private static final int CONFLICT = 409;
+    /** The HTTP status of a rejection, whose body contains an error code. */
+    private static final int REJECTED_STATUS = 409;
 
-    /** The serializer. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-    /** The client. */
     private final HttpClient client;
 
-    /** The start of every address. */
-    private final URI base;
+    private final URI baseUri;
 
-    /** How long a call may take. */
     private final Duration timeout;
 
     /**
-     * Constructor.
+     * Creates a client with the default timeout.
      *
-     * @param base the start of every address, such as {@code http://10.0.0.1:7000}
-     * @param client the client, shared by all adapters of a process
+     * @param baseUri the base URI of the requests, such as {@code http://10.0.0.1:7000}
+     * @param client the HTTP client, shared by all adapters of a process
      */
-    public JsonHttpClient(URI base, HttpClient client) {
-        this(base, client, TIMEOUT);
+    public JsonHttpClient(URI baseUri, HttpClient client) {
+        this(baseUri, client, DEFAULT_TIMEOUT);
     }
 
     /**
-     * Constructor with the time that a call may take.
+     * Creates a client.
      *
-     * @param base the start of every address
-     * @param client the client, shared by all adapters of a process
-     * @param timeout how long a call may take
+     * @param baseUri the base URI of the requests
+     * @param client the HTTP client, shared by all adapters of a process
+     * @param timeout the timeout of a call
      */
-    public JsonHttpClient(URI base, HttpClient client, Duration timeout) {
-        this.base = base;
+    public JsonHttpClient(URI baseUri, HttpClient client, Duration timeout) {
+        this.baseUri = baseUri;
         this.client = client;
         this.timeout = timeout;
     }
 
     /**
-     * Makes the client that the adapters of a process share.
+     * Creates the HTTP client that all adapters of a process share.
      *
-     * @param executor where the client's threads come from
+     * @param executor the executor of the client
      * @return the client
      */
     public static HttpClient newClient(Executor executor) {
@@ -103,14 +100,14 @@
     }
 
     /**
-     * Posts a value as JSON.
+     * Sends a POST request with a value as JSON, or with the given bytes unchanged.
      *
      * @param <T> the type of the answer
      * @param path the path
-     * @param body the value
+     * @param body the value, or a byte array
      * @param type the type of the answer
      * @return the answer
-     * @throws StandlinkException as the class says
+     * @throws StandlinkException if the call fails, with a code as specified for this class
      */
     public <T> T post(String path, Object body, TypeReference<T> type) {
         byte[] bytes = body instanceof byte[] raw ? raw : encode(body);
@@ -118,13 +115,13 @@
     }
 
     /**
-     * Gets a value.
+     * Sends a GET request.
      *
      * @param <T> the type of the answer
      * @param path the path with its query
      * @param type the type of the answer
      * @return the answer
-     * @throws StandlinkException as the class says
+     * @throws StandlinkException if the call fails, with a code as specified for this class
      */
     public <T> T get(String path, TypeReference<T> type) {
         return send(request(path).GET(), type);
@@ -132,37 +129,40 @@
 
     // -----------------------------------------------------------------------
     private HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(base.resolve(path)).timeout(timeout);
+        return HttpRequest.newBuilder(baseUri.resolve(path)).timeout(timeout);
     }
 
     private <T> T send(HttpRequest.Builder request, TypeReference<T> type) {
         try {
             HttpResponse<byte[]> response =
                     client.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-            if (response.statusCode() >= FIRST_FAILURE) {
-                throw failure(response);
+            if (response.statusCode() >= MIN_FAILURE_STATUS) {
+                throw toException(response);
             }
             return MAPPER.readValue(response.body(), type);
         } catch (ConnectException | HttpConnectTimeoutException notSent) {
             throw unavailable(notSent);
-        } catch (IOException lost) {
-            throw unknown(lost);
-        } catch (InterruptedException stopped) {
+        } catch (IOException ioFailure) {
+            throw outcomeUnknown(ioFailure);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw unknown(stopped);
+            throw outcomeUnknown(interrupted);
         }
     }
 
-    private static StandlinkException failure(HttpResponse<byte[]> response) throws IOException {
-        if (response.statusCode() == UNAVAILABLE) {
+    private static StandlinkException toException(HttpResponse<byte[]> response)
+            throws IOException {
+        if (response.statusCode() == UNAVAILABLE_STATUS) {
             return unavailable(null);
         }
-        if (response.statusCode() == CONFLICT) {
+        if (response.statusCode() == REJECTED_STATUS) {
             PlatformRefusal refusal = MAPPER.readValue(response.body(), PlatformRefusal.class);
             return new StandlinkException(
-                    refusal.code(), "the platform refused: " + refusal.reason(), "see the reason");
+                    refusal.code(),
+                    "the platform rejected the request: " + refusal.reason(),
+                    "see the reason");
         }
-        return unknown(new IOException("HTTP status " + response.statusCode()));
+        return outcomeUnknown(new IOException("HTTP status " + response.statusCode()));
     }
 
     private static byte[] encode(Object body) {
@@ -170,23 +170,26 @@
             return MAPPER.writeValueAsBytes(body);
         } catch (IOException impossible) {
             throw new StandlinkException(
-                    ErrorCode.INTERNAL, "value not encoded", "report a defect", impossible);
+                    ErrorCode.INTERNAL,
+                    "request body cannot be serialised as JSON",
+                    "report a defect",
+                    impossible);
         }
     }
 
     private static StandlinkException unavailable(Throwable cause) {
         return new StandlinkException(
                 ErrorCode.PLATFORM_UNAVAILABLE,
-                "the platform did not take the call",
-                "try again later; nothing was changed",
+                "the platform did not accept the request",
+                "try again later; the request had no effect",
                 cause);
     }
 
-    private static StandlinkException unknown(Throwable cause) {
+    private static StandlinkException outcomeUnknown(Throwable cause) {
         return new StandlinkException(
                 ErrorCode.PLATFORM_OUTCOME_UNKNOWN,
-                "the platform's answer was lost",
-                "read the state back before trying again",
+                "no valid answer from the platform; the outcome of the request is unknown",
+                "read the current state before trying again",
                 cause);
     }
 }
--- a/src/main/java/org/standlink/port/LogBatch.java
+++ b/src/main/java/org/standlink/port/LogBatch.java
@@ -18,12 +18,12 @@
 import java.util.List;
 
 /**
- * A run of records from the log.
+ * A contiguous sequence of records from the log.
  *
  * <p>{@code LogBatch} is thread-safe and immutable.
  *
- * @param firstRetained the offset of the oldest record that the log still has
- * @param end the offset that the next record will get
- * @param entries the records, in order without holes
+ * @param firstRetained the offset of the oldest record that the log retains
+ * @param end the offset of the next record to be appended
+ * @param entries the records, in ascending order of offset and without gaps
  */
 public record LogBatch(long firstRetained, long end, List<LogEntry> entries) {}
--- a/src/main/java/org/standlink/port/LogEntry.java
+++ b/src/main/java/org/standlink/port/LogEntry.java
@@ -16,11 +16,11 @@
 package org.standlink.port;
 
 /**
- * One record of the log with its offset.
+ * A record of the log with its offset.
  *
  * <p>{@code LogEntry} is thread-safe and immutable.
  *
- * @param offset the offset
+ * @param offset the offset of the record
  * @param record the bytes of the record
  */
 public record LogEntry(long offset, byte[] record) {}
--- a/src/main/java/org/standlink/port/LogPort.java
+++ b/src/main/java/org/standlink/port/LogPort.java
@@ -26,19 +26,21 @@
      * Appends a record.
      *
      * @param record the bytes of the record
-     * @return the offset given to it
-     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE if it had no effect,
-     *     or PLATFORM_OUTCOME_UNKNOWN if it may have been appended or may yet be
+     * @return the offset of the record
+     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE if the call had no
+     *     effect, or PLATFORM_OUTCOME_UNKNOWN if the record may have been appended or may still be
+     *     appended later
      */
     long append(byte[] record);
 
     /**
      * Reads records in order.
      *
-     * @param from the first offset wanted
-     * @param most how many records to return at the most
-     * @return the records from there on, or from the first retained one if that is later
-     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE
+     * @param from the first offset to read
+     * @param maxRecords the maximum number of records to return
+     * @return the records from that offset, or from the first retained one if that is later
+     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE if the platform did
+     *     not accept the call
      */
-    LogBatch read(long from, int most);
+    LogBatch read(long from, int maxRecords);
 }
--- a/src/main/java/org/standlink/port/PlatformRefusal.java
+++ b/src/main/java/org/standlink/port/PlatformRefusal.java
@@ -18,11 +18,11 @@
 import org.standlink.ErrorCode;
 
 /**
- * The body of an answer by which the platform refuses a call.
+ * The body of an answer with which the platform rejects a call.
  *
  * <p>{@code PlatformRefusal} is thread-safe and immutable.
  *
- * @param code the kind of refusal
- * @param reason why
+ * @param code the kind of error
+ * @param reason the reason for the rejection
  */
 public record PlatformRefusal(ErrorCode code, String reason) {}
--- a/src/main/java/org/standlink/port/TaskStart.java
+++ b/src/main/java/org/standlink/port/TaskStart.java
@@ -20,15 +20,15 @@
 import org.standlink.TaskId;
 
 /**
- * What a worker is asked to start.
+ * A request to a worker to start an attempt of a task.
  *
  * <p>{@code TaskStart} is thread-safe and immutable.
  *
  * @param task the task
  * @param attempt the attempt
- * @param resources what it may use
+ * @param resources the resources that the attempt may use
  * @param runSeconds the declared run time, in seconds
- * @param checkpoint where to resume from, null to start afresh
+ * @param checkpoint the checkpoint to resume from, null to start from the beginning
  */
 public record TaskStart(
         TaskId task, Attempt attempt, Resources resources, long runSeconds, String checkpoint) {}
--- a/src/main/java/org/standlink/port/VmEntry.java
+++ b/src/main/java/org/standlink/port/VmEntry.java
@@ -18,12 +18,12 @@
 import org.standlink.VmId;
 
 /**
- * What the platform's list says about a VM.
+ * An entry of the platform's VM list.
  *
  * <p>{@code VmEntry} is thread-safe and immutable.
  *
  * @param vm the VM
- * @param address host and port of the agent on it
- * @param leaving whether the VM is about to leave
+ * @param address the host and port of the agent on the VM
+ * @param leaving whether the VM is about to be removed
  */
 public record VmEntry(VmId vm, String address, boolean leaving) {}
--- a/src/main/java/org/standlink/port/VmListPort.java
+++ b/src/main/java/org/standlink/port/VmListPort.java
@@ -18,9 +18,9 @@
 import java.util.List;
 
 /**
- * The platform's lagging list of VMs.
+ * The platform's list of VMs, which is updated with a delay.
  *
- * <p>The list is a hint: what it says about a VM may be old. Implementations are thread-safe.
+ * <p>The list is only a hint, as its entries may be out of date. Implementations are thread-safe.
  */
 public interface VmListPort {
 
@@ -28,7 +28,8 @@
      * Reads the list.
      *
      * @return the VMs
-     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE
+     * @throws org.standlink.StandlinkException with code PLATFORM_UNAVAILABLE if the platform did
+     *     not accept the call
      */
     List<VmEntry> list();
 }
--- a/src/main/java/org/standlink/port/WorkerLease.java
+++ b/src/main/java/org/standlink/port/WorkerLease.java
@@ -20,7 +20,8 @@
  *
  * <p>{@code WorkerLease} is thread-safe and immutable.
  *
- * @param token names the lease
- * @param lengthMillis how long it lasts from the call that took or renewed it, in milliseconds
+ * @param token the token that identifies the lease
+ * @param lengthMillis the duration of the lease from the call that acquired or renewed it, in
+ *     milliseconds
  */
 public record WorkerLease(String token, long lengthMillis) {}
--- a/src/main/java/org/standlink/port/WorkerPort.java
+++ b/src/main/java/org/standlink/port/WorkerPort.java
@@ -22,62 +22,69 @@
 /**
  * The worker of a VM, which runs tasks under a lease.
  *
- * <p>When a lease lapses the worker stops what runs under it. Each call may fail with
+ * <p>When a lease expires, the worker stops the tasks that run under it. Each call may fail with
  * PLATFORM_UNAVAILABLE (no effect) or PLATFORM_OUTCOME_UNKNOWN. Implementations are thread-safe.
  */
 public interface WorkerPort {
 
     /**
-     * Takes the worker's lease, ending any other holder's and what runs under it.
+     * Acquires the worker's lease.
      *
-     * @param holder names the holder
+     * <p>An earlier lease of the same holder becomes invalid, while its tasks keep running. The
+     * tasks of another holder's lease have ended, as its lease has expired.
+     *
+     * @param holder the name of the holder
      * @return the lease
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED while another holder's lease
-     *     is live
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED while the lease of another
+     *     holder is in force
      */
     WorkerLease acquire(String holder);
 
     /**
-     * Renews a lease that has not lapsed.
+     * Renews a lease that has not expired.
      *
      * @param lease the lease
-     * @return the lease with its new length
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if it has lapsed
+     * @return the lease with its new duration
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if it has expired
      */
     WorkerLease renew(WorkerLease lease);
 
     /**
-     * Starts an attempt; starting the same attempt twice has no further effect.
+     * Starts an attempt; the call is idempotent.
+     *
+     * <p>An attempt that was stopped is not started afterwards, even if the stop arrived before the
+     * start.
      *
-     * @param lease a live lease
-     * @param start what to start
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED or NO_CAPACITY
+     * @param lease a lease in force
+     * @param start the attempt to start
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if the lease is not in force,
+     *     or NO_CAPACITY if the worker lacks free capacity
      */
     void start(WorkerLease lease, TaskStart start);
 
     /**
      * Stops an attempt after taking a checkpoint.
      *
-     * @param lease a live lease
+     * @param lease a lease in force
      * @param task the task
      * @param attempt the attempt
-     * @return where it stands now that it has stopped
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED
+     * @return the state of the attempt after the stop
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if the lease is not in force
      */
     AttemptStatus stop(WorkerLease lease, TaskId task, Attempt attempt);
 
     /**
-     * Limits the processors of an attempt.
+     * Limits the processor usage of a task.
      *
-     * @param lease a live lease
+     * @param lease a lease in force
      * @param task the task
-     * @param percent the share of its processors it may use, 1 to 100
-     * @throws org.standlink.StandlinkException with code LEASE_LAPSED
+     * @param percent the share of its processors that the task may use, 1 to 100
+     * @throws org.standlink.StandlinkException with code LEASE_LAPSED if the lease is not in force
      */
     void throttle(WorkerLease lease, TaskId task, int percent);
 
     /**
-     * Tells what runs and what has ended lately, with usage that lags.
+     * Lists the running and the recently ended attempts; their usage is reported with a delay.
      *
      * @return the attempts known to the worker
      */
--- a/src/main/java/org/standlink/port/WorkerRequest.java
+++ b/src/main/java/org/standlink/port/WorkerRequest.java
@@ -19,15 +19,16 @@
 import org.standlink.TaskId;
 
 /**
- * The body of a call to a worker about a task.
+ * The body of a call to a worker that concerns a task.
  *
  * <p>{@code WorkerRequest} is thread-safe and immutable.
  *
- * @param lease the lease to act under
- * @param start what to start, null for other calls
+ * @param lease the lease under which the call is made
+ * @param start the attempt to start, null for other calls
  * @param task the task, null for a start
- * @param attempt the attempt, null if it does not matter
- * @param percent the throttle, in percent
+ * @param attempt the attempt, null for a start or a throttle
+ * @param percent the share of its processors that the task may use, in percent; 0 for calls other
+ *     than a throttle
  */
 public record WorkerRequest(
         WorkerLease lease, TaskStart start, TaskId task, Attempt attempt, int percent) {}
--- a/src/main/java/org/standlink/port/package-info.java
+++ b/src/main/java/org/standlink/port/package-info.java
@@ -1,6 +1,7 @@
 /**
  * The ports to the platform (log, VM list, worker) and their HTTP adapters.
  *
- * <p>The core knows only the interfaces. Another platform is met by another set of adapters.
+ * <p>The core depends only on the interfaces. Support for another platform requires another set of
+ * adapters only.
  */
 package org.standlink.port;
--- a/src/test/java/org/standlink/port/TestJsonHttpClient.java
+++ b/src/test/java/org/standlink/port/TestJsonHttpClient.java
@@ -35,7 +35,7 @@
 import org.standlink.process.HttpService;
 import org.standlink.process.ProcessThreads;
 
-/** A table of what may go wrong with a call, and what the adapter makes of it. */
+/** Tests the error code of each kind of failed call. */
 public class TestJsonHttpClient {
 
     private final ExecutorService executor = ProcessThreads.newCached("test");
@@ -75,7 +75,7 @@
     private void awaitEnd() {
         try {
             ended.await();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/test/java/org/standlink/port/TestLogContract.java
+++ b/src/test/java/org/standlink/port/TestLogContract.java
@@ -35,7 +35,7 @@
 import org.standlink.standin.MemoryVmList;
 import org.standlink.standin.StandInHttpServices;
 
-/** The contract of the log, the same for the fake and for the HTTP adapter with the stand-in. */
+/** Tests the contract of the log, for the log in memory and for the HTTP adapter in front of it. */
 public class TestLogContract {
 
     private static final int RATE = 5;
--- a/src/test/java/org/standlink/port/TestVmListContract.java
+++ b/src/test/java/org/standlink/port/TestVmListContract.java
@@ -36,7 +36,8 @@
 import org.standlink.standin.StandInHttpServices;
 
 /**
- * The contract of the VM list, the same for the fake and for the HTTP adapter with the stand-in.
+ * Tests the contract of the VM list, for the list in memory and for the HTTP adapter in front of
+ * it.
  */
 public class TestVmListContract {
 
--- a/src/test/java/org/standlink/port/TestWorkerContract.java
+++ b/src/test/java/org/standlink/port/TestWorkerContract.java
@@ -35,7 +35,9 @@
 import org.standlink.standin.MemoryWorker;
 import org.standlink.standin.StandInHttpServices;
 
-/** The contract of a worker, the same for the fake and for the HTTP adapter with the stand-in. */
+/**
+ * Tests the contract of a worker, for the worker in memory and for the HTTP adapter in front of it.
+ */
 public class TestWorkerContract {
 
     private static final TaskId TASK = TaskId.parse("scan#0");
@@ -116,13 +118,13 @@
     @EnumSource(Kind.class)
     void refusesAnotherHolderAndAnOldToken(Kind kind) {
         WorkerPort worker = worker(kind);
-        WorkerLease old = worker.acquire("vm-1");
-        worker.start(old, start(FIRST, 2, null));
+        WorkerLease superseded = worker.acquire("vm-1");
+        worker.start(superseded, start(FIRST, 2, null));
         assertFails(ErrorCode.LEASE_LAPSED, () -> worker.acquire("vm-2"));
-        WorkerLease taken = worker.acquire("vm-1");
+        WorkerLease reacquired = worker.acquire("vm-1");
         assertEquals(AttemptStatus.State.RUNNING, worker.list().get(0).state());
-        assertFails(ErrorCode.LEASE_LAPSED, () -> worker.stop(old, TASK, FIRST));
-        assertEquals(AttemptStatus.State.STOPPED, worker.stop(taken, TASK, FIRST).state());
+        assertFails(ErrorCode.LEASE_LAPSED, () -> worker.stop(superseded, TASK, FIRST));
+        assertEquals(AttemptStatus.State.STOPPED, worker.stop(reacquired, TASK, FIRST).state());
     }
 
     @ParameterizedTest
