--- a/src/main/java/org/standlink/AbstractIdentifier.java
+++ b/src/main/java/org/standlink/AbstractIdentifier.java
@@ -19,39 +19,37 @@
 import java.util.regex.Pattern;
 
 /**
- * A short checked text that names something.
+ * A validated, short textual identifier.
  *
- * <p>Subclasses differ only in type, so that one kind of name is never taken for another.
+ * <p>Subclasses differ only in type, so that the compiler distinguishes the kinds of identifiers.
  *
  * <p>{@code AbstractIdentifier} is thread-safe and immutable, and its subclasses must be as well.
  */
 public abstract class AbstractIdentifier implements Comparable<AbstractIdentifier> {
 
-    /** What an identifier may look like. */
-    private static final Pattern FORM = Pattern.compile("[a-z0-9][a-z0-9._-]{0,63}");
+    private static final Pattern VALID_PATTERN = Pattern.compile("[a-z0-9][a-z0-9._-]{0,63}");
 
-    /** The text. */
     private final String value;
 
     /**
-     * Constructor.
+     * Creates an identifier.
      *
-     * @param value the checked text
+     * @param value the text, already validated
      */
     protected AbstractIdentifier(String value) {
         this.value = value;
     }
 
     /**
-     * Checks the form of an identifier.
+     * Validates the text of an identifier.
      *
-     * @param kind the name of the type, for the message
+     * @param kind the name of the type, for the error message
      * @param text the text to check
      * @return the text
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the form is wrong
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     protected static String check(String kind, String text) {
-        if (text == null || !FORM.matcher(text).matches()) {
+        if (text == null || !VALID_PATTERN.matcher(text).matches()) {
             throw new StandlinkException(
                     ErrorCode.INVALID_IDENTIFIER,
                     kind + " '" + text + "' is not an identifier",
--- a/src/main/java/org/standlink/AbstractSequence.java
+++ b/src/main/java/org/standlink/AbstractSequence.java
@@ -18,9 +18,9 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * A number that only rises.
+ * A non-negative number of a sequence whose values only increase.
  *
- * <p>Subclasses differ only in type, so that one kind of number is never taken for another.
+ * <p>Subclasses differ only in type, so that the compiler distinguishes the kinds of numbers.
  *
  * <p>{@code AbstractSequence} is thread-safe and immutable, and its subclasses must be as well.
  *
@@ -28,13 +28,12 @@
  */
 public abstract class AbstractSequence<T extends AbstractSequence<T>> implements Comparable<T> {
 
-    /** The number. */
     private final long value;
 
     /**
-     * Constructor.
+     * Creates a sequence number.
      *
-     * @param value the checked number
+     * @param value the number, already validated
      */
     protected AbstractSequence(long value) {
         this.value = value;
@@ -43,7 +42,7 @@
     /**
      * Checks that a number is not negative.
      *
-     * @param kind the name of the type, for the message
+     * @param kind the name of the type, for the error message
      * @param value the number to check
      * @return the number
      * @throws StandlinkException with code INVALID_IDENTIFIER if the number is negative
@@ -70,14 +69,14 @@
     }
 
     /**
-     * Gets the value after this one.
+     * Gets the value that follows this one.
      *
      * @return the next value
      */
     public abstract T next();
 
     /**
-     * Checks whether this value comes after another.
+     * Checks whether this value is greater than another.
      *
      * @param other the value to compare with
      * @return true if this value is greater
--- a/src/main/java/org/standlink/Attempt.java
+++ b/src/main/java/org/standlink/Attempt.java
@@ -18,32 +18,27 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * The number of a try at running a task.
+ * The number of an attempt to run a task.
  *
- * <p>The fold of the log accepts an assignment only with the attempt after the last one, so a task
- * resumes once per eviction.
+ * <p>The fold of the log accepts an assignment only if its attempt immediately follows the last
+ * one, so a task is resumed at most once per eviction.
  *
  * <p>{@code Attempt} is thread-safe and immutable.
  */
 public final class Attempt extends AbstractSequence<Attempt> {
 
-    /** The value before the first. */
+    /** The value that precedes the first attempt. */
     public static final Attempt NONE = new Attempt(0);
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked number
-     */
     private Attempt(long value) {
         super(value);
     }
 
     /**
-     * Makes a value from its number.
+     * Creates an attempt from its number.
      *
      * @param value the number, zero or more
-     * @return the value
+     * @return the attempt
      * @throws StandlinkException with code INVALID_IDENTIFIER if the number is negative
      */
     @JsonCreator
--- a/src/main/java/org/standlink/BundleVersion.java
+++ b/src/main/java/org/standlink/BundleVersion.java
@@ -20,29 +20,25 @@
 /**
  * The version of a bundle.
  *
- * <p>Versions of accepted bundles rise by one; version zero means that none was accepted yet.
+ * <p>Each accepted bundle increases the version by one; version zero means that no bundle has been
+ * accepted.
  *
  * <p>{@code BundleVersion} is thread-safe and immutable.
  */
 public final class BundleVersion extends AbstractSequence<BundleVersion> {
 
-    /** The value before the first. */
+    /** The value that precedes the first version. */
     public static final BundleVersion NONE = new BundleVersion(0);
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked number
-     */
     private BundleVersion(long value) {
         super(value);
     }
 
     /**
-     * Makes a value from its number.
+     * Creates a version from its number.
      *
      * @param value the number, zero or more
-     * @return the value
+     * @return the version
      * @throws StandlinkException with code INVALID_IDENTIFIER if the number is negative
      */
     @JsonCreator
--- a/src/main/java/org/standlink/CellId.java
+++ b/src/main/java/org/standlink/CellId.java
@@ -18,19 +18,14 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * Identifies a cell, the group of workers that one leader looks after.
+ * Identifies a cell, the group of workers that one leader manages.
  *
- * <p>A cell has at most 32 workers, which bounds what its leader carries.
+ * <p>A cell has at most 32 workers, which bounds the load of its leader.
  *
  * <p>{@code CellId} is thread-safe and immutable.
  */
 public final class CellId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private CellId(String value) {
         super(value);
     }
@@ -38,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static CellId parse(String text) {
--- a/src/main/java/org/standlink/Epoch.java
+++ b/src/main/java/org/standlink/Epoch.java
@@ -20,30 +20,25 @@
 /**
  * The fencing token of a cell's leadership.
  *
- * <p>Each accepted claim of leadership raises the epoch by one; records and messages of an older
- * epoch are void.
+ * <p>Each accepted claim of leadership increases the epoch by one; records and messages of an
+ * earlier epoch are ignored.
  *
  * <p>{@code Epoch} is thread-safe and immutable.
  */
 public final class Epoch extends AbstractSequence<Epoch> {
 
-    /** The value before the first. */
+    /** The value that precedes the first epoch. */
     public static final Epoch NONE = new Epoch(0);
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked number
-     */
     private Epoch(long value) {
         super(value);
     }
 
     /**
-     * Makes a value from its number.
+     * Creates an epoch from its number.
      *
      * @param value the number, zero or more
-     * @return the value
+     * @return the epoch
      * @throws StandlinkException with code INVALID_IDENTIFIER if the number is negative
      */
     @JsonCreator
--- a/src/main/java/org/standlink/ErrorCode.java
+++ b/src/main/java/org/standlink/ErrorCode.java
@@ -16,59 +16,53 @@
 package org.standlink;
 
 /**
- * The kinds of errors, each with the exit code that the command ends with.
+ * The kinds of errors, each with the exit code of the command line tool.
  *
- * <p>Exit codes: 0 done, 1 internal error, 2 wrong usage, 3 invalid input, 4 refused by the
- * system's state, 5 something needed cannot be reached, 6 the outcome is not known.
+ * <p>Exit codes: 0 success, 1 internal error, 2 incorrect usage, 3 invalid input, 4 rejected
+ * because of the current state, 5 a required resource is unavailable, 6 outcome unknown.
  */
 public enum ErrorCode {
     /** A defect of standlink itself. */
     INTERNAL(1),
-    /** The command line is wrong. */
+    /** The command line is invalid. */
     USAGE(2),
-    /** A name or number does not have the form of its type. */
+    /** A name or number is not valid for its type. */
     INVALID_IDENTIFIER(3),
-    /** A settings file has faults. */
+    /** A settings file is invalid. */
     INVALID_SETTINGS(3),
-    /** A bundle has faults. */
+    /** A bundle is invalid. */
     INVALID_BUNDLE(3),
-    /** A signature is missing, wrong or by the author. */
+    /** A signature is missing or invalid, or only the author has signed. */
     INVALID_SIGNATURE(3),
     /** A frame or record could not be decoded. */
     INVALID_MESSAGE(3),
-    /** The base of a bundle is not the version in force. */
+    /** The base version of a bundle is not the version in force. */
     STALE_BASE(4),
-    /** A lease has lapsed or was never held. */
+    /** A lease has expired or was never held. */
     LEASE_LAPSED(4),
-    /** A start was refused because the machine does not have the room. */
+    /** A start was rejected because the machine lacks free capacity. */
     NO_CAPACITY(4),
-    /** The retained log starts after what is needed, and no snapshot covers it. */
+    /** The required records are no longer retained in the log, and no snapshot covers them. */
     LOG_GAP(4),
     /** A file could not be read or written. */
     FILE(5),
-    /** A conditional write found another state than expected. */
+    /** A conditional write failed because the stored state was not the expected one. */
     CONDITION_FAILED(4),
-    /** A newer leader has written; this one may not write any more. */
+    /** A newer leader has written, so this one may no longer write. */
     EPOCH_FENCED(4),
-    /** The platform did not take the call; it had no effect. */
+    /** The platform did not accept the request, which had no effect. */
     PLATFORM_UNAVAILABLE(5),
     /** A peer could not be reached; nothing was sent. */
     PEER_UNREACHABLE(5),
-    /** The call to the platform may or may not have had its effect. */
+    /** The request to the platform may or may not have taken effect. */
     PLATFORM_OUTCOME_UNKNOWN(6),
     /** The connection to a peer was lost after something was sent. */
     CONNECTION_LOST(6),
-    /** No answer came in time. */
+    /** No answer was received before the timeout. */
     TIMEOUT(6);
 
-    /** The exit code of the command. */
     private final int exitCode;
 
-    /**
-     * Constructor.
-     *
-     * @param exitCode the exit code of the command
-     */
     ErrorCode(int exitCode) {
         this.exitCode = exitCode;
     }
--- a/src/main/java/org/standlink/Fence.java
+++ b/src/main/java/org/standlink/Fence.java
@@ -19,48 +19,39 @@
 import java.util.Objects;
 
 /**
- * Orders the orders to one worker: by the epoch of the leader, then by the generation of the lease
- * under which it gave them.
+ * Defines the precedence of the orders to a worker: by the epoch of the leader, then by the
+ * generation of the lease under which the order was sent.
  *
- * <p>A worker does nothing for a lower one than it has seen, so that what was given up with a lease
- * cannot begin any more, however late the call is carried out.
+ * <p>A worker rejects orders with a lower fence than the highest that it has received. A run that
+ * was abandoned with a lease therefore cannot start afterwards, however late the call is executed.
  *
  * <p>{@code Fence} is thread-safe and immutable.
  */
 public final class Fence implements Comparable<Fence> {
 
-    /** The value before the first. */
+    /** The value that precedes the first fence. */
     public static final Fence NONE = new Fence(Epoch.NONE, LeaseGeneration.NONE);
 
     /**
-     * The bits of a token that hold the generation; the others are left for the epoch. A token
-     * stays exact as a JSON number up to 2^53.
+     * The number of low bits of a token that hold the generation; the epoch occupies the higher
+     * ones. A JSON number represents a token exactly up to 2^53.
      */
     private static final int GENERATION_BITS = 26;
 
-    /** The order of fences. */
     private static final Comparator<Fence> ORDER =
             Comparator.comparing(Fence::getEpoch).thenComparing(Fence::getGeneration);
 
-    /** The epoch. */
     private final Epoch epoch;
 
-    /** The generation of the lease. */
     private final LeaseGeneration generation;
 
-    /**
-     * Constructor.
-     *
-     * @param epoch the epoch
-     * @param generation the generation of the lease
-     */
     private Fence(Epoch epoch, LeaseGeneration generation) {
         this.epoch = epoch;
         this.generation = generation;
     }
 
     /**
-     * Makes a fence.
+     * Creates a fence.
      *
      * @param epoch the epoch of the leader, not null
      * @param generation the generation of the lease, not null
@@ -93,19 +84,19 @@
     }
 
     /**
-     * Checks whether this fence comes after another.
+     * Checks whether this fence is higher than another.
      *
-     * @param other the other
-     * @return true if it is higher
+     * @param other the fence to compare with
+     * @return true if this fence is higher
      */
     public boolean isAfter(Fence other) {
         return compareTo(other) > 0;
     }
 
     /**
-     * Works out the number that a worker compares.
+     * Computes the fencing token that a worker compares.
      *
-     * @return the number, which rises with the fence
+     * @return the token; a higher fence has a greater token
      */
     public long toToken() {
         return (epoch.getValue() << GENERATION_BITS) + generation.getValue();
--- a/src/main/java/org/standlink/HallId.java
+++ b/src/main/java/org/standlink/HallId.java
@@ -20,17 +20,13 @@
 /**
  * Identifies a hall, the failure domain above racks.
  *
- * <p>Halls of one region are near each other; the distance between two is given in the bundle.
+ * <p>The halls of a region are close to each other; the bundle specifies the distance between each
+ * two.
  *
  * <p>{@code HallId} is thread-safe and immutable.
  */
 public final class HallId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private HallId(String value) {
         super(value);
     }
@@ -38,9 +34,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static HallId parse(String text) {
--- a/src/main/java/org/standlink/Incarnation.java
+++ b/src/main/java/org/standlink/Incarnation.java
@@ -22,30 +22,23 @@
 /**
  * Identifies one run of a process.
  *
- * <p>A process draws a new incarnation when it starts. Whatever was promised by one incarnation is
- * not known to the next.
+ * <p>A process generates a new incarnation when it starts. An incarnation does not know the
+ * commitments of the previous one.
  *
  * <p>{@code Incarnation} is thread-safe and immutable.
  */
 public final class Incarnation {
 
-    /** The source of new incarnations. */
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    /** The random number. */
     private final long value;
 
-    /**
-     * Constructor.
-     *
-     * @param value the random number
-     */
     private Incarnation(long value) {
         this.value = value;
     }
 
     /**
-     * Makes an incarnation from its number.
+     * Creates an incarnation from its number.
      *
      * @param value the number
      * @return the incarnation
@@ -56,9 +49,9 @@
     }
 
     /**
-     * Draws a new incarnation.
+     * Generates a random incarnation.
      *
-     * @return an incarnation that no other process has, but for one chance in 2^64
+     * @return an incarnation; the probability that it equals a given other one is 2^-64
      */
     public static Incarnation ofRandom() {
         return new Incarnation(RANDOM.nextLong());
--- a/src/main/java/org/standlink/LeaseGeneration.java
+++ b/src/main/java/org/standlink/LeaseGeneration.java
@@ -18,32 +18,27 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * The generation of a node lease.
+ * The generation of an agent's lease.
  *
- * <p>A leader raises the generation when it has released the tasks of a silent agent; starts of an
- * older generation are refused.
+ * <p>A leader increases the generation after it has released the tasks of an unresponsive agent;
+ * starts of an earlier generation are rejected.
  *
  * <p>{@code LeaseGeneration} is thread-safe and immutable.
  */
 public final class LeaseGeneration extends AbstractSequence<LeaseGeneration> {
 
-    /** The value before the first. */
+    /** The value that precedes the first generation. */
     public static final LeaseGeneration NONE = new LeaseGeneration(0);
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked number
-     */
     private LeaseGeneration(long value) {
         super(value);
     }
 
     /**
-     * Makes a value from its number.
+     * Creates a generation from its number.
      *
      * @param value the number, zero or more
-     * @return the value
+     * @return the generation
      * @throws StandlinkException with code INVALID_IDENTIFIER if the number is negative
      */
     @JsonCreator
--- a/src/main/java/org/standlink/OperatorId.java
+++ b/src/main/java/org/standlink/OperatorId.java
@@ -18,19 +18,14 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * Identifies an operator who may write or sign off bundles.
+ * Identifies an operator who may write or approve bundles.
  *
- * <p>The operator's public key stands in the bundle.
+ * <p>The bundle contains the operator's public key.
  *
  * <p>{@code OperatorId} is thread-safe and immutable.
  */
 public final class OperatorId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private OperatorId(String value) {
         super(value);
     }
@@ -38,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static OperatorId parse(String text) {
--- a/src/main/java/org/standlink/Outcome.java
+++ b/src/main/java/org/standlink/Outcome.java
@@ -15,23 +15,18 @@
  */
 package org.standlink;
 
-/** What became of a request. */
+/** The outcome of a request. */
 public enum Outcome {
-    /** The upstream ran the request and its whole answer is here. */
+    /** The upstream executed the request, and its answer was received in full. */
     ANSWERED("answered"),
-    /** The request did not run and never will under this id. */
+    /** The request was not executed and never will be under this id. */
     NOT_RUN("not-run"),
-    /** The request may have run, may be running, or may not have run. */
+    /** The request may have been executed, may be in execution, or may not have been executed. */
     UNKNOWN("unknown");
 
-    /** The text told to callers. */
+    /** The text that callers receive. */
     private final String text;
 
-    /**
-     * Constructor.
-     *
-     * @param text the text told to callers
-     */
     Outcome(String text) {
         this.text = text;
     }
--- a/src/main/java/org/standlink/RackId.java
+++ b/src/main/java/org/standlink/RackId.java
@@ -20,17 +20,12 @@
 /**
  * Identifies a rack of VMs that share a switch.
  *
- * <p>Racks are named in the bundle, beside each worker.
+ * <p>The bundle specifies the rack of each worker.
  *
  * <p>{@code RackId} is thread-safe and immutable.
  */
 public final class RackId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private RackId(String value) {
         super(value);
     }
@@ -38,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static RackId parse(String text) {
--- a/src/main/java/org/standlink/RendezvousHash.java
+++ b/src/main/java/org/standlink/RendezvousHash.java
@@ -21,17 +21,18 @@
 import java.util.zip.CRC32;
 
 /**
- * Orders VMs for a key so that every process orders them alike, and so that a change of the list
- * moves only the keys of the VM that came or went (highest random weight).
+ * Rendezvous hashing (highest random weight) of keys to VMs.
+ *
+ * <p>Every process computes the same order of VMs for a key, and a change of the list reassigns
+ * only the keys of the VM that was added or removed.
  *
  * <p>{@code RendezvousHash} is thread-safe and immutable.
  */
 public final class RendezvousHash {
 
-    /** A multiplier that spreads the bits of a checksum over a long. */
-    private static final long SPREAD = 0x9E3779B97F4A7C15L;
+    /** A multiplier that distributes the bits of a checksum over a long. */
+    private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    /** No instances. */
     private RendezvousHash() {}
 
     /**
@@ -39,7 +40,7 @@
      *
      * @param key the key
      * @param vms the VMs
-     * @return the VMs, the key's home first
+     * @return the VMs, in descending order of weight; the first is the key's home
      */
     public static List<VmId> order(String key, List<VmId> vms) {
         Comparator<VmId> byWeight = Comparator.comparingLong(vm -> weight(key, vm));
@@ -47,11 +48,11 @@
     }
 
     /**
-     * Gets the home of a key.
+     * Gets the home of a key, the VM with the highest weight.
      *
      * @param key the key
      * @param vms the VMs, not empty
-     * @return the first VM in the key's order
+     * @return the VM
      */
     public static VmId home(String key, List<VmId> vms) {
         return order(key, vms).get(0);
@@ -60,7 +61,7 @@
     private static long weight(String key, VmId vm) {
         CRC32 checksum = new CRC32();
         checksum.update((key + '\n' + vm).getBytes(StandardCharsets.UTF_8));
-        long mixed = checksum.getValue() * SPREAD;
-        return (mixed ^ (mixed >>> 32)) * SPREAD;
+        long mixed = checksum.getValue() * MULTIPLIER;
+        return (mixed ^ (mixed >>> 32)) * MULTIPLIER;
     }
 }
--- a/src/main/java/org/standlink/RequestId.java
+++ b/src/main/java/org/standlink/RequestId.java
@@ -16,12 +16,12 @@
 package org.standlink;
 
 /**
- * Identifies one try of a request from an entry to an agent.
+ * Identifies one attempt of a request from an entry to an agent.
  *
  * <p>{@code RequestId} is thread-safe and immutable.
  *
- * @param entry the incarnation of the entry that sent it
- * @param number the number of the try within that incarnation
+ * @param entry the incarnation of the sending entry
+ * @param number the number of the attempt within that incarnation
  */
 public record RequestId(Incarnation entry, long number) {
 
--- a/src/main/java/org/standlink/Resources.java
+++ b/src/main/java/org/standlink/Resources.java
@@ -20,9 +20,9 @@
 /**
  * An amount of processors, memory and accelerators.
  *
- * <p>Processors are counted in thousandths of a core, so that sums are exact.
+ * <p>Processors are measured in thousandths of a core, so that sums are exact.
  *
- * <p>It is written as an array, so new parts may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code Resources} is thread-safe and immutable.
  *
@@ -33,13 +33,13 @@
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 public record Resources(long milliCores, long memoryMegabytes, long accelerators) {
 
-    /** Nothing at all. */
+    /** An amount of zero. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
     /**
-     * Makes an amount from whole cores.
+     * Creates an amount from a number of cores.
      *
-     * @param cores processors, in cores
+     * @param cores processors, in cores, rounded to thousandths
      * @param memoryMegabytes memory, in megabytes
      * @param accelerators whole accelerators
      * @return the amount
@@ -66,7 +66,7 @@
      * Subtracts an amount.
      *
      * @param other the amount to subtract
-     * @return the difference, which may be negative in parts
+     * @return the difference, whose components may be negative
      */
     public Resources minus(Resources other) {
         return new Resources(
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Checks whether this amount fits into another in each part.
+     * Checks whether no component of this amount exceeds that of another.
      *
-     * @param available the amount to fit into
-     * @return true if no part exceeds the available one
+     * @param available the amount to compare with
+     * @return true if this amount fits into the available one
      */
     public boolean fitsIn(Resources available) {
         return milliCores <= available.milliCores
--- a/src/main/java/org/standlink/ServiceId.java
+++ b/src/main/java/org/standlink/ServiceId.java
@@ -20,17 +20,12 @@
 /**
  * Identifies a latency-critical service.
  *
- * <p>The service's upstreams, classes and targets stand in the bundle.
+ * <p>The bundle specifies the upstreams, request classes and latency targets of the service.
  *
  * <p>{@code ServiceId} is thread-safe and immutable.
  */
 public final class ServiceId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private ServiceId(String value) {
         super(value);
     }
@@ -38,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static ServiceId parse(String text) {
--- a/src/main/java/org/standlink/StandlinkException.java
+++ b/src/main/java/org/standlink/StandlinkException.java
@@ -16,7 +16,7 @@
 package org.standlink;
 
 /**
- * The error that standlink throws: a code, what is wrong, and what to do about it.
+ * The exception thrown by standlink, with an error code, a description of the problem and a remedy.
  *
  * <p>{@code StandlinkException} is thread-safe and immutable.
  */
@@ -24,30 +24,28 @@
 
     private static final long serialVersionUID = 1L;
 
-    /** The kind of error. */
     private final ErrorCode code;
 
-    /** What to do about it. */
     private final String remedy;
 
     /**
-     * Constructor.
+     * Creates an exception without a cause.
      *
      * @param code the kind of error
-     * @param problem what is wrong, with the bad value
-     * @param remedy what to do about it
+     * @param problem the problem, including the invalid value
+     * @param remedy the remedy for the problem
      */
     public StandlinkException(ErrorCode code, String problem, String remedy) {
         this(code, problem, remedy, null);
     }
 
     /**
-     * Constructor with a cause.
+     * Creates an exception with a cause.
      *
      * @param code the kind of error
-     * @param problem what is wrong, with the bad value
-     * @param remedy what to do about it
-     * @param cause the error underneath, null if none
+     * @param problem the problem, including the invalid value
+     * @param remedy the remedy for the problem
+     * @param cause the underlying error, null if none
      */
     public StandlinkException(ErrorCode code, String problem, String remedy, Throwable cause) {
         super(problem + "; " + remedy, cause);
@@ -65,7 +63,7 @@
     }
 
     /**
-     * Gets what to do about it.
+     * Gets the remedy for the problem.
      *
      * @return the remedy
      */
--- a/src/main/java/org/standlink/TaskId.java
+++ b/src/main/java/org/standlink/TaskId.java
@@ -19,7 +19,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Identifies a task: a job and the task's index in it.
+ * Identifies a task by its job and its index within the job.
  *
  * <p>The text form is {@code job#index}.
  *
@@ -27,28 +27,19 @@
  */
 public final class TaskId implements Comparable<TaskId> {
 
-    /** The character between job and index. */
     private static final char SEPARATOR = '#';
 
-    /** The job. */
     private final JobId job;
 
-    /** The index within the job. */
     private final int index;
 
-    /**
-     * Constructor.
-     *
-     * @param job the job
-     * @param index the index
-     */
     private TaskId(JobId job, int index) {
         this.job = job;
         this.index = index;
     }
 
     /**
-     * Makes a task identifier.
+     * Creates a task identifier.
      *
      * @param job the job
      * @param index the index of the task within the job, zero or more
@@ -67,7 +58,8 @@
      *
      * @param text the text, such as {@code scan-night#3}
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid task
+     *     identifier
      */
     @JsonCreator
     public static TaskId parse(String text) {
@@ -83,12 +75,6 @@
         }
     }
 
-    /**
-     * Makes the error for a wrong identifier.
-     *
-     * @param text the wrong text
-     * @return the error
-     */
     private static StandlinkException invalid(String text) {
         return new StandlinkException(
                 ErrorCode.INVALID_IDENTIFIER,
--- a/src/main/java/org/standlink/TeamId.java
+++ b/src/main/java/org/standlink/TeamId.java
@@ -18,19 +18,14 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 
 /**
- * Identifies a team, the unit of quotas.
+ * Identifies a team, the client account to which a quota applies.
  *
- * <p>Callers and jobs belong to teams.
+ * <p>Each caller and each job belongs to a team.
  *
  * <p>{@code TeamId} is thread-safe and immutable.
  */
 public final class TeamId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private TeamId(String value) {
         super(value);
     }
@@ -38,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static TeamId parse(String text) {
--- a/src/main/java/org/standlink/VmId.java
+++ b/src/main/java/org/standlink/VmId.java
@@ -20,18 +20,12 @@
 /**
  * Identifies a virtual machine.
  *
- * <p>A VM keeps its identifier when it is restarted; each process on it has an {@link Incarnation}
- * of its own.
+ * <p>A VM keeps its identifier across restarts; each process on it has its own {@link Incarnation}.
  *
  * <p>{@code VmId} is thread-safe and immutable.
  */
 public final class VmId extends AbstractIdentifier {
 
-    /**
-     * Constructor.
-     *
-     * @param value the checked text
-     */
     private VmId(String value) {
         super(value);
     }
@@ -39,9 +33,10 @@
     /**
      * Parses an identifier from text.
      *
-     * @param text lower-case letters, digits, dots, hyphens and underscores, 1 to 64 of them
+     * @param text 1 to 64 lower-case letters, digits, dots, hyphens and underscores; the first is a
+     *     letter or a digit
      * @return the identifier
-     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not one
+     * @throws StandlinkException with code INVALID_IDENTIFIER if the text is not a valid identifier
      */
     @JsonCreator
     public static VmId parse(String text) {
--- a/src/main/java/org/standlink/package-info.java
+++ b/src/main/java/org/standlink/package-info.java
@@ -1,2 +1,5 @@
-/** The immutable value types that every other package uses: ids, amounts, outcomes and errors. */
+/**
+ * The immutable value types that all other packages use: identifiers, resources, outcomes and
+ * errors.
+ */
 package org.standlink;
--- a/src/test/java/org/standlink/BundleFixtures.java
+++ b/src/test/java/org/standlink/BundleFixtures.java
@@ -21,27 +21,27 @@
 import org.standlink.bundle.BundleSigner;
 import org.standlink.bundle.SignedBundle;
 
-/** Bundles for tests. */
+/** Bundles for tests, and their signatures. */
 public final class BundleFixtures {
 
-    private static final KeyPair ANA = BundleSigner.generateKeyPair();
+    private static final KeyPair ANA_KEYS = BundleSigner.generateKeyPair();
 
-    private static final KeyPair IVO = BundleSigner.generateKeyPair();
+    private static final KeyPair IVO_KEYS = BundleSigner.generateKeyPair();
 
-    /** A job of two-core tasks. */
+    /** A job of four tasks with two cores each. */
     public static final String SCAN_JOB =
             "{'id':'scan','mode':'manage','team':'security','cell':'one','batchClass':'scan','tasks':4,"
                     + "'resources':{'cores':2,'memoryMegabytes':1000},'runSeconds':60,'checkpointable':true}";
 
     private BundleFixtures() {}
 
-    /** Makes a bundle of 3 workers of 8 cores with one service that reserves 2 cores on each. */
+    /** Creates a bundle of 3 workers of 8 cores with one service that reserves 2 cores on each. */
     public static String bundle(long version, String jobs) {
         return bundle(version, jobs, "'vm-1','vm-2','vm-3'", "");
     }
 
-    /** Makes a bundle with other upstreams and further keys at its top. */
-    public static String bundle(long version, String jobs, String upstreams, String more) {
+    /** Creates a bundle with the given upstreams and additional top-level members. */
+    public static String bundle(long version, String jobs, String upstreams, String extraMembers) {
         StringBuilder workers = new StringBuilder();
         for (int i = 1; i <= 3; i++) {
             workers.append(i > 1 ? "," : "")
@@ -71,34 +71,35 @@
                         + workers
                         + "]}],"
                         + "'teams':[{'id':'security','quota':{'cores':100,'memoryMegabytes':100000}}]"
-                        + more
+                        + extraMembers
                         + ","
                         + "'operators':[{'id':'ana','publicKey':'"
-                        + publicKey(ANA)
+                        + publicKey(ANA_KEYS)
                         + "'},{'id':'ivo','publicKey':'"
-                        + publicKey(IVO)
+                        + publicKey(IVO_KEYS)
                         + "'}]}")
                 .replace('\'', '"');
     }
 
-    /** Signs a bundle by two operators. */
+    /** Signs a bundle with the keys of two operators. */
     public static String signed(String bundle) {
         return text(
                 new SignedBundle(bundle, OperatorId.parse("ana"), List.of())
                         .withSignature(
-                                BundleSigner.sign(bundle, OperatorId.parse("ana"), privateKey(ANA)))
+                                BundleSigner.sign(
+                                        bundle, OperatorId.parse("ana"), privateKey(ANA_KEYS)))
                         .withSignature(
                                 BundleSigner.sign(
-                                        bundle, OperatorId.parse("ivo"), privateKey(IVO))));
+                                        bundle, OperatorId.parse("ivo"), privateKey(IVO_KEYS))));
     }
 
-    /** Signs a bundle by its author alone. */
+    /** Signs a bundle with the key of its author only. */
     public static String signedByAuthor(String bundle) {
         return text(
                 new SignedBundle(bundle, OperatorId.parse("ana"), List.of())
                         .withSignature(
                                 BundleSigner.sign(
-                                        bundle, OperatorId.parse("ana"), privateKey(ANA))));
+                                        bundle, OperatorId.parse("ana"), privateKey(ANA_KEYS))));
     }
 
     private static String text(SignedBundle signed) {
--- a/src/test/java/org/standlink/FakeClock.java
+++ b/src/test/java/org/standlink/FakeClock.java
@@ -17,7 +17,7 @@
 
 import org.standlink.lease.MonotonicClock;
 
-/** A clock that goes only when told to. */
+/** A clock that a test advances explicitly. */
 public final class FakeClock implements MonotonicClock {
 
     private long now = 1_000_000;
@@ -27,7 +27,7 @@
         return now;
     }
 
-    /** Lets time pass. */
+    /** Advances the clock by an interval, in milliseconds. */
     public synchronized void advance(long millis) {
         now += millis;
     }
--- a/src/test/java/org/standlink/FakeEventLoop.java
+++ b/src/test/java/org/standlink/FakeEventLoop.java
@@ -25,19 +25,22 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Timers and a thread that go only when a test lets time pass, in the order of their times. */
+/**
+ * A single-threaded event loop with timers, which runs tasks in the order of their due times when a
+ * test advances the clock.
+ */
 public final class FakeEventLoop extends AbstractExecutorService
         implements ScheduledExecutorService {
 
     private final FakeClock clock;
-    private final List<Work> waiting = new ArrayList<>();
-    private long number;
+    private final List<ScheduledTask> pending = new ArrayList<>();
+    private long nextOrder;
 
     public FakeEventLoop(FakeClock clock) {
         this.clock = clock;
     }
 
-    /** Lets time pass and runs what becomes due, step by step. */
+    /** Advances the clock in steps of one millisecond and runs the tasks that become due. */
     public void advance(long millis) {
         long end = clock.nowMillis() + millis;
         runDue();
@@ -47,31 +50,31 @@
         }
     }
 
-    /** Runs what is due now, and what that leads to. */
+    /** Runs the tasks that are due, including those that they submit for the present time. */
     public void runDue() {
         while (true) {
-            Work next =
-                    waiting.stream()
-                            .filter(work -> work.due <= clock.nowMillis())
+            ScheduledTask next =
+                    pending.stream()
+                            .filter(task -> task.due <= clock.nowMillis())
                             .min(
-                                    Comparator.comparingLong((Work work) -> work.due)
-                                            .thenComparingLong(work -> work.order))
+                                    Comparator.comparingLong((ScheduledTask task) -> task.due)
+                                            .thenComparingLong(task -> task.order))
                             .orElse(null);
             if (next == null) {
                 return;
             }
-            waiting.remove(next);
+            pending.remove(next);
             next.command.run();
             if (next.period > 0 && !next.cancelled) {
                 next.due = clock.nowMillis() + next.period;
-                waiting.add(next);
+                pending.add(next);
             }
         }
     }
 
-    /** Tells when the next work is due, on the clock; the largest number if none waits. */
+    /** Gets the time at which the next task is due; {@code Long.MAX_VALUE} if none is pending. */
     public long getNextDueMillis() {
-        return waiting.stream().mapToLong(work -> work.due).min().orElse(Long.MAX_VALUE);
+        return pending.stream().mapToLong(task -> task.due).min().orElse(Long.MAX_VALUE);
     }
 
     @Override
@@ -103,12 +106,12 @@
 
     @Override
     public void shutdown() {
-        waiting.clear();
+        pending.clear();
     }
 
     @Override
     public List<Runnable> shutdownNow() {
-        waiting.clear();
+        pending.clear();
         return List.of();
     }
 
@@ -127,14 +130,15 @@
         return true;
     }
 
-    private Work add(Runnable command, long delay, long period) {
-        Work work = new Work(command, clock.nowMillis() + delay, period, number++);
-        waiting.add(work);
-        return work;
+    private ScheduledTask add(Runnable command, long delay, long period) {
+        ScheduledTask task =
+                new ScheduledTask(command, clock.nowMillis() + delay, period, nextOrder++);
+        pending.add(task);
+        return task;
     }
 
-    /** One piece of work. */
-    private final class Work implements ScheduledFuture<Object> {
+    /** A scheduled task. */
+    private final class ScheduledTask implements ScheduledFuture<Object> {
 
         private final Runnable command;
         private final long period;
@@ -142,7 +146,7 @@
         private long due;
         private boolean cancelled;
 
-        Work(Runnable command, long due, long period, long order) {
+        ScheduledTask(Runnable command, long due, long period, long order) {
             this.command = command;
             this.due = due;
             this.period = period;
@@ -163,7 +167,7 @@
         @Override
         public boolean cancel(boolean interrupt) {
             cancelled = true;
-            return waiting.remove(this);
+            return pending.remove(this);
         }
 
         @Override
@@ -173,7 +177,7 @@
 
         @Override
         public boolean isDone() {
-            return !waiting.contains(this);
+            return !pending.contains(this);
         }
 
         @Override
--- a/src/test/java/org/standlink/TestFence.java
+++ b/src/test/java/org/standlink/TestFence.java
@@ -22,7 +22,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests the order of fences. */
+/** Tests {@link Fence}. */
 public class TestFence {
 
     private static Fence fence(long epoch, long generation) {
