--- a/src/main/java/org/standlink/RendezvousHash.java
+++ b/src/main/java/org/standlink/RendezvousHash.java
@@ -21,7 +21,7 @@
 import java.util.zip.CRC32;
 
 /**
- * Rendezvous hashing (highest random weight) of keys to VMs.
+ * Rendezvous hashing (also known as highest random weight hashing) of keys to VMs.
  *
  * <p>Every process computes the same order of VMs for a key, and a change of the list reassigns
  * only the keys of the VM that was added or removed.
@@ -40,7 +40,7 @@
      *
      * @param key the key
      * @param vms the VMs
-     * @return the VMs, in descending order of weight; the first is the key's home
+     * @return the VMs, in ascending order of weight; the first is the key's home
      */
     public static List<VmId> order(String key, List<VmId> vms) {
         Comparator<VmId> byWeight = Comparator.comparingLong(vm -> weight(key, vm));
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Gets the home of a key, the VM with the highest weight.
+     * Gets the home of a key, the first VM in its order.
      *
      * @param key the key
      * @param vms the VMs, not empty
