--- a/src/main/java/org/standlink/benchmark/DecisionResult.java
+++ b/src/main/java/org/standlink/benchmark/DecisionResult.java
@@ -16,29 +16,30 @@
 package org.standlink.benchmark;
 
 /**
- * What a strategy achieved on a scenario.
+ * The result of one strategy on one scenario.
  *
  * <p>{@code DecisionResult} is thread-safe and immutable.
  *
- * @param strategy the strategy
- * @param missPercent the share of measurements above the target, in percent
+ * @param strategy the name of the strategy
+ * @param missPercent the share of latency measurements above the target, in percent
  * @param tailPercent the 99th percentile of latency, in percent of the target
- * @param work batch work done, in core-hours
- * @param evictions tasks stopped
- * @param violations seconds in which a worker had granted more than it has
+ * @param coreHours the batch work done, in core-hours
+ * @param evictions the number of evicted tasks
+ * @param overCapacitySeconds the time in which grants exceeded the capacity of a worker, summed
+ *     over the workers, in seconds
  */
 public record DecisionResult(
         String strategy,
         double missPercent,
         double tailPercent,
-        double work,
+        double coreHours,
         int evictions,
-        int violations) {
+        int overCapacitySeconds) {
 
     @Override
     public String toString() {
         return String.format(
                 "%-24s misses %5.2f%%  p99 %4.0f%% of target  work %7.1f core-h  evictions %4d  over capacity %d",
-                strategy, missPercent, tailPercent, work, evictions, violations);
+                strategy, missPercent, tailPercent, coreHours, evictions, overCapacitySeconds);
     }
 }
--- a/src/main/java/org/standlink/bundle/SignedBundle.java
+++ b/src/main/java/org/standlink/bundle/SignedBundle.java
@@ -19,17 +19,17 @@
 import java.util.List;
 import org.standlink.ErrorCode;
 import org.standlink.OperatorId;
-import org.standlink.json.Faults;
 import org.standlink.json.JsonSection;
+import org.standlink.json.ValidationErrors;
 
 /**
- * A bundle's text with its author and the sign-offs.
+ * The text of a bundle with its author and its signatures.
  *
  * <p>{@code SignedBundle} is thread-safe and immutable.
  *
  * @param bundle the bundle's JSON text, exactly as signed
  * @param author the operator who wrote it
- * @param signatures the signatures, the author's among them
+ * @param signatures the signatures, including the author's
  */
 public record SignedBundle(String bundle, OperatorId author, List<Signature> signatures) {
 
@@ -42,25 +42,25 @@
     public record Signature(OperatorId operator, String value) {}
 
     /**
-     * Reads a signed bundle.
+     * Parses a signed bundle.
      *
      * @param text the JSON text
-     * @return the signed bundle, whose signatures are not checked yet
-     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every fault
+     * @return the signed bundle, whose signatures have not been verified
+     * @throws org.standlink.StandlinkException with code INVALID_BUNDLE, listing every error
      */
     public static SignedBundle read(String text) {
-        Faults faults = new Faults();
-        JsonSection top = JsonSection.parse(text, faults);
+        ValidationErrors errors = new ValidationErrors();
+        JsonSection top = JsonSection.parse(text, errors);
         String bundle = top.requiredText("bundle");
         OperatorId author = top.requiredValue("author", OperatorId::parse);
         List<Signature> signatures = new ArrayList<>();
         for (JsonSection section : top.sections("signatures")) {
             OperatorId operator = section.requiredValue("operator", OperatorId::parse);
             signatures.add(new Signature(operator, section.requiredText("value")));
-            section.finish();
+            section.reportUnknownKeys();
         }
-        top.finish();
-        faults.throwIfAny(ErrorCode.INVALID_BUNDLE, "the signed bundle");
+        top.reportUnknownKeys();
+        errors.throwIfAny(ErrorCode.INVALID_BUNDLE, "the signed bundle");
         return new SignedBundle(bundle, author, List.copyOf(signatures));
     }
 
@@ -72,7 +72,7 @@
      */
     public SignedBundle withSignature(Signature signature) {
         List<Signature> all = new ArrayList<>(signatures);
-        all.removeIf(present -> present.operator().equals(signature.operator()));
+        all.removeIf(existing -> existing.operator().equals(signature.operator()));
         all.add(signature);
         return new SignedBundle(bundle, author, List.copyOf(all));
     }
--- a/src/main/java/org/standlink/command/BundlePublishCommand.java
+++ b/src/main/java/org/standlink/command/BundlePublishCommand.java
@@ -21,20 +21,18 @@
 import org.standlink.BundleVersion;
 import org.standlink.log.BundlePublisher;
 
-/** {@code standlink bundle publish}: publishes a signed bundle and waits until it is decided. */
+/** {@code standlink bundle publish}: publishes a signed bundle and waits for the decision. */
 final class BundlePublishCommand implements Command {
 
-    /** The file. */
     @Argument(required = true, metaVar = "FILE", usage = "the signed bundle")
     private Path file;
 
-    /** The platform. */
     @Option(name = "--platform", required = true, metaVar = "URL", usage = "http://host:port")
     private String platform;
 
     @Override
     public int run() {
-        BundlePublisher publisher = new BundlePublisher(PlatformAccess.log(platform));
+        BundlePublisher publisher = new BundlePublisher(PlatformAccess.openLog(platform));
         BundleVersion version = publisher.publish(TextFiles.read(file));
         System.out.println("bundle " + version + " is accepted");
         return 0;
--- a/src/main/java/org/standlink/command/KeysCommand.java
+++ b/src/main/java/org/standlink/command/KeysCommand.java
@@ -22,21 +22,19 @@
 import org.standlink.OperatorId;
 import org.standlink.bundle.BundleSigner;
 
-/** {@code standlink keys}: makes an operator's keys. */
+/** {@code standlink keys}: generates an operator's key pair. */
 final class KeysCommand implements Command {
 
-    /** The operator. */
     @Option(name = "--operator", required = true, metaVar = "ID", usage = "the operator's id")
     private String operator;
 
-    /** The folder for the files. */
     @Option(name = "--out", metaVar = "FOLDER", usage = "folder for the two files (default: .)")
     private Path folder = Path.of(".");
 
     @Override
     public int run() {
         OperatorId id = OperatorId.parse(operator);
-        KeyPair keys = BundleSigner.newKeys();
+        KeyPair keys = BundleSigner.generateKeyPair();
         Base64.Encoder base64 = Base64.getEncoder();
         String publicKey = base64.encodeToString(keys.getPublic().getEncoded());
         String privateKey = base64.encodeToString(keys.getPrivate().getEncoded());
--- a/src/main/java/org/standlink/command/PlatformAccess.java
+++ b/src/main/java/org/standlink/command/PlatformAccess.java
@@ -17,30 +17,29 @@
 
 import org.standlink.json.Addresses;
 import org.standlink.port.HttpLog;
+import org.standlink.port.JsonHttpClient;
 import org.standlink.port.LogPort;
-import org.standlink.port.PlatformHttp;
 import org.standlink.process.ProcessThreads;
 
 /**
- * Reaches the platform from an operator's desk.
+ * Opens the platform's services for the commands of operators.
  *
  * <p>{@code PlatformAccess} is thread-safe and immutable.
  */
 final class PlatformAccess {
 
-    /** No instances. */
     private PlatformAccess() {}
 
     /**
-     * Reaches the log.
+     * Opens the log.
      *
      * @param platform the platform's address
      * @return the log
      */
-    static LogPort log(String platform) {
+    static LogPort openLog(String platform) {
         return new HttpLog(
-                new PlatformHttp(
+                new JsonHttpClient(
                         Addresses.parseHttp(platform),
-                        PlatformHttp.newClient(ProcessThreads.newCached("platform"))));
+                        JsonHttpClient.newClient(ProcessThreads.newCached("platform"))));
     }
 }
--- a/src/test/java/org/standlink/bundle/TestBundleFold.java
+++ b/src/test/java/org/standlink/bundle/TestBundleFold.java
@@ -23,72 +23,83 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.standlink.BundleFixtures;
 import org.standlink.BundleVersion;
 import org.standlink.ErrorCode;
-import org.standlink.Fixtures;
 import org.standlink.StandlinkException;
 
-/** Tests which bundles are accepted. */
+/** Tests the validation and the acceptance of bundles. */
 public class TestBundleFold {
 
     @Test
     void acceptsInOrder() {
         BundleFold fold = new BundleFold();
-        fold.apply(Fixtures.signed(Fixtures.bundle(1, "")));
-        fold.apply(Fixtures.signed(Fixtures.bundle(2, Fixtures.SCAN)));
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(1, "")));
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(2, BundleFixtures.SCAN_JOB)));
         assertEquals(BundleVersion.of(2), fold.getVersion());
     }
 
     @Test
-    void refusesTheLoserOfARaceAndNamesTheWinner() {
+    void rejectsAStaleBaseAndNamesTheVersionInForce() {
         BundleFold fold = new BundleFold();
-        fold.apply(Fixtures.signed(Fixtures.bundle(1, "")));
-        String winner = Fixtures.signed(Fixtures.bundle(2, ""));
-        fold.apply(winner);
-        StandlinkException lost =
+        fold.apply(BundleFixtures.signed(BundleFixtures.bundle(1, "")));
+        String accepted = BundleFixtures.signed(BundleFixtures.bundle(2, ""));
+        fold.apply(accepted);
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class,
-                        () -> fold.apply(Fixtures.signed(Fixtures.bundle(2, Fixtures.SCAN))));
-        assertEquals(ErrorCode.STALE_BASE, lost.getCode());
-        assertTrue(lost.getMessage().contains("version 2 won"), lost.getMessage());
-        assertEquals(winner, fold.getSignedText());
+                        () ->
+                                fold.apply(
+                                        BundleFixtures.signed(
+                                                BundleFixtures.bundle(
+                                                        2, BundleFixtures.SCAN_JOB))));
+        assertEquals(ErrorCode.STALE_BASE, exception.getCode());
+        assertTrue(exception.getMessage().contains("version 2 won"), exception.getMessage());
+        assertEquals(accepted, fold.getSignedText());
     }
 
     @Test
-    void countsTheSameBundleOnce() {
+    void acceptsABundleOnlyOnce() {
         BundleFold fold = new BundleFold();
-        String first = Fixtures.signed(Fixtures.bundle(1, ""));
+        String first = BundleFixtures.signed(BundleFixtures.bundle(1, ""));
         fold.apply(first);
         assertThrows(StandlinkException.class, () -> fold.apply(first));
         assertEquals(BundleVersion.of(1), fold.getVersion());
     }
 
     @Test
-    void needsASecondOperator() {
+    void requiresASecondSignature() {
         BundleFold fold = new BundleFold();
-        StandlinkException refused =
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class,
-                        () -> fold.apply(Fixtures.signedOnce(Fixtures.bundle(1, ""))));
-        assertEquals(ErrorCode.INVALID_SIGNATURE, refused.getCode());
+                        () ->
+                                fold.apply(
+                                        BundleFixtures.signedByAuthor(
+                                                BundleFixtures.bundle(1, ""))));
+        assertEquals(ErrorCode.INVALID_SIGNATURE, exception.getCode());
     }
 
     @Test
-    void refusesAChangedText() {
+    void rejectsAModifiedBundle() {
         BundleFold fold = new BundleFold();
-        String changed =
-                Fixtures.signed(Fixtures.bundle(1, ""))
+        String modified =
+                BundleFixtures.signed(BundleFixtures.bundle(1, ""))
                         .replace("\\\"queue\\\":2", "\\\"queue\\\":3");
-        StandlinkException refused =
-                assertThrows(StandlinkException.class, () -> fold.apply(changed));
-        assertEquals(ErrorCode.INVALID_SIGNATURE, refused.getCode());
+        StandlinkException exception =
+                assertThrows(StandlinkException.class, () -> fold.apply(modified));
+        assertEquals(ErrorCode.INVALID_SIGNATURE, exception.getCode());
     }
 
     @Test
-    void neverGoesBack() {
+    void holderNeverRevertsToAnEarlierVersion() {
         BundleHolder holder = new BundleHolder();
-        assertTrue(holder.offer(Fixtures.signed(Fixtures.bundle(2, "")), BundleVersion.of(2)));
-        assertFalse(holder.offer(Fixtures.signed(Fixtures.bundle(1, "")), BundleVersion.of(1)));
+        assertTrue(
+                holder.offer(
+                        BundleFixtures.signed(BundleFixtures.bundle(2, "")), BundleVersion.of(2)));
+        assertFalse(
+                holder.offer(
+                        BundleFixtures.signed(BundleFixtures.bundle(1, "")), BundleVersion.of(1)));
         assertEquals(BundleVersion.of(2), holder.getVersion());
     }
 
@@ -105,26 +116,26 @@
                 "\"cores\":2,\"memoryMegabytes\":1000},\"keyW | \"cores\":9,\"memoryMegabytes\":1000},\"keyW | reserve more",
                 "\"base\":0 | \"base\":1 | version: 1 does not follow base 1",
                 "\"id\":\"one\" | \"id\":\"One\" | cells[0].id",
-                "\"id\":\"ivo\" | \"id\":\"ana\" | operators: 'ana' stands twice",
+                "\"id\":\"ivo\" | \"id\":\"ana\" | operators: 'ana' is defined twice",
             })
-    void namesPathAndRemedyOfEachFault(String good, String bad, String expected) {
-        String text = Fixtures.bundle(1, "");
+    void reportsPathAndProblemOfEachError(String good, String bad, String expected) {
+        String text = BundleFixtures.bundle(1, "");
         assertTrue(text.contains(good), good);
-        StandlinkException faults =
+        StandlinkException exception =
                 assertThrows(
                         StandlinkException.class, () -> BundleReader.read(text.replace(good, bad)));
-        assertEquals(ErrorCode.INVALID_BUNDLE, faults.getCode());
-        assertTrue(faults.getMessage().contains(expected), faults.getMessage());
+        assertEquals(ErrorCode.INVALID_BUNDLE, exception.getCode());
+        assertTrue(exception.getMessage().contains(expected), exception.getMessage());
     }
 
     @Test
-    void tellsAllFaultsAtOnce() {
+    void reportsAllErrorsAtOnce() {
         String text =
-                Fixtures.bundle(1, "")
+                BundleFixtures.bundle(1, "")
                         .replace("\"slots\":2", "\"slots\":0")
                         .replace("\"queue\":2", "\"queue\":-1");
-        StandlinkException faults =
+        StandlinkException exception =
                 assertThrows(StandlinkException.class, () -> BundleReader.read(text));
-        assertTrue(faults.getMessage().contains("2 fault(s)"), faults.getMessage());
+        assertTrue(exception.getMessage().contains("2 fault(s)"), exception.getMessage());
     }
 }
--- a/src/test/java/org/standlink/port/TestVmListContract.java
+++ b/src/test/java/org/standlink/port/TestVmListContract.java
@@ -33,10 +33,11 @@
 import org.standlink.process.ProcessThreads;
 import org.standlink.standin.MemoryLog;
 import org.standlink.standin.MemoryVmList;
-import org.standlink.standin.StandInHttp;
+import org.standlink.standin.StandInHttpServices;
 
 /**
- * The contract of the VM list, the same for the fake and for the HTTP adapter with the stand-in.
+ * Tests the contract of the VM list, for the list in memory and for the HTTP adapter in front of
+ * it.
  */
 public class TestVmListContract {
 
@@ -62,13 +63,13 @@
             return memory;
         }
         service =
-                StandInHttp.servePlatform(
+                StandInHttpServices.servePlatform(
                         new InetSocketAddress("127.0.0.1", 0),
                         executor,
                         new MemoryLog(clock, 1, 1),
                         memory);
         URI uri = URI.create("http://127.0.0.1:" + service.getPort());
-        return new HttpVmList(new PlatformHttp(uri, PlatformHttp.newClient(executor)));
+        return new HttpVmList(new JsonHttpClient(uri, JsonHttpClient.newClient(executor)));
     }
 
     @AfterEach
@@ -81,7 +82,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void tellsChangesLate(Kind kind) {
+    void returnsChangesAfterTheLag(Kind kind) {
         VmListPort list = list(kind);
         memory.put(STAYING);
         assertEquals(List.of(), list.list());
@@ -96,7 +97,7 @@
 
     @ParameterizedTest
     @EnumSource(Kind.class)
-    void saysWhenItIsDown(Kind kind) {
+    void reportsUnavailableWhileDown(Kind kind) {
         VmListPort list = list(kind);
         memory.setDown(true);
         StandlinkException failure = assertThrows(StandlinkException.class, list::list);
--- a/src/test/java/org/standlink/store/FakeKeyedStore.java
+++ b/src/test/java/org/standlink/store/FakeKeyedStore.java
@@ -28,75 +28,77 @@
 import org.standlink.StandlinkException;
 
 /**
- * A store in memory that fails on demand. It behaves as the probe of the platform's store showed:
- * see the table in docs/PLATFORM.md's source, the starting design.
+ * A store in memory that fails on demand. It behaves as a test of the platform's store has shown:
+ * see the table in the source of docs/PLATFORM.md, the starting design.
  */
 public final class FakeKeyedStore implements KeyedStore {
 
-    /** How calls behave. */
+    /** The behaviour of calls. */
     public enum Mode {
-        /** Calls are done and answered. */
+        /** Calls are executed and answered. */
         UP,
-        /** Nothing is done, and calls are refused. */
+        /** Calls are refused and not executed. */
         DOWN,
-        /** Calls are done, but their answers are lost. */
-        LOST,
-        /** Calls are done, and nothing is heard of them. */
-        SILENT,
-        /** Appends get no answer, and are done when the late ones are. */
-        LATE,
-        /** Appends are answered as if they were done, and are done when the late ones are. */
-        ANSWERED_BEFORE
+        /** Calls are executed, but fail because their answers are lost. */
+        ANSWERS_LOST,
+        /** Calls are executed, but neither answered nor failed until they time out. */
+        UNRESPONSIVE,
+        /** Appends are not answered, and are executed with the delayed appends. */
+        DELAYED,
+        /**
+         * Appends are answered as if they were executed, and are executed with the delayed ones.
+         */
+        ANSWERED_EARLY
     }
 
-    private int mostRead = 1_000_000;
+    private int maxRecordsPerRead = 1_000_000;
 
-    private final List<Runnable> late = new ArrayList<>();
+    private final List<Runnable> delayedAppends = new ArrayList<>();
 
     private final Map<Topic, List<KeyedRecord>> topics = new EnumMap<>(Topic.class);
     private final Map<Topic, Epoch> epochs = new EnumMap<>(Topic.class);
     private final Map<Topic, Long> sequences = new EnumMap<>(Topic.class);
     private Mode mode = Mode.UP;
-    private int appends;
+    private int appendCount;
     private boolean historyDropped;
     private ScheduledExecutorService timers;
-    private long silentMillis;
-    private long refusalMillis;
+    private long callTimeoutMillis;
+    private long refusalDelayMillis;
 
-    /** Sets how calls behave from now on. */
+    /** Sets the behaviour of calls from now on. */
     public void setMode(Mode next) {
         mode = next;
     }
 
-    /** Lets calls of which nothing is heard fail after a while, as those of a real client do. */
-    public void failSilentCallsAfter(long millis, ScheduledExecutorService loop) {
-        silentMillis = millis;
+    /** Sets the timeout after which unanswered calls fail, as those of a real client do. */
+    public void failUnansweredCallsAfter(long millis, ScheduledExecutorService loop) {
+        callTimeoutMillis = millis;
         timers = loop;
     }
 
-    /** Lets refusals come after a while, as those of a real store do. */
-    public void refuseAfter(long millis, ScheduledExecutorService loop) {
-        refusalMillis = millis;
+    /** Sets the delay of refusals, as a real store has one. */
+    public void setRefusalDelay(long millis, ScheduledExecutorService loop) {
+        refusalDelayMillis = millis;
         timers = loop;
     }
 
-    /** Sets how many records a read answers at most. */
-    public void setMostRead(int records) {
-        mostRead = records;
+    /** Sets the maximum number of records that a read returns. */
+    public void setMaxRecordsPerRead(int records) {
+        maxRecordsPerRead = records;
     }
 
-    /** Drops the history: only the newest record of each key can be read from now on. */
+    /** Drops the history: from now on only the newest record of each key can be read. */
     public void dropHistory() {
         historyDropped = true;
     }
 
-    /** Gets how many appends of a writer were tried. */
-    public int getAppends() {
-        return appends;
+    /** Gets the number of appends attempted under a condition of a writer. */
+    public int getAppendCount() {
+        return appendCount;
     }
 
     /** Gets all records of a topic. */
-    public List<KeyedRecord> records(Topic topic) {
+    public List<KeyedRecord> getRecords(Topic topic) {
         return topics.computeIfAbsent(topic, key -> new ArrayList<>());
     }
 
@@ -104,58 +106,60 @@
     public CompletableFuture<Long> appendAt(Topic topic, List<KeyedRecord> added, long end) {
         return call(
                 () -> {
-                    if (records(topic).size() != end) {
+                    if (getRecords(topic).size() != end) {
                         throw failure(ErrorCode.CONDITION_FAILED);
                     }
-                    records(topic).addAll(added);
-                    return (long) records(topic).size();
+                    getRecords(topic).addAll(added);
+                    return (long) getRecords(topic).size();
                 });
     }
 
     /**
-     * Does the appends that are late. Their epochs and numbers were looked at when they came, and
-     * are not again; where the topic ends is.
+     * Executes the delayed appends. The epochs and sequence numbers are not checked, as if that was
+     * done on arrival; the end of the topic is.
      */
-    public void doLateAppends() {
-        late.forEach(Runnable::run);
-        late.clear();
+    public void executeDelayedAppends() {
+        delayedAppends.forEach(Runnable::run);
+        delayedAppends.clear();
     }
 
-    private void doLater(Topic topic, List<KeyedRecord> added, Writer writer) {
-        late.add(
+    private void delayAppend(Topic topic, List<KeyedRecord> added, AppendCondition condition) {
+        delayedAppends.add(
                 () -> {
-                    if (endsAt(topic, writer)) {
-                        records(topic).addAll(added);
+                    if (matchesEnd(topic, condition)) {
+                        getRecords(topic).addAll(added);
                     }
                 });
     }
 
     @Override
-    public CompletableFuture<Long> append(Topic topic, List<KeyedRecord> added, Writer writer) {
-        appends++;
-        if (mode == Mode.LATE) {
-            doLater(topic, added, writer);
-            return silence();
+    public CompletableFuture<Long> append(
+            Topic topic, List<KeyedRecord> added, AppendCondition condition) {
+        appendCount++;
+        if (mode == Mode.DELAYED) {
+            delayAppend(topic, added, condition);
+            return newUnansweredCall();
         }
-        if (mode == Mode.ANSWERED_BEFORE) {
-            doLater(topic, added, writer);
-            return CompletableFuture.completedFuture((long) records(topic).size() + added.size());
+        if (mode == Mode.ANSWERED_EARLY) {
+            delayAppend(topic, added, condition);
+            return CompletableFuture.completedFuture(
+                    (long) getRecords(topic).size() + added.size());
         }
         return call(
                 () -> {
-                    raise(topic, writer.epoch());
-                    long last = sequences.getOrDefault(topic, writer.sequence() - 1);
-                    if (writer.sequence() > last + 1) {
+                    raiseEpoch(topic, condition.epoch());
+                    long last = sequences.getOrDefault(topic, condition.sequence() - 1);
+                    if (condition.sequence() > last + 1) {
                         throw failure(ErrorCode.INTERNAL);
                     }
-                    if (writer.sequence() == last + 1) {
-                        if (!endsAt(topic, writer)) {
+                    if (condition.sequence() == last + 1) {
+                        if (!matchesEnd(topic, condition)) {
                             throw failure(ErrorCode.CONDITION_FAILED);
                         }
-                        sequences.put(topic, writer.sequence());
-                        records(topic).addAll(added);
+                        sequences.put(topic, condition.sequence());
+                        getRecords(topic).addAll(added);
                     }
-                    return (long) records(topic).size();
+                    return (long) getRecords(topic).size();
                 });
     }
 
@@ -163,8 +167,8 @@
     public CompletableFuture<Long> fence(Topic topic, Epoch epoch) {
         return call(
                 () -> {
-                    raise(topic, epoch);
-                    return (long) records(topic).size();
+                    raiseEpoch(topic, epoch);
+                    return (long) getRecords(topic).size();
                 });
     }
 
@@ -175,16 +179,16 @@
                     if (historyDropped) {
                         throw failure(ErrorCode.LOG_GAP);
                     }
-                    List<KeyedRecord> all = records(topic);
+                    List<KeyedRecord> all = getRecords(topic);
                     int start = (int) Math.min(from, all.size());
-                    int end = Math.min(all.size(), start + mostRead);
+                    int end = Math.min(all.size(), start + maxRecordsPerRead);
                     return new ReadResult(end, List.copyOf(all.subList(start, end)));
                 });
     }
 
     @Override
     public CompletableFuture<Long> readEnd(Topic topic) {
-        return call(() -> (long) records(topic).size());
+        return call(() -> (long) getRecords(topic).size());
     }
 
     @Override
@@ -192,72 +196,73 @@
         return call(
                 () -> {
                     Map<String, KeyedRecord> newest = new LinkedHashMap<>();
-                    for (KeyedRecord record : records(topic)) {
+                    for (KeyedRecord record : getRecords(topic)) {
                         newest.remove(record.key());
                         if (record.value().length > 0) {
                             newest.put(record.key(), record);
                         }
                     }
-                    return new ReadResult(records(topic).size(), new ArrayList<>(newest.values()));
+                    return new ReadResult(
+                            getRecords(topic).size(), new ArrayList<>(newest.values()));
                 });
     }
 
-    private boolean endsAt(Topic topic, Writer writer) {
-        long expected = writer.expectedEnd();
-        return expected == Writer.ANYWHERE || records(topic).size() == expected;
+    private boolean matchesEnd(Topic topic, AppendCondition condition) {
+        long expected = condition.expectedEnd();
+        return expected == AppendCondition.ANY_END || getRecords(topic).size() == expected;
     }
 
-    private void raise(Topic topic, Epoch epoch) {
-        Epoch present = epochs.getOrDefault(topic, Epoch.NONE);
-        if (epoch.compareTo(present) < 0) {
+    private void raiseEpoch(Topic topic, Epoch epoch) {
+        Epoch current = epochs.getOrDefault(topic, Epoch.NONE);
+        if (epoch.compareTo(current) < 0) {
             throw failure(ErrorCode.EPOCH_FENCED);
         }
-        if (epoch.compareTo(present) > 0) {
+        if (epoch.compareTo(current) > 0) {
             epochs.put(topic, epoch);
             sequences.remove(topic);
         }
     }
 
-    private <T> CompletableFuture<T> refusal() {
-        StandlinkException refused = failure(ErrorCode.PLATFORM_UNAVAILABLE);
-        if (refusalMillis == 0) {
-            return CompletableFuture.failedFuture(refused);
+    private <T> CompletableFuture<T> newRefusal() {
+        StandlinkException rejection = failure(ErrorCode.PLATFORM_UNAVAILABLE);
+        if (refusalDelayMillis == 0) {
+            return CompletableFuture.failedFuture(rejection);
         }
         CompletableFuture<T> answer = new CompletableFuture<>();
         timers.schedule(
                 () -> {
-                    answer.completeExceptionally(refused);
+                    answer.completeExceptionally(rejection);
                 },
-                refusalMillis,
+                refusalDelayMillis,
                 TimeUnit.MILLISECONDS);
         return answer;
     }
 
     private <T> CompletableFuture<T> call(java.util.function.Supplier<T> effect) {
         if (mode == Mode.DOWN) {
-            return refusal();
+            return newRefusal();
         }
         try {
             T value = effect.get();
-            if (mode == Mode.SILENT) {
-                return silence();
+            if (mode == Mode.UNRESPONSIVE) {
+                return newUnansweredCall();
             }
-            return mode == Mode.LOST
+            return mode == Mode.ANSWERS_LOST
                     ? CompletableFuture.failedFuture(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN))
                     : CompletableFuture.completedFuture(value);
-        } catch (StandlinkException refused) {
-            return CompletableFuture.failedFuture(refused);
+        } catch (StandlinkException rejection) {
+            return CompletableFuture.failedFuture(rejection);
         }
     }
 
-    private <T> CompletableFuture<T> silence() {
+    private <T> CompletableFuture<T> newUnansweredCall() {
         CompletableFuture<T> call = new CompletableFuture<>();
         if (timers != null) {
             timers.schedule(
                     () -> {
                         call.completeExceptionally(failure(ErrorCode.PLATFORM_OUTCOME_UNKNOWN));
                     },
-                    silentMillis,
+                    callTimeoutMillis,
                     TimeUnit.MILLISECONDS);
         }
         return call;
