--- a/src/main/java/org/standlink/cell/FinishedJobRecord.java
+++ b/src/main/java/org/standlink/cell/FinishedJobRecord.java
@@ -25,7 +25,7 @@
  * The stored record of a job that is in a final state and has no runs left: what callers may still
  * query.
  *
- * <p>Serialised as an array, so new components may only be appended.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code FinishedJobRecord} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/cell/JobCellLeader.java
+++ b/src/main/java/org/standlink/cell/JobCellLeader.java
@@ -45,7 +45,7 @@
  * <p>It first raises the epoch of the writer in the store, so that appends of older leaders are
  * rejected, and then reads the state, which is therefore complete.
  *
- * <p>{@code JobCellLeader} is thread-safe: every call is handed over to the event loop.
+ * <p>{@code JobCellLeader} is thread-safe: every call is executed on the event loop.
  */
 public final class JobCellLeader implements AutoCloseable {
 
--- a/src/main/java/org/standlink/cell/JobRecord.java
+++ b/src/main/java/org/standlink/cell/JobRecord.java
@@ -22,7 +22,7 @@
 /**
  * The stored state of a job; its definition is stored separately.
  *
- * <p>It is written as an array, so new components may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code JobRecord} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/cell/LeaderLoop.java
+++ b/src/main/java/org/standlink/cell/LeaderLoop.java
@@ -27,10 +27,10 @@
 /**
  * Runs all work of a leader on its event loop, and ends the leader if any of it throws.
  *
- * <p>After an exception the state of the leader may be half changed: records that were taken for an
+ * <p>After an exception the state of the leader may be inconsistent: records that were taken for an
  * append are lost, while the actions that wait for them would still run. The leader therefore does
  * nothing more, and another one reads the state again. That delays callers by some hundred
- * milliseconds; going on would lose jobs or run them twice.
+ * milliseconds; continuing would lose jobs or run them twice.
  *
  * <p>{@code LeaderLoop} is thread-safe.
  */
--- a/src/main/java/org/standlink/cell/RunReleaser.java
+++ b/src/main/java/org/standlink/cell/RunReleaser.java
@@ -23,7 +23,7 @@
 import org.standlink.process.EventLog;
 
 /**
- * Releases runs from their workers that are over without having reported an end, and collects the
+ * Releases from their workers the runs that have ended without a reported end, and collects the
  * jobs that have changed.
  *
  * <p>{@code RunReleaser} is not thread-safe; it is confined to the leader's event loop.
--- a/src/main/java/org/standlink/cell/SubmittedTaskRecord.java
+++ b/src/main/java/org/standlink/cell/SubmittedTaskRecord.java
@@ -20,7 +20,7 @@
 /**
  * The stored record of a task.
  *
- * <p>Serialised as an array, so new components may only be appended.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code SubmittedTaskRecord} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/cell/TaskEntry.java
+++ b/src/main/java/org/standlink/cell/TaskEntry.java
@@ -45,7 +45,7 @@
     /** Whether a run has completed. */
     private boolean done;
 
-    /** Where the last run may still be, null if nowhere. */
+    /** The worker on which the last run may still be, null if there is none. */
     private WorkerIncarnation worker;
 
     /** The last checkpoint, empty if none. */
@@ -329,7 +329,7 @@
     /**
      * Gets where the last run may still be.
      *
-     * @return the worker, null if nowhere
+     * @return the worker, null if there is none
      */
     WorkerIncarnation getWorker() {
         return worker;
--- a/src/main/java/org/standlink/cell/WorkerEntry.java
+++ b/src/main/java/org/standlink/cell/WorkerEntry.java
@@ -35,7 +35,7 @@
 
     private final WorkerIncarnation incarnation;
 
-    /** Where it accepts calls, host and port; empty if not known. */
+    /** The address at which it accepts calls, host and port; empty if not known. */
     private String address = "";
 
     /** The tasks whose last run may be there. */
--- a/src/main/java/org/standlink/cell/WorkerMetrics.java
+++ b/src/main/java/org/standlink/cell/WorkerMetrics.java
@@ -35,7 +35,7 @@
     /** The share up to which an image counts as throttled, in percent. */
     private static final int MAX_THROTTLED_PERCENT = 50;
 
-    /** The longest tail latency of a serving run, relative to its target; 0 if there is none. */
+    /** The highest tail latency of a serving run, relative to its target; 0 if there is none. */
     private double maxTailRatio;
 
     /** The share of time for which the runs of each image with a limit may run, in percent. */
@@ -44,7 +44,7 @@
     /** Since when each image has been throttled, on the leader's clock. */
     private final Map<String, Long> throttledSince = new HashMap<>();
 
-    /** When interference was learnt from the metrics last, on the leader's clock. */
+    /** When interference was learned from the metrics last, on the leader's clock. */
     private long lastSampleAt;
 
     /**
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Gets the longest tail latency of a serving run.
+     * Gets the highest tail latency of a serving run.
      *
      * @return the tail latency relative to its target; 0 if there is no serving run
      */
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Sets the longest tail latency of a serving run.
+     * Sets the highest tail latency of a serving run.
      *
      * @param ratio the tail latency relative to its target; 0 if there is no serving run
      */
--- a/src/main/java/org/standlink/election/Candidate.java
+++ b/src/main/java/org/standlink/election/Candidate.java
@@ -46,7 +46,10 @@
      */
     static final long WATCH_DELAY_MILLIS = 600;
 
-    /** After how long without an answer a leader is suspected, in milliseconds: two heartbeats. */
+    /**
+     * After how long without an answer a leader is suspected, in milliseconds: two intervals
+     * between the reports of an agent.
+     */
     static final long SUSPECT_TIMEOUT_MILLIS = 1100;
 
     /**
@@ -78,7 +81,7 @@
 
     private final Incarnation self;
 
-    /** Gets the offset up to which claims have been read, negative before the first read. */
+    /** Supplies the offset up to which claims have been read, negative before the first read. */
     private final LongSupplier claimsRead;
 
     /** The newest claim; guarded by this. */
--- a/src/main/java/org/standlink/election/Claim.java
+++ b/src/main/java/org/standlink/election/Claim.java
@@ -24,7 +24,7 @@
 /**
  * A claim of the leadership of a cell; the newest one in the store is in force.
  *
- * <p>A claim is written as an array, so new components may only be added at its end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code Claim} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/gateway/JobReply.java
+++ b/src/main/java/org/standlink/gateway/JobReply.java
@@ -32,7 +32,9 @@
 public record JobReply(
         int status, JobState state, long waiting, String reason, long retryAfterSeconds) {
 
-    /** After how long to retry a refused request, in seconds: the least that the header permits. */
+    /**
+     * After how long to retry a refused request, in seconds: the minimum that the header permits.
+     */
     private static final long RETRY_AFTER_SECONDS = 1;
 
     /**
--- a/src/main/java/org/standlink/gateway/LeaderRequest.java
+++ b/src/main/java/org/standlink/gateway/LeaderRequest.java
@@ -42,7 +42,7 @@
     /**
      * How long a request waits for a reachable leader, in milliseconds, at its start and after each
      * attempt with an unknown outcome. A new leader takes 500 to 2,000 ms after the loss of one. A
-     * caller that is told to retry loses the second that it is told to wait, and callers wait for
+     * caller that has to retry loses the second after which it may do so, and callers wait for
      * 3,000 ms.
      */
     private static final long LEADER_WAIT_MILLIS = 1200;
--- a/src/main/java/org/standlink/job/JobDefinition.java
+++ b/src/main/java/org/standlink/job/JobDefinition.java
@@ -22,7 +22,7 @@
 /**
  * A job as its caller submitted it.
  *
- * <p>Serialized as an array, so new components may only be added at the end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code JobDefinition} is thread-safe and immutable.
  *
--- a/src/main/java/org/standlink/job/StepDefinition.java
+++ b/src/main/java/org/standlink/job/StepDefinition.java
@@ -22,7 +22,7 @@
 /**
  * One step of a submitted job: a number of identical tasks that may run concurrently.
  *
- * <p>Serialized as an array, so new components may only be added at the end.
+ * <p>It is serialised as an array, so new components may only be appended.
  *
  * <p>{@code StepDefinition} is thread-safe and immutable.
  *
@@ -34,7 +34,7 @@
  * @param gang whether the tasks must run together
  * @param rackLocal whether a gang slows down when it spans racks
  * @param requiredLabel the label that a worker must have, empty if none is required
- * @param dataRack the rack that holds the input data, empty if any
+ * @param dataRack the rack that holds the input data, empty if no rack is preferred
  * @param maxPerWorker the maximum number of tasks of the step on one worker, 0 for no limit
  * @param speculative whether copies of a task may run concurrently
  * @param longRunning whether tasks run until the job is cancelled
--- a/src/main/java/org/standlink/policy/GradualRelief.java
+++ b/src/main/java/org/standlink/policy/GradualRelief.java
@@ -31,7 +31,7 @@
  * only well below the target, one step at a time. Noisy measurements thus cause throttling rather
  * than oscillating evictions.
  *
- * <p>{@code GradualRelief} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code GradualRelief} is mutable and not thread-safe; callers must synchronise access.
  */
 public final class GradualRelief implements ReliefPolicy {
 
--- a/src/main/java/org/standlink/policy/LearnedInterference.java
+++ b/src/main/java/org/standlink/policy/LearnedInterference.java
@@ -28,7 +28,7 @@
  * changes. While a pair has few measurements, its contribution is drawn towards the mean of its
  * batch class over all services and load levels.
  *
- * <p>{@code LearnedInterference} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code LearnedInterference} is mutable and not thread-safe; callers must synchronise access.
  */
 public final class LearnedInterference implements InterferenceModel {
 
--- a/src/main/java/org/standlink/policy/LearnedSizes.java
+++ b/src/main/java/org/standlink/policy/LearnedSizes.java
@@ -26,7 +26,7 @@
  * It starts at the declared size and approaches the measurements as they arrive. Accelerators are
  * indivisible and are granted as declared.
  *
- * <p>{@code LearnedSizes} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code LearnedSizes} is mutable and not thread-safe; callers must synchronise access.
  */
 public final class LearnedSizes implements SizeEstimator {
 
--- a/src/main/java/org/standlink/policy/RunningMean.java
+++ b/src/main/java/org/standlink/policy/RunningMean.java
@@ -18,7 +18,7 @@
 /**
  * The mean and standard deviation of a series, in which the weight of old values decays.
  *
- * <p>{@code RunningMean} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code RunningMean} is mutable and not thread-safe; callers must synchronise access.
  */
 final class RunningMean {
 
--- a/src/main/java/org/standlink/policy/TwoChoicesRouting.java
+++ b/src/main/java/org/standlink/policy/TwoChoicesRouting.java
@@ -22,7 +22,7 @@
  * Draws two upstreams at random and chooses the one with the shorter expected answer time.
  *
  * <p>The expected answer time is the round-trip latency of the network plus the mean answer time of
- * the upstream, which is scaled up with the utilization of its slots. Two random choices avoid the
+ * the upstream, which is scaled up with the utilisation of its slots. Two random choices avoid the
  * herding that follows if all entries choose the best upstream, and unlike round robin they take
  * the load into account.
  *
--- a/src/main/java/org/standlink/policy/WorkerHealthPolicy.java
+++ b/src/main/java/org/standlink/policy/WorkerHealthPolicy.java
@@ -31,7 +31,7 @@
  * failed on several different workers that were not failing other jobs. A task avoids the workers
  * on which it has failed.
  *
- * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code WorkerHealthPolicy} is mutable and not thread-safe; callers must synchronise access.
  */
 public final class WorkerHealthPolicy {
 
--- a/src/main/java/org/standlink/runner/AgentNode.java
+++ b/src/main/java/org/standlink/runner/AgentNode.java
@@ -53,7 +53,8 @@
     private static final long REPORT_CHECK_INTERVAL_MILLIS = 100;
 
     /**
-     * The timeout of a report, in milliseconds; shorter than the permitted silence of the leader.
+     * The timeout of a report, in milliseconds; shorter than the time without an answer after which
+     * the leader is suspected.
      */
     private static final long ANSWER_TIMEOUT_MILLIS = 1000;
 
