--- a/src/main/java/org/standlink/cell/AgentRegistry.java
+++ b/src/main/java/org/standlink/cell/AgentRegistry.java
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Raises the generation of an agent's lease. Its workers receive no orders until the agent has
-     * been sent all orders under the new generation.
+     * Raises the generation of an agent's lease. Each of its workers receives no other orders until
+     * all its orders have been sent again under the new generation.
      *
      * @param agent the incarnation of the agent, null for none
      * @param reason the reason, for the log
--- a/src/main/java/org/standlink/policy/TwoChoicesRouting.java
+++ b/src/main/java/org/standlink/policy/TwoChoicesRouting.java
@@ -60,7 +60,7 @@
     private static double cost(UpstreamView upstream) {
         double latencyMicros =
                 upstream.latencyMicros() == 0 ? DEFAULT_LATENCY_MICROS : upstream.latencyMicros();
-        double utilization = (upstream.outstanding() + 1.0) / upstream.slots();
-        return 2.0 * upstream.distanceMicros() + latencyMicros * (1 + utilization);
+        double utilisation = (upstream.outstanding() + 1.0) / upstream.slots();
+        return 2.0 * upstream.distanceMicros() + latencyMicros * (1 + utilisation);
     }
 }
