--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -233,11 +233,11 @@
 
     private boolean isDrained() {
         SupervisorReport report = acknowledgedReport;
-        boolean tasksHandedBack =
+        boolean stopsAcknowledged =
                 supervisor.getRunning() == 0 && report != null && report == supervisor.getReport();
         boolean requestsDrained =
                 requests.getOutstanding() == 0 && requestDrain.isDrained(clock.nowMillis());
-        return requestsDrained && (tasksHandedBack || supervisor.getReport().tasks().isEmpty());
+        return requestsDrained && (stopsAcknowledged || supervisor.getReport().tasks().isEmpty());
     }
 
     private void addGauges() {
--- a/src/main/java/org/standlink/agent/AgentSettings.java
+++ b/src/main/java/org/standlink/agent/AgentSettings.java
@@ -63,8 +63,8 @@
      * @throws org.standlink.StandlinkException with code INVALID_SETTINGS, listing all errors
      */
     public static AgentSettings read(String text) {
-        ValidationErrors faults = new ValidationErrors();
-        JsonSection root = JsonSection.parse(text, faults);
+        ValidationErrors errors = new ValidationErrors();
+        JsonSection root = JsonSection.parse(text, errors);
         AgentSettings settings =
                 new AgentSettings(
                         root.requiredValue("vm", VmId::parse),
@@ -80,12 +80,12 @@
                         root.integer("drainMillis", 30_000, 100, 600_000));
         root.reportUnknownKeys();
         if (settings.times().nodeMillis() <= 2 * settings.heartbeatMillis()) {
-            faults.add(
+            errors.add(
                     "leases.nodeMillis",
                     settings.times().nodeMillis() + " is not above two heartbeats",
                     "raise it or lower heartbeatMillis");
         }
-        faults.throwIfAny(ErrorCode.INVALID_SETTINGS, "the agent's settings");
+        errors.throwIfAny(ErrorCode.INVALID_SETTINGS, "the agent's settings");
         return settings;
     }
 
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -40,8 +40,8 @@
  * Runs the assigned tasks on the local worker, under the node lease and the worker lease.
  *
  * <p>Answers of the leader are passed to {@link #accept}. {@link #tick} applies them on one thread
- * and then publishes the resulting state, see {@link #getReport}. So no call to the worker for an
- * older grant is in progress in the state that a report describes.
+ * and then publishes the resulting state, see {@link #getReport}. When a report names a grant, no
+ * call to the worker under an older grant is therefore still in progress.
  *
  * <p>{@code TaskSupervisor} is thread-safe; {@code tick} must be called by one thread at a time.
  */
@@ -251,12 +251,12 @@
             Assignment assignment,
             CapacityUsage capacityUsage,
             boolean leaving) {
-        boolean isWanted =
+        boolean mayContinue =
                 assignment != null
                         && assignment.attempt().equals(usage.attempt())
                         && !assignment.stop()
                         && !leaving;
-        if (!isWanted) {
+        if (!mayContinue) {
             stop(usage);
             return;
         }
--- a/src/main/java/org/standlink/entry/Upstream.java
+++ b/src/main/java/org/standlink/entry/Upstream.java
@@ -87,9 +87,9 @@
      */
     boolean isOpen() {
         Connection connection = peer.getOpenConnection();
-        boolean greeted =
+        boolean connectionUsable =
                 connection != null && connection.getHello() != null && !connection.isPeerLeaving();
-        return greeted && !isLeaving() && !load.failing();
+        return connectionUsable && !isLeaving() && !load.failing();
     }
 
     /**
--- a/src/main/java/org/standlink/log/BundlePublisher.java
+++ b/src/main/java/org/standlink/log/BundlePublisher.java
@@ -51,7 +51,7 @@
     private final Map<String, Optional<StandlinkException>> decisions = new HashMap<>();
 
     /**
-     * Constructor.
+     * Creates a publisher that has not read the log yet.
      *
      * @param log the log
      */
--- a/src/main/java/org/standlink/log/CellState.java
+++ b/src/main/java/org/standlink/log/CellState.java
@@ -61,7 +61,7 @@
     private Incarnation incarnation;
 
     /**
-     * Constructor.
+     * Creates the state of a cell without a leader or tasks.
      *
      * @param cell the cell
      */
--- a/src/main/java/org/standlink/log/LogFold.java
+++ b/src/main/java/org/standlink/log/LogFold.java
@@ -75,7 +75,7 @@
     private long nextOffset;
 
     /**
-     * Constructor.
+     * Creates a fold without state.
      *
      * @param firstOffset the offset of the first record to fold
      * @param listener receives the decisions on published bundles
--- a/src/main/java/org/standlink/log/LogFollower.java
+++ b/src/main/java/org/standlink/log/LogFollower.java
@@ -52,7 +52,7 @@
     private boolean incomplete;
 
     /**
-     * Constructor.
+     * Creates a follower that starts at offset 0.
      *
      * @param log the log
      * @param listener receives the decisions on published bundles
--- a/src/main/java/org/standlink/platform/PlatformHttpClient.java
+++ b/src/main/java/org/standlink/platform/PlatformHttpClient.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Replaces the client, and with it all connections, unless the given one was replaced already
-     * or is too new.
+     * Replaces the client, and with it all connections, unless the given client has been replaced
+     * already or is younger than {@link #MIN_REPLACEMENT_AGE_MILLIS}.
      */
     private synchronized void replaceClient(HttpClient usedClient) {
         long now = System.nanoTime();
--- a/src/main/java/org/standlink/wire/Heartbeat.java
+++ b/src/main/java/org/standlink/wire/Heartbeat.java
@@ -40,7 +40,7 @@
  * @param leaving whether the VM is leaving
  * @param workerReady whether the agent holds a valid worker lease
  * @param tasks the states of tasks that the leader has not received yet
- * @param gone the tasks that the leader has received and that no longer exist
+ * @param gone the tasks whose reports the leader has received and that no longer exist
  * @param services the load and latency of the services on the VM
  */
 public record Heartbeat(
