--- a/src/main/java/org/standlink/agent/LeaderRole.java
+++ b/src/main/java/org/standlink/agent/LeaderRole.java
@@ -91,7 +91,7 @@
      * @param settings the settings
      * @param incarnation the incarnation of this process
      * @param log the platform's log
-     * @param holder the holder of the bundle in force
+     * @param holder holds the bundle in force
      * @param clock the clock
      * @param executor the executor for connections and announcements
      * @param handler the handler of messages on the connections to other agents
@@ -136,7 +136,7 @@
         } else if (nowMillis >= nextLogReadMillis
                 && (!logRead || leaderTracker.isLeaderUnresponsive(nowMillis))) {
             nextLogReadMillis = nowMillis + LOG_READ_INTERVAL_MILLIS;
-            lookForLeader(leaving);
+            findOrClaimLeader(leaving);
         }
     }
 
@@ -237,7 +237,7 @@
         return new Refusal(ErrorCode.LEASE_LAPSED, "'" + settings.vm() + "' does not lead");
     }
 
-    private void lookForLeader(boolean leaving) {
+    private void findOrClaimLeader(boolean leaving) {
         follower.poll();
         follower.read(
                 fold ->
--- a/src/main/java/org/standlink/agent/RequestHandler.java
+++ b/src/main/java/org/standlink/agent/RequestHandler.java
@@ -89,7 +89,7 @@
      * @param self this VM
      * @param incarnation the incarnation of this process
      * @param upstream the upstream
-     * @param holder the holder of the bundle in force
+     * @param holder holds the bundle in force
      * @param nodeLeaseLive supplies whether the node lease is live
      * @param clock the clock
      * @param scheduler the scheduler for the deadlines of callers
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -71,10 +71,10 @@
     private final WorkerLeaseHolder workerLease;
 
     /** The attempts that the worker last listed, updated by the calls since then. */
-    private Map<TaskId, AttemptStatus> usages = new HashMap<>();
+    private Map<TaskId, AttemptStatus> statuses = new HashMap<>();
 
     /** The attempts that have ended, retained while their tasks are assigned. */
-    private final Map<TaskId, AttemptStatus> endedUsages = new HashMap<>();
+    private final Map<TaskId, AttemptStatus> endedStatuses = new HashMap<>();
 
     /** The throttle that was last sent to the worker for each task, in percent. */
     private final Map<TaskId, Integer> throttlePercents = new HashMap<>();
@@ -175,43 +175,43 @@
     }
 
     private void readWorker(NodeGrant currentGrant) {
-        Map<TaskId, AttemptStatus> currentUsages = new HashMap<>();
-        for (AttemptStatus usage : worker.list()) {
-            currentUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
+        Map<TaskId, AttemptStatus> currentStatuses = new HashMap<>();
+        for (AttemptStatus status : worker.list()) {
+            currentStatuses.merge(status.task(), status, TaskSupervisor::selectNewer);
         }
-        for (AttemptStatus usage : usages.values()) {
-            if (isRunning(usage) && !currentUsages.containsKey(usage.task())) {
+        for (AttemptStatus status : statuses.values()) {
+            if (isRunning(status) && !currentStatuses.containsKey(status.task())) {
                 // A worker that no longer lists a running attempt was restarted, which ended it.
-                endedUsages.put(usage.task(), withState(usage, AttemptStatus.State.STOPPED));
+                endedStatuses.put(status.task(), withState(status, AttemptStatus.State.STOPPED));
             }
         }
-        currentUsages.values().forEach(this::recordEnd);
+        currentStatuses.values().forEach(this::recordEnd);
         Set<TaskId> assigned = new HashSet<>();
         currentGrant.assignments().forEach(assignment -> assigned.add(assignment.task()));
-        endedUsages.keySet().retainAll(assigned);
-        endedUsages
+        endedStatuses.keySet().retainAll(assigned);
+        endedStatuses
                 .values()
                 .forEach(
-                        usage ->
-                                currentUsages.merge(
-                                        usage.task(), usage, TaskSupervisor::selectNewer));
-        usages = currentUsages;
+                        status ->
+                                currentStatuses.merge(
+                                        status.task(), status, TaskSupervisor::selectNewer));
+        statuses = currentStatuses;
     }
 
-    private void recordEnd(AttemptStatus usage) {
-        if (!isRunning(usage)) {
-            endedUsages.merge(usage.task(), usage, TaskSupervisor::selectNewer);
+    private void recordEnd(AttemptStatus status) {
+        if (!isRunning(status)) {
+            endedStatuses.merge(status.task(), status, TaskSupervisor::selectNewer);
         }
     }
 
-    private static AttemptStatus withState(AttemptStatus usage, AttemptStatus.State state) {
+    private static AttemptStatus withState(AttemptStatus status, AttemptStatus.State state) {
         return new AttemptStatus(
-                usage.task(),
-                usage.attempt(),
+                status.task(),
+                status.attempt(),
                 state,
-                usage.checkpoint(),
-                usage.reserved(),
-                usage.usage());
+                status.checkpoint(),
+                status.reserved(),
+                status.usage());
     }
 
     private static AttemptStatus selectNewer(AttemptStatus first, AttemptStatus second) {
@@ -229,9 +229,9 @@
                     .assignments()
                     .forEach(assignment -> assignments.put(assignment.task(), assignment));
         }
-        for (AttemptStatus usage : List.copyOf(usages.values())) {
-            if (isRunning(usage)) {
-                keepOrStop(usage, assignments.get(usage.task()), capacityUsage, leaving);
+        for (AttemptStatus status : List.copyOf(statuses.values())) {
+            if (isRunning(status)) {
+                keepOrStop(status, assignments.get(status.task()), capacityUsage, leaving);
             }
         }
         stopExcess(assignments, capacityUsage);
@@ -247,20 +247,20 @@
     }
 
     private void keepOrStop(
-            AttemptStatus usage,
+            AttemptStatus status,
             Assignment assignment,
             CapacityUsage capacityUsage,
             boolean leaving) {
         boolean mayContinue =
                 assignment != null
-                        && assignment.attempt().equals(usage.attempt())
+                        && assignment.attempt().equals(status.attempt())
                         && !assignment.stop()
                         && !leaving;
         if (!mayContinue) {
-            stop(usage);
+            stop(status);
             return;
         }
-        capacityUsage.addAllocated(usage.reserved());
+        capacityUsage.addAllocated(status.reserved());
         throttle(assignment);
     }
 
@@ -268,26 +268,26 @@
         if (!capacityUsage.isOvercommitted()) {
             return;
         }
-        List<AttemptStatus> running = new ArrayList<>(usages.values());
-        running.removeIf(usage -> !isRunning(usage));
-        running.sort(Comparator.comparingInt(usage -> assignments.get(usage.task()).priority()));
-        for (AttemptStatus usage : running) {
+        List<AttemptStatus> running = new ArrayList<>(statuses.values());
+        running.removeIf(status -> !isRunning(status));
+        running.sort(Comparator.comparingInt(status -> assignments.get(status.task()).priority()));
+        for (AttemptStatus status : running) {
             if (!capacityUsage.isOvercommitted()) {
                 return;
             }
-            stop(usage);
-            capacityUsage.release(usage.reserved());
+            stop(status);
+            capacityUsage.release(status.reserved());
         }
     }
 
     private void startIfCapacity(
             NodeGrant currentGrant, Assignment assignment, CapacityUsage capacityUsage) {
-        AttemptStatus usage = usages.get(assignment.task());
+        AttemptStatus status = statuses.get(assignment.task());
         boolean mayStart =
                 !assignment.stop()
-                        && (usage == null
-                                || !isRunning(usage)
-                                        && assignment.attempt().isAfter(usage.attempt()));
+                        && (status == null
+                                || !isRunning(status)
+                                        && assignment.attempt().isAfter(status.attempt()));
         if (!mayStart || !capacityUsage.tryAllocate(assignment.resources())) {
             return;
         }
@@ -308,7 +308,7 @@
                         assignment.checkpoint());
         try {
             worker.start(workerLease.getToken(), start);
-            usages.put(
+            statuses.put(
                     assignment.task(),
                     new AttemptStatus(
                             assignment.task(),
@@ -325,11 +325,12 @@
         }
     }
 
-    private void stop(AttemptStatus usage) {
-        AttemptStatus stopped = worker.stop(workerLease.getToken(), usage.task(), usage.attempt());
-        usages.put(usage.task(), stopped);
+    private void stop(AttemptStatus status) {
+        AttemptStatus stopped =
+                worker.stop(workerLease.getToken(), status.task(), status.attempt());
+        statuses.put(status.task(), stopped);
         recordEnd(stopped);
-        throttlePercents.remove(usage.task());
+        throttlePercents.remove(status.task());
     }
 
     private void throttle(Assignment assignment) {
@@ -345,16 +346,16 @@
     private List<TaskReport> createReports(NodeGrant currentGrant, boolean leaving) {
         Map<TaskId, TaskReport> reports = new HashMap<>();
         for (Assignment assignment : currentGrant.assignments()) {
-            AttemptStatus usage = usages.get(assignment.task());
-            if (usage == null || assignment.attempt().isAfter(usage.attempt())) {
+            AttemptStatus status = statuses.get(assignment.task());
+            if (status == null || assignment.attempt().isAfter(status.attempt())) {
                 reports.put(assignment.task(), createUnstartedReport(assignment, leaving));
             } else {
-                reports.put(assignment.task(), createReport(usage));
+                reports.put(assignment.task(), createReport(status));
             }
         }
-        usages.values().stream()
+        statuses.values().stream()
                 .filter(TaskSupervisor::isRunning)
-                .forEach(usage -> reports.putIfAbsent(usage.task(), createReport(usage)));
+                .forEach(status -> reports.putIfAbsent(status.task(), createReport(status)));
         return List.copyOf(reports.values());
     }
 
@@ -368,17 +369,17 @@
                 null);
     }
 
-    private static TaskReport createReport(AttemptStatus usage) {
+    private static TaskReport createReport(AttemptStatus status) {
         return new TaskReport(
-                usage.task(),
-                usage.attempt(),
-                TaskReport.State.valueOf(usage.state().name()),
-                usage.checkpoint(),
-                usage.usage());
+                status.task(),
+                status.attempt(),
+                TaskReport.State.valueOf(status.state().name()),
+                status.checkpoint(),
+                status.usage());
     }
 
-    private static boolean isRunning(AttemptStatus usage) {
-        return usage.state() == AttemptStatus.State.RUNNING;
+    private static boolean isRunning(AttemptStatus status) {
+        return status.state() == AttemptStatus.State.RUNNING;
     }
 
     private static boolean isRunning(TaskReport task) {
--- a/src/main/java/org/standlink/entry/CallerServer.java
+++ b/src/main/java/org/standlink/entry/CallerServer.java
@@ -89,7 +89,7 @@
     private final HttpServer server;
     private final RequestRouter router;
 
-    /** The bundle in force. */
+    /** Holds the bundle in force. */
     private final BundleHolder holder;
 
     /** Limits the concurrency of classes and teams. */
@@ -110,7 +110,7 @@
      * @param address the address to listen on
      * @param executor runs the handling of requests
      * @param router routes requests
-     * @param holder the bundle in force
+     * @param holder holds the bundle in force
      * @param clock the clock
      * @param registry the registry for metrics
      */
--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -68,13 +68,11 @@
     private final Timers timers;
     private final ExecutorService executor;
 
-    /** The bundle in force. */
+    /** Holds the bundle in force. */
     private final BundleHolder holder = new BundleHolder();
 
-    /** The platform's log. */
     private final LogPort log;
 
-    /** The platform's VM list. */
     private final VmListPort vmList;
 
     /** Reads the log and maintains the state that it describes. */
@@ -83,7 +81,6 @@
     /** The agents to which this entry is connected. */
     private final UpstreamDirectory directory;
 
-    /** The server for callers. */
     private final CallerServer server;
 
     private final MonotonicClock clock = MonotonicClock.ofSystem();
--- a/src/main/java/org/standlink/entry/RequestRouter.java
+++ b/src/main/java/org/standlink/entry/RequestRouter.java
@@ -73,7 +73,6 @@
     /** The incarnation of this process. */
     private final Incarnation incarnation;
 
-    /** The hall of this entry. */
     private final HallId hall;
 
     private final UpstreamDirectory directory;
--- a/src/main/java/org/standlink/entry/UpstreamDirectory.java
+++ b/src/main/java/org/standlink/entry/UpstreamDirectory.java
@@ -45,7 +45,7 @@
 
     private final ExecutorService executor;
 
-    /** The bundle in force. */
+    /** Holds the bundle in force. */
     private final BundleHolder holder;
 
     private final Map<VmId, Upstream> upstreams = new ConcurrentHashMap<>();
@@ -57,7 +57,7 @@
      * Creates a directory without agents.
      *
      * @param executor runs connections to agents
-     * @param holder the bundle in force
+     * @param holder holds the bundle in force
      */
     public UpstreamDirectory(ExecutorService executor, BundleHolder holder) {
         this.executor = executor;
--- a/src/main/java/org/standlink/leader/BundleCellLeader.java
+++ b/src/main/java/org/standlink/leader/BundleCellLeader.java
@@ -80,7 +80,7 @@
     private long excludedMillis;
 
     /** Ends of attempts that the folded state does not show yet. */
-    private final Map<TaskId, TaskEvent> endings = new HashMap<>();
+    private final Map<TaskId, TaskEvent> pendingEnds = new HashMap<>();
 
     /**
      * Creates the leader of an epoch that has been claimed.
@@ -197,7 +197,7 @@
         if (!isLeading(state, nowMillis)) {
             throw notLeading();
         }
-        removeFoldedEndings(state);
+        removeFoldedEnds(state);
         detectExclusion(state, bundle, nowMillis);
         agents.forEach(
                 (vm, agent) -> {
@@ -206,11 +206,11 @@
                     }
                 });
         for (TaskState task : state.getTasks()) {
-            if (task.isAssigned() && !endings.containsKey(task.task())) {
+            if (task.isAssigned() && !pendingEnds.containsKey(task.task())) {
                 decideEnd(task, bundle, nowMillis);
             }
         }
-        List<TaskEvent> events = new ArrayList<>(endings.values());
+        List<TaskEvent> events = new ArrayList<>(pendingEnds.values());
         events.addAll(planner.plan(state, bundle, agents, nowMillis));
         return events;
     }
@@ -238,8 +238,8 @@
     }
 
     // -----------------------------------------------------------------------
-    private void removeFoldedEndings(CellState state) {
-        endings.values().removeIf(event -> !isPending(event, state));
+    private void removeFoldedEnds(CellState state) {
+        pendingEnds.values().removeIf(event -> !isPending(event, state));
     }
 
     private static boolean isPending(TaskEvent event, CellState state) {
@@ -291,7 +291,7 @@
 
     private TaskEvent endAttempt(TaskEvent.Kind kind, TaskState task, String checkpoint) {
         TaskEvent event = TaskEvent.ofEnd(kind, task.task(), task.attempt(), checkpoint);
-        endings.put(task.task(), event);
+        pendingEnds.put(task.task(), event);
         planner.recordEnd(event, task.worker());
         return event;
     }
@@ -354,7 +354,7 @@
                 // An abandoned attempt may only be stopped until the folded state shows its end. If
                 // it was stopped before its start, neither agent nor worker would reject a start.
                 // While it stays in the list, the agent continues to remember how it ended.
-                boolean abandoned = endings.containsKey(task.task());
+                boolean abandoned = pendingEnds.containsKey(task.task());
                 result.add(planner.createAssignment(task, bundle, abandoned));
             }
         }
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -72,7 +72,7 @@
     private final LogPort log;
     private final LogFollower follower;
 
-    /** The bundle in force in this process. */
+    /** Holds the bundle in force in this process. */
     private final BundleHolder holder;
 
     private final LeaseTimes times;
@@ -113,7 +113,7 @@
      * @param incarnation the incarnation of this process
      * @param log the log
      * @param follower holds the folded state of the log
-     * @param holder the bundle in force in this process
+     * @param holder holds the bundle in force in this process
      * @param times the lengths of the leases
      * @param retentionMillis the retention period of the log, in milliseconds
      * @param clock the clock
