--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -40,8 +40,8 @@
  * Runs the assigned tasks on the local worker, under the node lease and the worker lease.
  *
  * <p>Answers of the leader are passed to {@link #accept}. {@link #tick} applies them on one thread
- * and then publishes the resulting state, see {@link #getReport}. When a report names a grant, no
- * call to the worker under an older grant is therefore still in progress.
+ * and then publishes the resulting state, see {@link #getReport}. When a report names a grant, this
+ * process therefore makes no more calls to the worker under an older one.
  *
  * <p>{@code TaskSupervisor} is thread-safe; {@code tick} must be called by one thread at a time.
  */
--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -53,15 +53,15 @@
     private static final System.Logger LOGGER = System.getLogger(EntryProcess.class.getName());
 
     /** The interval between reads of the log, in milliseconds. */
-    private static final long LOG_INTERVAL_MILLIS = 500;
+    private static final long LOG_READ_INTERVAL_MILLIS = 500;
 
     /** The interval between checks for missing connections, in milliseconds. */
     private static final long CONNECT_INTERVAL_MILLIS = 250;
 
     /** The interval between reads of the VM list, in milliseconds. */
-    private static final long LIST_INTERVAL_MILLIS = 1000;
+    private static final long VM_LIST_INTERVAL_MILLIS = 1000;
 
-    /** The time limit for a bundle query, in milliseconds. */
+    /** The timeout of a query for a bundle to a peer, in milliseconds. */
     private static final long BUNDLE_TIMEOUT_MILLIS = 2000;
 
     private final EntrySettings settings;
@@ -128,10 +128,10 @@
                 "standlink.entry.bundle.version",
                 holder,
                 current -> current.getVersion().getValue());
-        timers.scheduleRepeating("log", LOG_INTERVAL_MILLIS, this::readLog);
+        timers.scheduleRepeating("log", LOG_READ_INTERVAL_MILLIS, this::readLog);
         timers.scheduleRepeating("connect", CONNECT_INTERVAL_MILLIS, directory::connectAll);
         timers.scheduleRepeating(
-                "list", LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
+                "list", VM_LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
     }
 
     // -----------------------------------------------------------------------
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -59,7 +59,7 @@
     private static final long ANNOUNCE_MILLIS = 2_000;
 
     /** The minimum interval between two appends of decisions, in milliseconds. */
-    private static final long APPEND_MILLIS = 900;
+    private static final long MIN_APPEND_INTERVAL_MILLIS = 900;
 
     private final CellId cell;
 
@@ -317,7 +317,7 @@
         if (leader == null || bundle == null || bundle.findCell(cell).isEmpty()) {
             return null;
         }
-        if (now < appendedMillis + APPEND_MILLIS) {
+        if (now < appendedMillis + MIN_APPEND_INTERVAL_MILLIS) {
             return null;
         }
         List<TaskEvent> events =
--- a/src/main/java/org/standlink/leader/TaskOrders.java
+++ b/src/main/java/org/standlink/leader/TaskOrders.java
@@ -29,7 +29,7 @@
 final class TaskOrders {
 
     /** The share of its processors that an unthrottled task may use, in percent. */
-    private static final int UNTHROTTLED = 100;
+    private static final int UNTHROTTLED_PERCENT = 100;
 
     /** The share of its processors that each throttled task may use, in percent. */
     private final Map<TaskId, Integer> throttles = new HashMap<>();
@@ -74,7 +74,7 @@
      * @return the share of its processors that it may use, in percent
      */
     int getThrottle(TaskId task) {
-        return throttles.getOrDefault(task, UNTHROTTLED);
+        return throttles.getOrDefault(task, UNTHROTTLED_PERCENT);
     }
 
     /**
