--- a/src/main/java/org/standlink/entry/EntryProcess.java
+++ b/src/main/java/org/standlink/entry/EntryProcess.java
@@ -53,28 +53,26 @@
     private static final System.Logger LOGGER = System.getLogger(EntryProcess.class.getName());
 
     /** The interval between reads of the log, in milliseconds. */
-    private static final long LOG_INTERVAL_MILLIS = 500;
+    private static final long LOG_READ_INTERVAL_MILLIS = 500;
 
     /** The interval between checks for missing connections, in milliseconds. */
     private static final long CONNECT_INTERVAL_MILLIS = 250;
 
     /** The interval between reads of the VM list, in milliseconds. */
-    private static final long LIST_INTERVAL_MILLIS = 1000;
+    private static final long VM_LIST_INTERVAL_MILLIS = 1000;
 
-    /** The time limit for a bundle query, in milliseconds. */
+    /** The timeout of a query for a bundle to a peer, in milliseconds. */
     private static final long BUNDLE_TIMEOUT_MILLIS = 2000;
 
     private final EntrySettings settings;
     private final Timers timers;
     private final ExecutorService executor;
 
-    /** The bundle in force. */
+    /** Holds the bundle in force. */
     private final BundleHolder holder = new BundleHolder();
 
-    /** The platform's log. */
     private final LogPort log;
 
-    /** The platform's VM list. */
     private final VmListPort vmList;
 
     /** Reads the log and maintains the state that it describes. */
@@ -83,7 +81,6 @@
     /** The agents to which this entry is connected. */
     private final UpstreamDirectory directory;
 
-    /** The server for callers. */
     private final CallerServer server;
 
     private final MonotonicClock clock = MonotonicClock.ofSystem();
@@ -131,10 +128,10 @@
                 "standlink.entry.bundle.version",
                 holder,
                 current -> current.getVersion().getValue());
-        timers.scheduleRepeating("log", LOG_INTERVAL_MILLIS, this::readLog);
+        timers.scheduleRepeating("log", LOG_READ_INTERVAL_MILLIS, this::readLog);
         timers.scheduleRepeating("connect", CONNECT_INTERVAL_MILLIS, directory::connectAll);
         timers.scheduleRepeating(
-                "list", LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
+                "list", VM_LIST_INTERVAL_MILLIS, () -> directory.setListedVms(vmList.list()));
     }
 
     // -----------------------------------------------------------------------
--- a/src/main/java/org/standlink/leader/LeaderService.java
+++ b/src/main/java/org/standlink/leader/LeaderService.java
@@ -59,7 +59,7 @@
     private static final long ANNOUNCE_MILLIS = 2_000;
 
     /** The minimum interval between two appends of decisions, in milliseconds. */
-    private static final long APPEND_MILLIS = 900;
+    private static final long MIN_APPEND_INTERVAL_MILLIS = 900;
 
     private final CellId cell;
 
@@ -72,7 +72,7 @@
     private final LogPort log;
     private final LogFollower follower;
 
-    /** The bundle in force in this process. */
+    /** Holds the bundle in force in this process. */
     private final BundleHolder holder;
 
     private final LeaseTimes times;
@@ -113,7 +113,7 @@
      * @param incarnation the incarnation of this process
      * @param log the log
      * @param follower holds the folded state of the log
-     * @param holder the bundle in force in this process
+     * @param holder holds the bundle in force in this process
      * @param times the lengths of the leases
      * @param retentionMillis the retention period of the log, in milliseconds
      * @param clock the clock
@@ -317,7 +317,7 @@
         if (leader == null || bundle == null || bundle.findCell(cell).isEmpty()) {
             return null;
         }
-        if (now < appendedMillis + APPEND_MILLIS) {
+        if (now < appendedMillis + MIN_APPEND_INTERVAL_MILLIS) {
             return null;
         }
         List<TaskEvent> events =
