--- a/src/main/java/org/standlink/benchmark/Strategy.java
+++ b/src/main/java/org/standlink/benchmark/Strategy.java
@@ -45,7 +45,7 @@
         PlacementPolicy placement,
         ReliefPolicy relief) {
 
-    /** The strategies measured. */
+    /** The strategies that are compared. */
     public enum Kind {
         /** The baseline of the comparison: first fit on declared sizes, threshold relief. */
         FIRST_FIT_DECLARED,
--- a/src/main/java/org/standlink/bundle/BundleFold.java
+++ b/src/main/java/org/standlink/bundle/BundleFold.java
@@ -29,7 +29,7 @@
  * by its author and by another operator. The signatures are verified with the keys of the version
  * in force; those of the first bundle with its own keys. The version in force never decreases.
  *
- * <p>{@code BundleFold} is mutable and not thread-safe; callers must synchronize access.
+ * <p>{@code BundleFold} is mutable and not thread-safe; callers must synchronise access.
  */
 public final class BundleFold {
 
--- a/src/main/java/org/standlink/command/AbstractServerCommand.java
+++ b/src/main/java/org/standlink/command/AbstractServerCommand.java
@@ -19,7 +19,7 @@
 import org.kohsuke.args4j.Option;
 import org.standlink.process.ProcessEnd;
 
-/** Base class of the commands that run a server: sets up the log and shuts down in order. */
+/** Base class of the commands that run a server: sets up the log and shuts down gracefully. */
 abstract class AbstractServerCommand implements Command {
 
     /**
@@ -31,7 +31,7 @@
     @Option(name = "--log", usage = "format of log lines: TEXT or JSON")
     private LogSetup.Format logFormat = LogSetup.Format.TEXT;
 
-    /** Shuts a server down in order. */
+    /** Shuts a server down gracefully. */
     @FunctionalInterface
     interface ShutdownAction {
 
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Serves until the process is asked to stop, then shuts down in order.
+     * Serves until the process is asked to stop, then shuts down gracefully.
      *
      * @param shutdown shuts the server down
      * @return the exit code
--- a/src/main/java/org/standlink/standin/LoadBalancer.java
+++ b/src/main/java/org/standlink/standin/LoadBalancer.java
@@ -36,7 +36,7 @@
  */
 final class LoadBalancer implements AutoCloseable {
 
-    /** The time between two probes, and the time-out of a probe, in milliseconds. */
+    /** The interval between two probes, and the timeout of a probe, in milliseconds. */
     private static final long PROBE_INTERVAL_MILLIS = 1000;
 
     /** The number of consecutive failed probes after which an entry gets no new connections. */
@@ -56,7 +56,7 @@
     private final ScheduledExecutorService timer = ProcessThreads.newScheduled("balancer", 1);
 
     /**
-     * Constructor, which starts to probe.
+     * Creates a load balancer and starts to probe.
      *
      * @param readinessUris the readiness address of each entry; empty to use all entries always
      */
--- a/src/main/java/org/standlink/standin/MemoryLog.java
+++ b/src/main/java/org/standlink/standin/MemoryLog.java
@@ -68,7 +68,7 @@
     private int appendsToDelay;
 
     /**
-     * Constructor.
+     * Creates an empty log.
      *
      * @param clock the clock
      * @param maxAppendsPerSecond the maximum number of appends per second
--- a/src/main/java/org/standlink/standin/MemoryVmList.java
+++ b/src/main/java/org/standlink/standin/MemoryVmList.java
@@ -51,7 +51,7 @@
     private boolean down;
 
     /**
-     * Constructor.
+     * Creates an empty list.
      *
      * @param clock the clock
      * @param delayMillis the delay until a change is listed, in milliseconds
--- a/src/main/java/org/standlink/standin/MemoryWorker.java
+++ b/src/main/java/org/standlink/standin/MemoryWorker.java
@@ -103,7 +103,7 @@
     private boolean down;
 
     /**
-     * Constructor.
+     * Creates a worker without a lease or attempts.
      *
      * @param clock the clock
      * @param capacity the resources of the worker
@@ -252,10 +252,10 @@
                     ErrorCode.PLATFORM_UNAVAILABLE, "the worker is unavailable", "try again later");
         }
         long now = clock.nowMillis();
-        boolean expires = token != null && now >= leaseExpiryMillis;
-        long end = expires ? leaseExpiryMillis : now;
+        boolean expired = token != null && now >= leaseExpiryMillis;
+        long end = expired ? leaseExpiryMillis : now;
         attempts.values().forEach(attemptState -> advance(attemptState, end));
-        if (expires) {
+        if (expired) {
             token = null;
             attempts.values().stream()
                     .filter(attemptState -> attemptState.state == AttemptStatus.State.RUNNING)
--- a/src/main/java/org/standlink/standin/RequestLoad.java
+++ b/src/main/java/org/standlink/standin/RequestLoad.java
@@ -113,7 +113,7 @@
     private long[] latencies;
 
     /**
-     * Constructor.
+     * Creates a load.
      *
      * @param entries the entries, used in turn
      * @param readinessUris the readiness address of each entry; empty to use all entries always
--- a/src/main/java/org/standlink/standin/UpstreamServer.java
+++ b/src/main/java/org/standlink/standin/UpstreamServer.java
@@ -68,7 +68,7 @@
     private final HttpPendingArrivals pendingArrivals;
 
     /**
-     * Constructor, which starts to listen.
+     * Creates an upstream and starts to listen.
      *
      * @param address the address to listen on
      * @param executor runs the server and the request handlers
--- a/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
+++ b/src/test/java/org/standlink/cell/TestReportedStateIsDurable.java
@@ -54,15 +54,14 @@
  * Tests that everything a leader has reported to callers and agents is known to the next leader,
  * wherever in the leader's code an exception or error is thrown.
  *
- * <p>Guards against lost state after an outage of the store: callers had been told that jobs were
- * accepted and completed, and workers that their ends were recorded, but the next leader restarted
- * these tasks or did not know the jobs. It comes about as follows. The changes to be stored are
- * taken from one change source after the other. When a source throws, here {@code
- * NoClassDefFoundError} in {@code InterferencePersistence.takeChanges} called by {@code
- * CommitQueue.startAppend}, the changes taken before are lost and no append is started. The effects
- * that wait for them run after the next append, which contains only what has changed since. The log
- * of one such failure had {@code "lost":43}; in another one the first append after 8.5 s without
- * the store had six records.
+ * <p>Guards against lost state after an outage of the store: jobs had been reported to callers as
+ * accepted and completed, and ends to workers as recorded, but the next leader restarted these
+ * tasks or did not know the jobs. It comes about as follows. The changes to be stored are taken
+ * from one change source after the other. When a source throws, here {@code NoClassDefFoundError}
+ * in {@code InterferencePersistence.takeChanges} called by {@code CommitQueue.startAppend}, the
+ * changes taken before are lost and no append is started. The effects that wait for them run after
+ * the next append, which contains only what has changed since. The log of one such failure had
+ * {@code "lost":43}; in another one the first append after 8.5 s without the store had six records.
  *
  * <p>The clock of the leader throws once, at each of its readings in turn, which are spread over
  * all of the leader's work. {@link TestThrowingChangeSources} covers sources and effects that
--- a/src/test/java/org/standlink/simulation/InvariantChecker.java
+++ b/src/test/java/org/standlink/simulation/InvariantChecker.java
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Records that the lease of a worker expired, which voids its ends not persisted so far. */
+    /** Records that the lease of a worker expired, which invalidates its unpersisted ends. */
     void recordLapse(SimulatedWorker worker) {
         for (SuccessfulEnd end : successfulEnds) {
             end.lapsed |= end.worker == worker && !end.persisted;
--- a/src/test/java/org/standlink/simulation/SimulatedDay.java
+++ b/src/test/java/org/standlink/simulation/SimulatedDay.java
@@ -140,8 +140,7 @@
         idle.retainAll(listIdleTasks());
         for (JobDefinition job : accepted) {
             // A job that waited for capacity may complete between the two checks; its tasks are
-            // idle
-            // at both.
+            // idle at both.
             boolean endedMeanwhile = unfinished.contains(job) && isCompleted(job);
             checkJob(job, endedMeanwhile ? List.of() : idle);
         }
--- a/src/test/java/org/standlink/standin/TestUpstreamServer.java
+++ b/src/test/java/org/standlink/standin/TestUpstreamServer.java
@@ -43,7 +43,7 @@
  * <p>Guards against requests lost by a planned stop on a busy machine. The server considered itself
  * idle because nothing had been passed to a handler for half a second, although its own thread had
  * not run. It closed its listener, and the operating system reset the connections that had not been
- * accepted, with the requests on them. One request of 2500 was answered as unknown, as its agent
+ * accepted, with the requests on them. One request of 2,500 was answered as unknown, as its agent
  * had lost the answer ("header parser received no bytes"). Entries had the same fault.
  */
 public class TestUpstreamServer {
--- a/src/test/java/org/standlink/store/FakeKeyedStore.java
+++ b/src/test/java/org/standlink/store/FakeKeyedStore.java
@@ -28,8 +28,8 @@
 import org.standlink.StandlinkException;
 
 /**
- * A store in memory that fails on demand. It behaves as a test of the platform's store has shown:
- * see the table in the source of docs/PLATFORM.md, the starting design.
+ * A store in memory that fails on demand. Its behaviour follows a test of the platform's store,
+ * whose results are in the table in the source of docs/PLATFORM.md, under the starting design.
  */
 public final class FakeKeyedStore implements KeyedStore {
 
