--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -234,7 +234,9 @@
     private boolean isDrained() {
         SupervisorReport report = acknowledgedReport;
         boolean stopsAcknowledged =
-                supervisor.getRunning() == 0 && report != null && report == supervisor.getReport();
+                supervisor.getRunningCount() == 0
+                        && report != null
+                        && report == supervisor.getReport();
         boolean requestsDrained =
                 requests.getOutstanding() == 0 && requestDrain.isDrained(clock.nowMillis());
         return requestsDrained && (stopsAcknowledged || supervisor.getReport().tasks().isEmpty());
@@ -243,7 +245,8 @@
     private void addGauges() {
         WorkFailures.registerCounter(registry);
         registry.gauge("standlink.agent.outstanding", requests, RequestHandler::getOutstanding);
-        registry.gauge("standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunning);
+        registry.gauge(
+                "standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunningCount);
         registry.gauge(
                 "standlink.agent.bundle.version",
                 holder,
--- a/src/main/java/org/standlink/agent/TaskSupervisor.java
+++ b/src/main/java/org/standlink/agent/TaskSupervisor.java
@@ -165,7 +165,7 @@
      *
      * @return the number of attempts
      */
-    public int getRunning() {
+    public int getRunningCount() {
         return (int) report.tasks().stream().filter(TaskSupervisor::isRunning).count();
     }
 
--- a/src/main/java/org/standlink/cell/AgentReportHandler.java
+++ b/src/main/java/org/standlink/cell/AgentReportHandler.java
@@ -73,11 +73,8 @@
     private final RunReconciler reconciler;
 
     /**
-     * Constructor.
+     * Creates a handler of the reports of the agents.
      *
-     * @param jobs the jobs
-     * @param workers the workers
-     * @param agents the agents
      * @param orders sends orders to the agents
      * @param maxAttempts gets how many runs of a task of a job may fail
      * @param clock the leader's clock
--- a/src/main/java/org/standlink/cell/CommitQueue.java
+++ b/src/main/java/org/standlink/cell/CommitQueue.java
@@ -119,14 +119,10 @@
     private boolean closed;
 
     /**
-     * Constructor.
+     * Creates an empty queue that writes to a store under the epoch of the leader.
      *
-     * @param store the store
-     * @param epoch the epoch of the leader
      * @param sources the parts of the state that are persisted
      * @param authority reads the clocks, and records accepted appends
-     * @param loop the leader's event loop
-     * @param timers the timers
      * @param fenceListener called when a newer leader has written
      */
     CommitQueue(
--- a/src/main/java/org/standlink/cell/JobCellLeader.java
+++ b/src/main/java/org/standlink/cell/JobCellLeader.java
@@ -99,7 +99,7 @@
     private ScheduledFuture<?> tickTimer;
 
     /**
-     * Constructor.
+     * Creates a leader of the job cell for an epoch.
      *
      * @param epoch the epoch
      * @param store the store
--- a/src/main/java/org/standlink/cell/JobRequestHandler.java
+++ b/src/main/java/org/standlink/cell/JobRequestHandler.java
@@ -46,7 +46,7 @@
     private static final String STORE_UNAVAILABLE = "the store does not answer";
 
     /** The reason given for an unknown outcome after a change of leader. */
-    private static final String REPLACED = "the leader was replaced while it kept the job";
+    private static final String REPLACED = "the leader was replaced while it was storing the job";
 
     /** The reason given for an unknown outcome of a request that is not to be retried at once. */
     private static final String FAILED = "the leader failed while it handled the request";
@@ -77,13 +77,9 @@
     }
 
     /**
-     * Constructor.
+     * Creates a handler of job requests.
      *
-     * @param epoch the epoch of the leader
-     * @param jobs the jobs
-     * @param workers the workers
      * @param commits persists changes
-     * @param clock the clock
      * @param wallClock the time of day, in milliseconds since 1970
      * @param finalListener called with each job that a request has made final
      */
--- a/src/main/java/org/standlink/cell/LeaderAuthority.java
+++ b/src/main/java/org/standlink/cell/LeaderAuthority.java
@@ -48,7 +48,8 @@
     record ClockReading(long monotonicMillis, long wallMillis) {}
 
     /**
-     * Constructor. The leader is assumed to have authority initially.
+     * Creates a record of the authority of a leader. The leader is assumed to have authority
+     * initially.
      *
      * @param clock the monotonic clock
      * @param wallClock the time of day, in milliseconds since 1970
--- a/src/main/java/org/standlink/cell/LeaderLoop.java
+++ b/src/main/java/org/standlink/cell/LeaderLoop.java
@@ -45,7 +45,7 @@
     private final Runnable failureHandler;
 
     /**
-     * Constructor.
+     * Creates an event loop that runs on an executor.
      *
      * @param loop the executor, of one thread
      * @param failureHandler ends the leader; called on the event loop
--- a/src/main/java/org/standlink/cell/LeadershipManager.java
+++ b/src/main/java/org/standlink/cell/LeadershipManager.java
@@ -74,7 +74,7 @@
     private JobCellLeader leader;
 
     /**
-     * Constructor.
+     * Creates a manager of the leadership of this process.
      *
      * @param store the store
      * @param times the durations agreed with the agents
--- a/src/main/java/org/standlink/cell/PendingAppend.java
+++ b/src/main/java/org/standlink/cell/PendingAppend.java
@@ -38,7 +38,7 @@
     private boolean readingBack;
 
     /**
-     * Constructor.
+     * Creates an append that has not been sent yet.
      *
      * @param records the records to be persisted
      * @param callbacks the actions to run once the records are durable
--- a/src/main/java/org/standlink/cell/WorkerEntry.java
+++ b/src/main/java/org/standlink/cell/WorkerEntry.java
@@ -86,9 +86,8 @@
     private LeaseGeneration fenceGeneration;
 
     /**
-     * Constructor.
+     * Creates an entry for an incarnation of a worker.
      *
-     * @param incarnation the incarnation of the worker
      * @param leaseExpiryMillis when its lease expires, on the leader's clock
      */
     WorkerEntry(WorkerIncarnation incarnation, long leaseExpiryMillis) {
--- a/src/main/java/org/standlink/process/ConnectionDrain.java
+++ b/src/main/java/org/standlink/process/ConnectionDrain.java
@@ -192,13 +192,13 @@
             sleeper.sleep(POLL_INTERVAL_MILLIS);
             if (isDrained()) {
                 arrivals.await(ARRIVAL_TIMEOUT_MILLIS);
-                allRead = arrivals.getPending() == 0;
+                allRead = arrivals.getPendingCount() == 0;
             }
         }
         drainedAction.run();
         do {
             sleeper.sleep(POLL_INTERVAL_MILLIS);
-        } while (getInProgress() + arrivals.getPending() > 0
+        } while (getInProgress() + arrivals.getPendingCount() > 0
                 && clock.nowMillis() - start < graceMillis - EXIT_RESERVE_MILLIS);
     }
 
--- a/src/main/java/org/standlink/process/HttpPendingArrivals.java
+++ b/src/main/java/org/standlink/process/HttpPendingArrivals.java
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public int getPending() {
+    public int getPendingCount() {
         return pending.get();
     }
 
--- a/src/main/java/org/standlink/process/PendingArrivals.java
+++ b/src/main/java/org/standlink/process/PendingArrivals.java
@@ -31,5 +31,5 @@
      *
      * @return the number
      */
-    int getPending();
+    int getPendingCount();
 }
--- a/src/main/java/org/standlink/runner/WorkerIncarnations.java
+++ b/src/main/java/org/standlink/runner/WorkerIncarnations.java
@@ -198,7 +198,9 @@
         if (replacement != null && unconfirmed) {
             ended.awaitIdentification(replacement.getId());
         }
-        markEnded(worker, replacement == null ? "another life answers" : replacement + " answers");
+        markEnded(
+                worker,
+                replacement == null ? "another incarnation answers" : replacement + " answers");
     }
 
     @Override
--- a/src/test/java/org/standlink/process/TestConnectionDrain.java
+++ b/src/test/java/org/standlink/process/TestConnectionDrain.java
@@ -32,7 +32,7 @@
                 public void await(long timeoutMillis) {}
 
                 @Override
-                public int getPending() {
+                public int getPendingCount() {
                     return 0;
                 }
             };
@@ -124,7 +124,7 @@
                     }
 
                     @Override
-                    public int getPending() {
+                    public int getPendingCount() {
                         return 0;
                     }
                 };
@@ -143,7 +143,7 @@
                     public void await(long timeoutMillis) {}
 
                     @Override
-                    public int getPending() {
+                    public int getPendingCount() {
                         return pending[0] = Math.max(0, pending[0] - 1);
                     }
                 };
--- a/src/test/java/org/standlink/process/TestHttpPendingArrivals.java
+++ b/src/test/java/org/standlink/process/TestHttpPendingArrivals.java
@@ -113,7 +113,7 @@
                 assertFalse(waiting.isDone(), "no connection is accepted, " + first + second);
                 handOverAllowed.countDown();
                 waiting.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-                assertTrue(arrivals.getPending() >= 2, "both are pending");
+                assertTrue(arrivals.getPendingCount() >= 2, "both are pending");
             }
         }
     }
--- a/src/test/java/org/standlink/simulation/TestCellSimulation.java
+++ b/src/test/java/org/standlink/simulation/TestCellSimulation.java
@@ -107,7 +107,7 @@
      * had completed by the second, so none of their tasks was running at either.
      */
     @Test
-    public void jobsThatWaitForRoomAndThenEndAreNotStuck() {
+    public void jobsThatWaitForCapacityAndThenEndAreNotStuck() {
         assertEquals(List.of(), new SimulatedDay(WAITING_JOBS_SEED).withKeptWorkerIds().run());
     }
 
