--- a/src/main/java/org/standlink/agent/AgentProcess.java
+++ b/src/main/java/org/standlink/agent/AgentProcess.java
@@ -233,17 +233,20 @@
 
     private boolean isDrained() {
         SupervisorReport report = acknowledgedReport;
-        boolean tasksHandedBack =
-                supervisor.getRunning() == 0 && report != null && report == supervisor.getReport();
+        boolean stopsAcknowledged =
+                supervisor.getRunningCount() == 0
+                        && report != null
+                        && report == supervisor.getReport();
         boolean requestsDrained =
                 requests.getOutstanding() == 0 && requestDrain.isDrained(clock.nowMillis());
-        return requestsDrained && (tasksHandedBack || supervisor.getReport().tasks().isEmpty());
+        return requestsDrained && (stopsAcknowledged || supervisor.getReport().tasks().isEmpty());
     }
 
     private void addGauges() {
         WorkFailures.registerCounter(registry);
         registry.gauge("standlink.agent.outstanding", requests, RequestHandler::getOutstanding);
-        registry.gauge("standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunning);
+        registry.gauge(
+                "standlink.agent.tasks.running", supervisor, TaskSupervisor::getRunningCount);
         registry.gauge(
                 "standlink.agent.bundle.version",
                 holder,
--- a/src/main/java/org/standlink/cell/WorkerEntry.java
+++ b/src/main/java/org/standlink/cell/WorkerEntry.java
@@ -35,7 +35,7 @@
 
     private final WorkerIncarnation incarnation;
 
-    /** Where it accepts calls, host and port; empty if not known. */
+    /** The address at which it accepts calls, host and port; empty if not known. */
     private String address = "";
 
     /** The tasks whose last run may be there. */
@@ -86,9 +86,8 @@
     private LeaseGeneration fenceGeneration;
 
     /**
-     * Constructor.
+     * Creates an entry for an incarnation of a worker.
      *
-     * @param incarnation the incarnation of the worker
      * @param leaseExpiryMillis when its lease expires, on the leader's clock
      */
     WorkerEntry(WorkerIncarnation incarnation, long leaseExpiryMillis) {
